--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -75,7 +75,7 @@
         self,
         worker: str,
         ask: Ask,
-        budget: float,
+        ends: float,
         note: Callable[[float, str], None],
         barred: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
--- a/elderstall/core.py
+++ b/elderstall/core.py
@@ -474,7 +474,7 @@
         job.attempt = a = Attempt(job, number, action.worker, now, ends)
         a.timer = self.deadlines.at(ends, self.timed_out, a)
         a.sending = self.carrier.send(
-            a.worker, job.ask, ends - now, lambda share, text: self.noted(a, share, text),
+            a.worker, job.ask, ends, lambda share, text: self.noted(a, share, text),
             lambda: self.barred(job, a.worker))
         a.sending.addCallback(self.carried, a).addErrback(self.broke, a)
 
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -82,10 +82,13 @@
 class Carrier(Protocol):
     """What takes attempts to workers."""
 
-    def send(self, worker: str, ask: Ask, budget: float, note: Callable[[float, str], None],
+    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
              barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
         """Start an attempt. Fires with its outcome, or None where the worker took it and will call back.
 
+        ``ends`` is the reading of the clock at which the attempt's time is over: the worker hears what is
+        left of it when the request is written, and one that is over by then is not written.
+
         Cancelling it gives the attempt up by closing its connection. ``barred`` names what has come to
         forbid it: asked where writing had to wait, before the first byte.
         """
--- a/elderstall/net/sse.py
+++ b/elderstall/net/sse.py
@@ -202,14 +202,14 @@
 class StreamWorkers(Workers):
     """The carrier that asks workers for streams."""
 
-    def begin(self, pool: Pool, ask: Ask, budget: float, note: Callable[[float, str], None],
+    def begin(self, pool: Pool, ask: Ask, ends: float, note: Callable[[float, str], None],
               barred: Callable[[], str | None], done: Deferred[Outcome | None]) -> Carriage:
         """Start the exchange of a job; its body is passed on as it comes, so no limit holds for the whole.
 
         A stream may begin with the job's start, so its worker's first word is waited for to the deadline.
         """
         exchange = Streamed(self, done, barred, note)
-        request = self.job_request(ask, pool.address, budget, MEDIA_TYPE)
+        request = self.job_request(ask, pool.address, ends, MEDIA_TYPE)
         exchange.carriage = pool.begin(request, exchange, 0, ask.repeatable)
         return exchange.carriage
 
--- a/elderstall/net/workers.py
+++ b/elderstall/net/workers.py
@@ -2,14 +2,17 @@
 
 from __future__ import annotations
 
+import errno
 import json
+import math
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 from typing import Protocol as Shape
 from urllib.parse import quote
 
-from twisted.internet.defer import CancelledError, Deferred
+from twisted.internet.defer import CancelledError, Deferred, maybeDeferred
+from twisted.internet.error import ConnectBindError
 from twisted.internet.interfaces import IPullProducer
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
@@ -40,11 +43,50 @@
 SUSPECT = 1_000.0  # ms: while free connections are kept for less, jobs not to be repeated go over new ones
 NEW_BROKE = 0.5  # of breaks of new connections, decayed: from one some thirty uses ago
 ENDING_MOST = 8  # connections told to close at once to make room: they hold descriptors for one turn more
+BUDGET_MARGIN = 20.0  # ms that a worker hears less than is left, for a process held up as it writes
+BUDGET_MARGIN_PART = 0.05  # of the time left that this takes at most: little time is not made much less
+WRITE_RETRY = 5.0  # ms after which a request is written again of which the system took no byte
+# Of a connection that cannot be opened: a want of this machine, no sign that the worker is out of reach.
+LOCAL_ERRORS = frozenset({
+    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN})
 KEEP_AGAIN = 10_000.0, 60_000.0  # ms after which connections are kept twice as long again: first, and at most
 
 Connect = Callable[[str, Factory], Deferred["WorkerConnection"]]  # to an address, within the time allowed
 
 
+@dataclass(slots=True, frozen=True)
+class WorkerRequest:
+    """A request to a worker, made into bytes in the step that writes it: not before its connection is up."""
+
+    method: str
+    target: str
+    host: str
+    fields: tuple[tuple[str, str], ...] = ()
+    body: bytes = b""
+    ends: float = math.inf  # reading of the clock at which an attempt's time is over; others have no end
+
+    def render(self, now: float) -> bytes | None:
+        """Give its bytes, an attempt's with the time that is left by now; None where none is."""
+        fields = list(self.fields)
+        if self.ends < math.inf:
+            budget = budget_to_send(self.ends - now)
+            if budget <= 0:
+                return None
+            fields.append(("X-Budget-Ms", str(budget)))
+        return http.request(self.method, self.target, self.host, fields, self.body)
+
+
+def budget_to_send(left: float) -> int:
+    """Give the whole ms that a worker hears: at most what will be left once the bytes are written."""
+    return int(left - min(BUDGET_MARGIN, left * BUDGET_MARGIN_PART))
+
+
+def is_local(error: BaseException | None) -> bool:
+    """Say whether a connection failed to open for want of something on this machine."""
+    return isinstance(error, ConnectBindError) or getattr(error, "osError", None) in LOCAL_ERRORS or (
+        isinstance(error, OSError) and error.errno in LOCAL_ERRORS)
+
+
 class Exchange(Shape):
     """What takes the answer to one request on a worker's connection."""
 
@@ -86,7 +128,9 @@
         self.pool = pool
         self.parser = http.Parser(responses=True)
         self.exchange: Exchange | None = None
-        self.request = b""
+        self.request: WorkerRequest | None = None  # until its first byte is written
+        self.unsent = b""  # what the system did not take at once
+        self.retry_timer: Deadline | None = None
         self.written = False
         self.reusable = False
         self.reason = "worker-closed"
@@ -102,28 +146,68 @@
         self.transport.setTcpNoDelay(True)
         self.number = self.pool.workers.connections.add(self)
 
-    def start(self, request: bytes, exchange: Exchange, max_body: int = http.MAX_BODY) -> None:
-        """Write a request. As a pull producer the connection is asked for more once it is all written."""
-        if self.idle_timer is not None:
-            self.idle_timer.cancel()
+    def start(self, request: WorkerRequest, exchange: Exchange, max_body: int = http.MAX_BODY) -> None:
+        """Write a request."""
+        self.stop_idle_timer()
         self.began = self.pool.workers.deadlines.now()
         self.unused_for = 0.0 if self.rested is None else self.began - self.rested
         if exchange.tells:
             self.pool.workers.used(self)
         self.parser.max_body = max_body
         self.request, self.exchange, self.written = request, exchange, False
-        self.transport.registerProducer(self, False)
+        self.write_request()
+
+    def stop_idle_timer(self) -> None:
+        """Let the connection live on."""
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+
+    def write_request(self) -> None:
+        """Hand the request to the system at once, with the time that is left now.
+
+        What the system does not take is left to the transport, which asks for more once that is all written.
+        """
+        self.retry_timer = None
+        request, exchange = self.request, self.exchange
+        if request is None or exchange is None:
+            return
+        data = request.render(self.pool.workers.deadlines.now())
+        if data is None:
+            self.take_back(exchange)
+            return
+        taken = self.transport.writeSomeData(data)
+        if isinstance(taken, Exception) or taken < 0:
+            self.drop("write-failed")  # the exchange hears that nothing was written once it has ended
+        elif taken == 0:
+            self.retry_timer = self.pool.workers.deadlines.after(WRITE_RETRY, self.write_request)
+        elif taken < len(data):
+            self.request, self.unsent = None, data[taken:]
+            self.transport.registerProducer(self, False)
+        else:
+            self.request = None
+            self.all_written()
+
+    def take_back(self, exchange: Exchange) -> None:
+        """Keep the connection, as the time of its attempt was over before a byte was written."""
+        self.request = self.exchange = None
+        self.pool.workers.log.write("rule", f"nothing written to {self.pool.name}: no time left")
+        self.pool.rest(self)
+        exchange.broke(Ending.NEVER_SENT)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the request, or learn that its last byte has left the program (handed over isn't sent)."""
-        if self.request:
-            data, self.request = self.request, b""
+        """Write the rest, or learn that its last byte has left the program (handed over isn't sent)."""
+        if self.unsent:
+            data, self.unsent = self.unsent, b""
             self.transport.write(data)
         elif not self.written:
-            self.written = True
             self.transport.unregisterProducer()
-            if self.exchange is not None:
-                self.exchange.written()
+            self.all_written()
+
+    def all_written(self) -> None:
+        """Note that the request's last byte was written."""
+        self.written = True
+        if self.exchange is not None:
+            self.exchange.written()
 
     def stopProducing(self) -> None:  # noqa: N802, D102
         pass
@@ -189,8 +273,9 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
-        if self.idle_timer is not None:
-            self.idle_timer.cancel()
+        self.stop_idle_timer()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         self.pool.workers.ending.discard(self)
         self.pool.forget(self)
         exchange, self.exchange = self.exchange, None
@@ -264,7 +349,7 @@
             if connection.rested is None or connection.rested <= since:
                 self.retire(connection)
 
-    def begin(self, request: bytes, exchange: Exchange, max_body: int = http.MAX_BODY,
+    def begin(self, request: WorkerRequest, exchange: Exchange, max_body: int = http.MAX_BODY,
               repeatable: bool = True) -> Carriage:
         """Send a request over the newest idle connection, or a new one; gives what calls it off.
 
@@ -288,11 +373,15 @@
             exchange.broke(Ending.UNREACHABLE)
             return carriage
         self.workers.opening += 1
-        carriage.connecting = connecting = self.workers.connect(self.address, self)
+        carriage.connecting = connecting = maybeDeferred(self.workers.connect, self.address, self)
 
         def up(connection: WorkerConnection) -> None:
             self.workers.opening -= 1
             carriage.connection = connection
+            if unread(connection.transport):  # ended as it came up, see above
+                connection.drop("worker-closed")
+                exchange.broke(Ending.UNREACHABLE)
+                return
             why = "it is gone, or another process now" if self.closed else exchange.barred()
             if why is not None:
                 self.workers.log.write("rule", f"nothing written to {self.name}, up late: {why}")
@@ -305,7 +394,7 @@
             self.workers.opening -= 1
             if not isinstance(failure.value, CancelledError):
                 self.workers.log.write("connect", f"{self.name}: {type(failure.value).__name__}")
-                exchange.broke(Ending.UNREACHABLE, unreached=True)
+                exchange.broke(Ending.UNREACHABLE, unreached=not is_local(failure.value))
 
         def bug(failure: Failure) -> None:
             self.workers.log.failure("exchange", failure.value)
@@ -641,17 +730,16 @@
             return ()
         return tuple(float(v) for v in values if v is not None)
 
-    def job_request(self, ask: Ask, address: str, budget: float, accept: str = "") -> bytes:
-        """Write a job for a worker: as it came, with the time that is left."""
+    def job_request(self, ask: Ask, address: str, ends: float, accept: str = "") -> WorkerRequest:
+        """Make a job's request to a worker: as it came, with the time that is left when it is written."""
         parcel = ask.parcel
         assert isinstance(parcel, http.Message)
         fields = [(n, v) for n, v in parcel.headers.fields if n.lower() not in HOP_BY_HOP]
         if accept:
             fields = [(n, v) for n, v in fields if n.lower() != "accept"] + [("Accept", accept)]
-        fields.append(("X-Budget-Ms", str(max(0, int(budget)))))
-        return http.request(parcel.method, parcel.target, address, fields, parcel.body)
+        return WorkerRequest(parcel.method, parcel.target, address, tuple(fields), parcel.body, ends)
 
-    def send(self, worker: str, ask: Ask, budget: float, note: Callable[[float, str], None],
+    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
              barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
         """Send a job; see ``messages.Carrier``."""
         pool = self.pool_of(worker)
@@ -668,15 +756,15 @@
         if pool is None:
             done.callback(Outcome(Ending.UNREACHABLE))
             return done
-        under_way.append(self.begin(pool, ask, budget, note, barred, done))
+        under_way.append(self.begin(pool, ask, ends, note, barred, done))
         return done
 
-    def begin(self, pool: Pool, ask: Ask, budget: float, note: Callable[[float, str], None],
+    def begin(self, pool: Pool, ask: Ask, ends: float, note: Callable[[float, str], None],
               barred: Callable[[], str | None], done: Deferred[Outcome | None]) -> Carriage:
         """Start the exchange of a job."""
         exchange = Posted(self, done, barred)
         within = self.connect_for * (ACCEPT_SOON if ask.repeatable else ACCEPT_WAIT)
-        request = self.job_request(ask, pool.address, budget)
+        request = self.job_request(ask, pool.address, ends)
         carriage = pool.begin(request, exchange, repeatable=ask.repeatable)
         exchange.expect(carriage, within)
         return carriage
@@ -695,7 +783,7 @@
             done.callback(False)
             return done
         exchange = Recalled(done)
-        carriage = pool.begin(http.request("DELETE", f"/jobs/{quote(cid, safe='')}", pool.address), exchange)
+        carriage = pool.begin(WorkerRequest("DELETE", f"/jobs/{quote(cid, safe='')}", pool.address), exchange)
 
         def waited() -> None:
             carriage.call_off()
@@ -717,7 +805,7 @@
             done.callback(Outcome(Ending.UNREACHABLE))
             return done
         exchange = Asked(self, done)
-        carriage = pool.begin(http.request("GET", LOAD, pool.address), exchange)
+        carriage = pool.begin(WorkerRequest("GET", LOAD, pool.address), exchange)
 
         def silent() -> None:
             carriage.call_off()
--- a/elderstall/rehearsal/wire.py
+++ b/elderstall/rehearsal/wire.py
@@ -215,13 +215,14 @@
 
     # ---- messages.Carrier ----
 
-    def send(self, worker: str, ask: Ask, budget: float, note: Callable[[float, str], None],
+    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
              barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
         """Start an attempt; here connections are up at once, and none is barred meanwhile."""
         pool = self.pools.get(worker)
         tried: Try = ask.parcel  # type: ignore[assignment]
         machine = self.world.machines[worker]
-        errand = Errand(self, machine, ask, tried.attempts, self.loop.now + budget, note)
+        left = ends - self.process.deadlines.now()
+        errand = Errand(self, machine, ask, tried.attempts, self.loop.now + left, note)
         tried.attempts += 1
         self.errands[ask.cid] = errand
         self.world.audit.sent(errand)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -86,6 +86,11 @@
             if self.streaming and self.producer is not None and self.unread > self.bufferSize:
                 self.producer.pauseProducing()
 
+    def writeSomeData(self, data: bytes) -> int:  # noqa: N802
+        taken = len(data) - self.stalled  # of a peer that does not read, the last byte has to wait
+        self.out += data[:taken]
+        return taken
+
     def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: N802
         self.producer, self.streaming = producer, streaming
         if not streaming:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -27,7 +27,7 @@
         self.recalls: list[Deferred[bool]] = []
         self.probes: list[tuple[str, Deferred[Outcome]]] = []
 
-    def send(self, worker: str, ask: Ask, budget: float, note: Callable[[float, str], None],
+    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
              barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
         done: Deferred[Outcome | None] = Deferred()
         self.sent.append((worker, done))
--- a/tests/test_rehearsal_night.py
+++ b/tests/test_rehearsal_night.py
@@ -315,7 +315,7 @@
     assert process is not None
     job = next(j for j in process.core.jobs if j.attempt is not None and j.cls.effect is i.Effect.UNSAFE)
     other = next(name for name in world.machines if name != job.attempt.worker)  # type: ignore[union-attr]
-    process.wire.send(other, job.ask, 100.0, lambda share, text: None, lambda: None)
+    process.wire.send(other, job.ask, process.deadlines.now() + 100.0, lambda share, text: None, lambda: None)
     process.core.close(job, Refused())
     found = [b.what for b in world.audit.broken]
     assert any("second copy" in what for what in found) and any("refused, but it may have run" in what
