--- a/elderstall/choice.py
+++ b/elderstall/choice.py
@@ -429,15 +429,19 @@
         return allowed <= 0
 
     def kin_of(self, job: Job) -> Worker | None:
+        """Give the next worker with room of those at which a job that may have run may run again."""
+        ws = (w for w in self.workers.values() if self.may_repeat(job, w) and self.has_room(w, job))
+        return min(ws, key=lambda w: w.turn, default=None)
+
+    def may_repeat(self, job: Job, w: Worker) -> bool:
         """Guards rule 2: a job that may have run goes on only where its repeat is dropped, and in time."""
-        first, cls, ws = job.ran_on, job.cls, list(self.workers.values())
-        assert first is not None and job.ran_at is not None
-        if cls.effect is Effect.KEYED:
-            if self.now - job.ran_at >= cls.memory_span * 0.95:
-                return None
-            near, kin = cls.scope is not Scope.ALL, cls.scope is Scope.CELL
-            ws = [w for w in ws if not (near and w.zone != first.zone or kin and w.cell != first.cell)]
-        return min((w for w in ws if self.has_room(w, job)), key=lambda w: w.turn, default=None)
+        first, cls = job.ran_on, job.cls
+        if first is None or cls.effect is not Effect.KEYED:
+            return True
+        if job.ran_at is None or self.now - job.ran_at >= cls.memory_span * 0.95:
+            return False
+        near, kin = cls.scope is not Scope.ALL, cls.scope is Scope.CELL
+        return not (near and w.zone != first.zone or kin and w.cell != first.cell)
 
     def arrived(self, e: i.JobArrived) -> None:
         """Take a job on: worth, tier, then its way."""
@@ -609,7 +613,8 @@
             if self.s.fetch_price:  # of equals, those whose data is here go first
                 first.sort(key=lambda job: job.key not in w.kept)
             for job in first:
-                if job.held and job.ran_on is None and self.has_room(w, job) and not self.out_of_time(job):
+                may_go = self.has_room(w, job) and self.may_repeat(job, w)
+                if job.held and may_go and not self.out_of_time(job):
                     self.send(job, w)
             while jobs and not jobs[0].held:
                 jobs.pop(0)
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -1,7 +1,7 @@
 """A socket module for Twisted's TCP transports whose calls fail when a test says so.
 
 The sockets are real ones on loopback. A fault names a call, and may be limited to the connections to one
-port and to a number of calls; sockets that are accepted have no faults.
+port and to a number of calls.
 """
 
 from __future__ import annotations
@@ -61,11 +61,18 @@
 
 
 class FaultySocket(socket.socket):
-    """A client's socket whose calls fail by the plan."""
+    """A socket whose calls fail by the plan."""
 
     plan: FaultPlan
     port: int | None = None
 
+    def accept(self) -> tuple[socket.socket, Any]:
+        """Accept a connection; its calls fail by the plan too, under the port that it came to."""
+        fd, address = self._accept()  # type: ignore[attr-defined]
+        made = FaultySocket(self.family, self.type, self.proto, fileno=fd)
+        made.plan, made.port = self.plan, self.getsockname()[1]
+        return made, address
+
     def connect_ex(self, address: Any) -> int:
         self.port = address[1]
         return self.plan.next("connect", self.port) or super().connect_ex(address)
@@ -108,9 +115,10 @@
 
 def hand_in(case: unittest.TestCase, plan: Plan) -> Plan:
     """Have Twisted make its sockets with the faults of a plan while a test runs."""
-    patch = mock.patch("twisted.internet.tcp.socket", FaultySocketModule(plan))
-    patch.start()
-    case.addCleanup(patch.stop)
+    for module in ("tcp", "base"):  # of clients, and of listeners
+        patch = mock.patch(f"twisted.internet.{module}.socket", FaultySocketModule(plan))
+        patch.start()
+        case.addCleanup(patch.stop)
     return plan
 
 
--- /dev/null
+++ b/tests/test_worker_socket_errors.py
@@ -0,0 +1,450 @@
+"""Calls of the system that fail on connections to workers and to discovery, on real sockets.
+
+Each error that Linux documents for a call is given by the socket module that Twisted's transports use. In
+each case the job gets its answer, the next one is served, no descriptor is left open, and nothing loops.
+"""
+
+from __future__ import annotations
+
+import errno
+import signal
+import socket
+import unittest
+from typing import Any
+
+from twisted.python import log
+
+from elderstall.core import Core
+from elderstall.net import http
+from elderstall.net.workers import is_local
+from tests.faulty_sockets import SHORT, Fault, FaultPlan, descriptors, hand_in, no_descriptor_leaked
+from tests.loopback import Loopback, Side
+
+TAKEN = http.response(202)
+SAFE, UNSAFE = "deck-fetch", "deck-build"
+SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+CONNECT_ERRORS = (
+    errno.ECONNREFUSED,
+    errno.ECONNABORTED,
+    errno.ENETUNREACH,
+    errno.EADDRNOTAVAIL,
+    errno.EPROTO,
+    errno.EINTR,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+    errno.ENETDOWN,
+)
+READ_ERRORS = (
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENETDOWN,
+    errno.ECONNRESET,
+    errno.EPIPE,
+    errno.ECONNABORTED,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)
+WRITE_ERRORS = (
+    errno.EPIPE,
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.ENETDOWN,
+    errno.ECONNRESET,
+    errno.ENOMEM,
+)
+LINES_MOST = 150  # log lines of any one test: the log's burst is 100
+
+
+class FailingCalls(Loopback):
+    """A dispatcher whose sockets fail by a plan."""
+
+    def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
+        self.plan = hand_in(self, FaultPlan())
+        super().begin(workers, progress, folder, **more)
+        self.ports = [sock.getsockname()[1] for sock in self.listeners]
+        self.discovery_port = self.lists.getsockname()[1]
+        self.tell(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
+
+    def wait_with_beats(self, ms: float) -> None:
+        """Let time pass while discovery says that it lives."""
+        for _ in range(int(ms / 1_000)):
+            self.watches[-1].send(http.chunk(b"\n"))
+            self.wait(1_000)
+
+    def name(self, worker: Side) -> str:
+        return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
+
+    def work(self) -> None:
+        """Have workers take every job that has come, and end it at once."""
+        for what, side in self.came():
+            method, cid = what.split()
+            side.messages.pop(0)
+            if side.ended:
+                continue
+            if method != "POST":
+                side.send(http.response(200))
+                continue
+            side.send(TAKEN)
+            self.turn(3)
+            self.call_back(cid, worker=self.name(side))
+
+    def submit(self, cid: str, job_class: str = SAFE) -> Side:
+        client = self.client()
+        client.send(self.job(cid, job_class))
+        self.until(lambda: self.app.core.knows(cid))
+        return client
+
+    def finish(self, client: Side, ms: float = 3_000) -> http.Message:
+        """Work until a client has its answer, within so much of the program's time."""
+        end = self.app.deadlines.now() + ms
+        while not client.messages and self.app.deadlines.now() < end:
+            self.work()
+            self.wait(5)
+            client.read()
+        message = self.answer(client)
+        client.sock.close()
+        self.turn()
+        return message
+
+    def serve(self, cid: str, job_class: str = SAFE) -> None:
+        self.assertEqual(200, self.finish(self.submit(cid, job_class)).status, self.lines)
+
+    def close_ended(self) -> None:
+        """Close the workers' ends of connections that the program has closed."""
+        for sides in (self.sides, self.watches):
+            for side in sides[:]:
+                side.read()
+                if side.ended:
+                    side.sock.close()
+                    sides.remove(side)
+
+    def open_now(self) -> int:
+        """Count descriptors with all kept connections to workers closed."""
+        for name in list(self.app.workers.pools):
+            self.app.workers.renew(name)
+        self.turn()
+        self.came()
+        self.close_ended()
+        return descriptors()
+
+    def no_trouble(self, fault: Fault, reported: int = 0) -> None:
+        """See that the fault happened, and that no more than so many errors were raised up to the reactor."""
+        self.assertGreater(fault.happened, 0)
+        self.assertEqual([], [line for line in self.lines if line.startswith("bug")])
+        self.assertEqual(reported, len(self.caught), self.caught)
+        del self.caught[:]
+        self.assertLess(len(self.lines), LINES_MOST)
+
+    def setUp(self) -> None:
+        self.caught: list[Any] = []  # errors that the reactor caught
+
+        def note(event: dict[str, Any]) -> None:
+            if event.get("isError"):
+                self.caught.append(event.get("failure") or event)
+
+        log.addObserver(note)
+        self.addCleanup(log.removeObserver, note)
+
+
+class Opening(FailingCalls):
+    """``socket``, ``connect`` and ``setsockopt`` fail for a moment."""
+
+    def one(self, call: str, error: int, reported: int = 0) -> None:
+        """One failure: the job is served all the same, over another worker or a new connection."""
+        self.begin(workers=2)
+        before = self.open_now()
+        fault = self.plan.add(call, error, 1, None if call == "socket" else self.ports[0])
+        self.serve("a1")
+        self.serve("a2")
+        self.serve("a3")
+        self.no_trouble(fault, reported)
+        self.assertEqual(0, self.app.workers.opening)
+        self.assertEqual(before, self.open_now())
+        self.end()
+
+    def test_socket_fails_once(self) -> None:
+        for error in SOCKET_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.one("socket", error)
+
+    def test_connect_fails_once(self) -> None:
+        for error in CONNECT_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.one("connect", error)
+
+    def test_getsockopt_fails_once(self) -> None:
+        for error in (errno.ENOBUFS, errno.ENOMEM):
+            with self.subTest(error=errno.errorcode[error]):
+                self.one("getsockopt", error, reported=1)
+
+    def test_setsockopt_fails_once(self) -> None:
+        """Guards against a connection that is up and never said to be."""
+        for error in (errno.ENOBUFS, errno.ENOMEM, errno.EINVAL):
+            with self.subTest(error=errno.errorcode[error]):
+                self.one("setsockopt", error, reported=1)
+
+    def test_an_error_raised_as_a_connection_is_begun(self) -> None:
+        """It ends the attempt, and is not counted for ever as a connection that is coming up."""
+        self.begin(workers=2)
+        connect = self.app.workers.connect
+
+        def fail_once(address: str, pool: Any) -> Any:
+            self.app.workers.connect = connect
+            raise OSError(errno.EMFILE, "no descriptor")
+
+        self.app.workers.connect = fail_once
+        self.serve("a1", UNSAFE)
+        self.assertEqual(0, self.app.workers.opening)
+
+    def test_no_socket_for_three_seconds(self) -> None:
+        """Nothing loops, each job gets its answer, and jobs are served again once sockets are there."""
+        for error in SOCKET_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin(workers=4)
+                before = self.open_now()
+                fault = self.plan.add("socket", error, None)
+                clients = [self.submit(f"a{n}") for n in range(3)]
+                self.wait_with_beats(3_000)
+                self.plan.faults.clear()
+                for client in clients:
+                    self.assertIn(self.finish(client).status, (200, 503))
+                self.assertLess(fault.happened, 100)
+                self.wait_with_beats(2_000)
+                self.serve("b1", UNSAFE)
+                self.no_trouble(fault)
+                self.assertEqual(0, self.app.workers.opening)
+                self.assertEqual(before, self.open_now())
+                self.end()
+
+    def test_want_of_something_here_says_nothing_of_a_workers_zone(self) -> None:
+        """Guards against zones taken for out of reach, as no connection could be opened."""
+        told: list[bool] = []
+        learn = Core.learn_reach
+
+        def note(core: Core, worker: str, outcome: Any) -> None:
+            told.append(outcome.unreached)
+            learn(core, worker, outcome)
+
+        Core.learn_reach = note  # type: ignore[method-assign, assignment]
+        self.addCleanup(setattr, Core, "learn_reach", learn)
+        local = {*SOCKET_ERRORS, errno.EADDRNOTAVAIL}
+        for call, errors in (("socket", SOCKET_ERRORS), ("connect", CONNECT_ERRORS)):
+            for error in errors:
+                with self.subTest(call=call, error=errno.errorcode[error]):
+                    self.begin()
+                    told.clear()
+                    self.plan.add(call, error, 1, None if call == "socket" else self.ports[0])
+                    self.submit("a1")
+                    self.until(lambda: bool(told))
+                    self.assertEqual(error not in local, told[0])
+                    self.end()
+
+    def test_which_errors_are_local(self) -> None:
+        self.assertTrue(is_local(OSError(errno.EMFILE, "too many")))
+        self.assertFalse(is_local(OSError(errno.ECONNREFUSED, "refused")))
+
+
+class Writing(FailingCalls):
+    """``send`` fails, or takes less."""
+
+    def test_the_first_send_fails(self) -> None:
+        """No byte of it was written: it never ran, so a job that must not be repeated goes elsewhere."""
+        for error in WRITE_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin(workers=2)
+                before = self.open_now()
+                fault = self.plan.add("send", error, 1, self.ports[0])
+                for n in range(4):
+                    self.serve(f"a{n}", UNSAFE)
+                self.no_trouble(fault)
+                self.assertEqual(before, self.open_now())
+                self.end()
+
+    def test_a_send_fails_over_a_kept_connection(self) -> None:
+        for error in WRITE_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin()
+                self.serve("a1", UNSAFE)
+                fault = self.plan.add("send", error, 1, self.ports[0])
+                self.serve("a2", UNSAFE)
+                self.no_trouble(fault)
+                self.assertEqual(2, len(self.sides))
+                self.end()
+
+    def test_a_send_fails_in_the_midst_of_a_request(self) -> None:
+        """Its last byte was not written: it never ran."""
+        for error in WRITE_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin(workers=2)
+                self.plan.add("send", SHORT, 1, self.ports[0])
+                fault = self.plan.add("send", error, 1, self.ports[0])
+                for n in range(4):
+                    self.serve(f"a{n}", UNSAFE)
+                self.no_trouble(fault)
+                self.end()
+
+    def test_sends_are_interrupted_and_short(self) -> None:
+        self.begin()
+        interrupted = self.plan.add("send", errno.EINTR, 5, self.ports[0])
+        short = self.plan.add("send", SHORT, 20, self.ports[0])
+        self.serve("a1", UNSAFE)
+        self.assertEqual((5, 20), (interrupted.happened, short.happened))
+        self.assertEqual(1, len(self.sides))
+
+    def test_waits_and_calls_are_interrupted(self) -> None:
+        """A signal each millisecond interrupts whatever the program is in: all of it goes on."""
+        self.begin()
+        seen: list[int] = []
+        old = signal.signal(signal.SIGALRM, lambda number, frame: seen.append(number))
+        self.addCleanup(signal.signal, signal.SIGALRM, old)
+        signal.setitimer(signal.ITIMER_REAL, 0.001, 0.001)
+        try:
+            for n in range(5):
+                self.serve(f"a{n}", UNSAFE)
+            self.until(lambda: bool(seen))
+        finally:
+            signal.setitimer(signal.ITIMER_REAL, 0)
+        self.assertEqual([], self.caught)
+
+
+class Reading(FailingCalls):
+    """``recv`` ends a connection, or gives less."""
+
+    def test_reads_are_short(self) -> None:
+        self.begin()
+        fault = self.plan.add("recv", SHORT, 40, self.ports[0])
+        self.serve("a1", UNSAFE)
+        self.turn(60)  # its 202 comes byte by byte
+        self.serve("a2", UNSAFE)
+        self.assertEqual(40, fault.happened)
+        self.assertEqual(1, len(self.sides))
+
+    def test_the_read_of_a_202_fails(self) -> None:
+        """A safe job goes to another worker once the first has been told; an unsafe one has failed."""
+        for error in READ_ERRORS:
+            for job_class, status in ((SAFE, 200), (UNSAFE, 502)):
+                with self.subTest(error=errno.errorcode[error], job_class=job_class):
+                    self.begin(workers=4)
+                    before = self.open_now()
+                    client = self.submit("a1", job_class)
+                    fault = self.fail_202("a1", error)
+                    self.assertEqual(status, self.finish(client).status, self.lines)
+                    self.serve("a2", UNSAFE)
+                    self.no_trouble(fault)
+                    self.assertEqual(before, self.open_now())
+                    self.end()
+
+    def fail_202(self, cid: str, error: int) -> Fault:
+        """Have a worker take a job, and the read of its 202 fail."""
+        worker = self.take(f"POST {cid}")
+        fault = self.plan.add("recv", error, 1, worker.sock.getsockname()[1])
+        worker.send(TAKEN)
+        self.turn()
+        return fault
+
+    def test_a_job_whose_attempt_broke_gets_the_first_slot_that_comes_free(self) -> None:
+        """Guards against a repeat that waits at the head of its queue and holds up those behind it.
+
+        Both workers are full as the attempt breaks; a slot that comes free is offered to held jobs at once.
+        """
+        for error in (errno.ETIMEDOUT, errno.EHOSTUNREACH):
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin(workers=2)
+                broken, other = self.submit("a1"), self.submit("a2")
+                self.until(lambda: len(self.came()) == 2)
+                fault = self.fail_202("a1", error)
+                fresh = self.submit("a3")
+                worker = self.take("POST a2")
+                worker.send(TAKEN)
+                self.turn()
+                self.call_back("a2", worker=self.name(worker))
+                self.assertEqual(["DELETE /jobs/a1"], [what for what, _ in self.came()])
+                for client in (broken, other, fresh):
+                    self.assertEqual(200, self.finish(client).status, self.lines)
+                self.no_trouble(fault)
+                self.end()
+
+
+class Discovery(FailingCalls):
+    """Calls on the watch fail: it is opened anew, the list known so far is used on, and nothing loops."""
+
+    def test_the_watch_is_read_with_errors(self) -> None:
+        for error in READ_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin()
+                asked = len(self.asked_lists())
+                fault = self.plan.add("recv", error, 1, self.discovery_port)
+                self.tell(43, whole=True, w1="up")
+                self.serve("a1")
+                self.until_asked(asked + 1)
+                self.assertEqual(1, fault.happened)
+                self.tell(44, whole=True, w1="draining")
+                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.no_trouble(fault)
+                self.end()
+
+    def until_asked(self, times: int, ms: float = 10_000) -> None:
+        end = self.app.deadlines.now() + ms
+        while len(self.asked_lists()) < times and self.app.deadlines.now() < end:
+            self.wait(50)
+        self.assertGreaterEqual(len(self.asked_lists()), times, self.lines)
+
+    def test_the_watch_is_read_in_short_pieces(self) -> None:
+        self.begin()
+        fault = self.plan.add("recv", SHORT, 100, self.discovery_port)
+        self.tell(43, whole=True, w1="draining")
+        self.turn(200)
+        self.assertEqual(100, fault.happened)
+        self.assertEqual("draining", self.app.core.view.state("w1").value)
+
+    def test_no_connection_for_some_seconds(self) -> None:
+        for call, errors in (("connect", CONNECT_ERRORS), ("socket", SOCKET_ERRORS)):
+            for error in errors:
+                with self.subTest(call=call, error=errno.errorcode[error]):
+                    self.begin()
+                    asked = len(self.asked_lists())
+                    before = descriptors()
+                    self.watches[-1].sock.close()
+                    del self.watches[:]
+                    port = None if call == "socket" else self.discovery_port
+                    fault = self.plan.add(call, error, None, port)
+                    self.wait(5_000)
+                    self.assertLess(fault.happened, 30)
+                    self.plan.faults.clear()
+                    self.until_asked(1)
+                    self.assertGreater(asked, 0)
+                    self.serve("a1")
+                    self.no_trouble(fault)
+                    self.open_now()
+                    self.assertEqual(before, descriptors())
+                    self.end()
+
+    def test_the_call_for_the_list_is_written_with_errors(self) -> None:
+        for error in WRITE_ERRORS:
+            with self.subTest(error=errno.errorcode[error]):
+                self.begin()
+                self.watches[-1].sock.close()
+                del self.watches[:]
+                fault = self.plan.add("send", error, 1, self.discovery_port)
+                self.until_asked(1)
+                self.no_trouble(fault)
+                self.end()
+
+
+class Counting(unittest.TestCase):
+    """The tests' own count of descriptors."""
+
+    def test_a_leak_is_seen(self) -> None:
+        with self.assertRaises(AssertionError), no_descriptor_leaked(self):
+            leaked = socket.socket()
+        leaked.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
