--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import socket
 from collections.abc import Callable
@@ -35,6 +36,8 @@
 OLD_PART = 0.25  # of the cold budget that the old process of an upgrade keeps, for jobs that can't move yet
 BAN_TRIES = 10  # looks for what a process that runs hands over, before a call about a worker is answered
 DISCOVERY_CONNECT = 2.0  # s
+TAKE_OVER_TRIES = 40  # for a descriptor, LOOK_EVERY apart: 2 s
+NO_DESCRIPTOR = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 BACKLOG = 1024
 CONSOLE_BACKLOG = 64  # operators' calls that wait while the program is in another turn
 
@@ -72,6 +75,7 @@
             h.state, h.told, h.on_links, h.on_room = self.state, self.told, self.linked, self.server.pass_all
             self.core.on_taken = lambda cid: h.announce("id", id=cid)
             self.server.may_pass, self.server.hand = lambda: h.room, self.hand
+            self.server.keep = h.on_returned = self.take_over
             self.server.ask_others = lambda call: h.tell("callback", call=call) if h.linked else None
         self.port: Any = None
         self.stopping, self.stay = False, 0.0  # stay: when it may end at the earliest
@@ -231,14 +235,7 @@
         """Take what the other process says; gives its word where it asks."""
         if what == "connection":
             assert fd is not None
-            try:
-                transport = self.reactor.adoptStreamConnection(fd, socket.AF_INET, self.server)
-                self.server.adopted(transport.protocol, message)
-            except OSError:  # its client is gone
-                if "job" in message:
-                    self.core.abandon(message["job"])
-            finally:
-                os.close(fd)
+            self.take_over(fd, message)
         elif what == "held":
             self.server.elsewhere = message["held"]
             self.server.crowded()
@@ -253,6 +250,24 @@
             raise ValueError(f"unknown message {what!r}")
         return True
 
+    def take_over(self, fd: int, fields: dict[str, Any], tries: int = TAKE_OVER_TRIES) -> None:
+        """Go on with a connection that another process had, from a descriptor that is this one's to close.
+
+        A descriptor short for its copy is tried for again: its client is still owed an answer.
+        """
+        try:
+            transport = self.reactor.adoptStreamConnection(fd, socket.AF_INET, self.server)
+        except OSError as error:
+            if error.errno in NO_DESCRIPTOR and tries:
+                self.deadlines.after(LOOK_EVERY, self.take_over, fd, fields, tries - 1)
+                return
+            os.close(fd)
+            if "job" in fields:  # its client is gone
+                self.core.abandon(fields["job"])
+            return
+        os.close(fd)
+        self.server.adopted(transport.protocol, fields)
+
     def ban(self, what: str, worker: str, patience: int = BAN_TRIES) -> Deferred[bool]:
         """Ban a worker or put it back, here and at the other process."""
         done: Deferred[bool] = Deferred()
--- a/elderstall/core.py
+++ b/elderstall/core.py
@@ -326,6 +326,17 @@
         if state["attempt"] is not None and self.s.cancels:
             self.carrier.recall(state["attempt"][0], state["cid"])
 
+    def turn_away_moved(self, state: dict[str, Any], client: Client) -> None:
+        """Answer a job from another process where no more jobs are taken, and end its attempt."""
+        effect, name = Effect(state["cls"]["effect"]), state["cls"]["name"]
+        ran = bool(state["ran"]) or state["attempt"] is not None
+        harmless = not ran or effect is Effect.SAFE or effect is Effect.KEYED and \
+            Scope(state["cls"]["scope"]) is Scope.ALL
+        (self.counts.refused if harmless else self.counts.failed)[name] += 1
+        self.counts.reasons[name, "no room"] += 1
+        client.answered(Refused() if harmless else Failed())
+        self.abandon(state)
+
     def knows(self, cid: str) -> bool:
         """Say whether this process took an id."""
         return cid in self.by_cid or cid in self.answered
--- a/elderstall/net/handover.py
+++ b/elderstall/net/handover.py
@@ -45,11 +45,12 @@
         self.handover = handover
         self.buffer = Buffer()
         self.came: deque[int] = deque()  # descriptors whose message is still to come
-        self.sent: deque[int] = deque()  # descriptors that the other has not yet confirmed
+        self.sent: deque[tuple[int, Message]] = deque()  # what the other has not yet confirmed
         self.asked: dict[int, Deferred[bool]] = {}  # what waits for the other's word
         self.count = 0
         self.newer = False  # the other is the new one, and has asked
         self.serving = False  # the new one accepts; the old one hands over
+        self.given_up = False  # it lives, but does not read
         self.stuck: Deadline | None = None  # runs while the other does not read
 
     @property
@@ -76,6 +77,7 @@
     def frozen(self) -> None:
         """Give up on a process that reads nothing: this one serves on by itself."""
         self.handover.log.write("handover", "the other process does not read")
+        self.given_up = True
         self.transport.abortConnection()
 
     def fileDescriptorReceived(self, descriptor: int) -> None:  # noqa: N802, D102
@@ -102,7 +104,7 @@
             if (done := self.asked.pop(message["n"], None)) is not None:
                 done.callback(bool(message["good"]))
         elif what == "got":
-            os.close(self.sent.popleft())
+            os.close(self.sent.popleft()[0])
             self.handover.on_room()
         else:
             self.handover.take(self, what, message, fd)
@@ -110,7 +112,7 @@
     def send(self, what: str, fd: int | None = None, **fields: Any) -> None:
         """Send a message. A descriptor is this link's from now on; it is closed once the other has it."""
         if fd is not None:
-            self.sent.append(fd)
+            self.sent.append((fd, {"m": what, **fields}))
             self.transport.sendFileDescriptor(fd)
             fields["fd"] = 1
         self.transport.write(json.dumps({"m": what, **fields}).encode() + b"\n")
@@ -138,11 +140,18 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.handover.links.remove(self)
         self.resumeProducing()
-        for fd in (*self.came, *self.sent):
+        for fd in self.came:
             os.close(fd)
         for number in list(self.asked):
             self.silent(number)
         self.handover.lost(self)
+        for fd, message in self.sent:
+            # A process that has ended confirmed what it took. One that does not read may yet take the rest.
+            if message["m"] == "connection" and not self.given_up and not self.handover.closed:
+                self.handover.on_returned(fd, message)
+            else:
+                os.close(fd)
+        self.sent.clear()
 
 
 class Handover(Factory):
@@ -164,6 +173,7 @@
         self.told: Callable[[str, Message, int | None], bool] = lambda what, message, fd: False
         self.on_links: Callable[[], None] = lambda: None
         self.on_room: Callable[[], None] = lambda: None
+        self.on_returned: Callable[[int, Message], None] = lambda fd, message: os.close(fd)
 
     def buildProtocol(self, addr: object) -> Link:  # noqa: N802, D102
         return Link(self)
--- a/elderstall/net/peer.py
+++ b/elderstall/net/peer.py
@@ -32,3 +32,9 @@
 def unread(at: Any) -> bool:
     """Say whether bytes or an end are there to be read, or a connection to be accepted."""
     return bool(state(at, ANYTHING))
+
+
+def unwritten(transport: Any) -> bool:
+    """Say whether the transport still holds bytes that the system has not taken; False in memory."""
+    queued: int = getattr(transport, "_tempDataLen", 0)
+    return queued > 0 or len(getattr(transport, "dataBuffer", b"")) > getattr(transport, "offset", 0)
--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -8,6 +8,7 @@
 import re
 from collections.abc import Callable
 from dataclasses import replace
+from itertools import islice
 from typing import Any
 from typing import Protocol as Shape
 from urllib.parse import parse_qs, urlsplit
@@ -25,7 +26,7 @@
 from elderstall.log import Log
 from elderstall.messages import Answer, Ask, Client, Outcome, Refused, Served
 from elderstall.net import http
-from elderstall.net.peer import left, unread
+from elderstall.net.peer import left, unread, unwritten
 from elderstall.slots import Slots
 
 READ_AT_ONCE = 16 * 1024  # bytes taken from a socket in one go: hundreds may send at once, in little memory
@@ -35,6 +36,8 @@
 LINGER = 1_000.0  # ms of reading on after a last answer, so that a reset does not overtake it
 ENDINGS = {"done": Ending.SERVED, "failed": Ending.ERROR, "returned": Ending.FULL, "lost": Ending.BROKEN}
 BODY_PAUSE = 500.0  # ms: a body of which a part came this lately is slow, not given up
+UNREAD_GRACE = 100.0  # ms for a request that lies unread when its connection's time is over
+SHED_LOOKS = 8  # connections of one kind looked at for one with nothing unread, in one go
 YOUNG = 100.0  # ms in which a new client's first request is on its way, however busy this program is
 # Who goes first where descriptors run short: who has asked nothing yet, who has its last answer, who only
 # asked for /up, clients and workers between requests, and last who is amid one whose head is good.
@@ -139,6 +142,7 @@
         self.stepping = False
         self.paused = False
         self.closing = False
+        self.graced = False  # its time was over, and what lay unread then is being read
         self.client = False  # has handed in a job
         self.worker = False  # has called back about a live attempt
         self.requests = 0
@@ -175,10 +179,12 @@
         now = self.server.deadlines.now()
         if self.message is not None and now < min(self.came + BODY_PAUSE, self.began + self.server.body_for):
             self.wait(BODY_PAUSE, reason)
+        elif not self.graced and unread(self.transport):
+            # A request, or the rest of one, has come in this very turn: it is read first.
+            self.graced = True
+            self.wait(UNREAD_GRACE, reason)
         elif self.message is not None or not self.parser.idle:
             self.finish(408, "slow-request", b"request took too long\n")
-        elif reason == "idle" and unread(self.transport):
-            self.wait(BODY_PAUSE, reason)  # a request has come in this very turn
         else:
             self.end(reason)
 
@@ -224,18 +230,26 @@
         if full != self.paused and not self.closing:
             self.paused = full
             (self.transport.pauseProducing if full else self.transport.resumeProducing)()
-            if full and self.looking is None:
-                self.looking = self.server.deadlines.after(LOOK_AGAIN, self.look_for)
+            if full:
+                self.watch_leaving()
+
+    def watch_leaving(self) -> None:
+        """Look for the peer's end by polls while nothing is read."""
+        if self.looking is None:
+            self.looking = self.server.deadlines.after(LOOK_AGAIN, self.look_for)
 
     def look_for(self) -> None:
         """See that a client from which nothing is read has left: its end lies behind what it has sent."""
         self.looking = None
-        if self.paused and not self.closing:
-            if left(self.transport):
-                self.reason = "client-gone"
-                self.transport.abortConnection()
-            else:
-                self.looking = self.server.deadlines.after(LOOK_AGAIN, self.look_for)
+        if not self.paused:
+            return
+        if not left(self.transport):
+            self.looking = self.server.deadlines.after(LOOK_AGAIN, self.look_for)
+        elif self.closing:
+            self.end(self.reason)
+        else:
+            self.reason = "client-gone"
+            self.transport.abortConnection()
 
     def weigh(self) -> None:
         """Count the bytes kept, against the limit for requests that are not whole yet."""
@@ -289,11 +303,16 @@
         self.transport.write(http.response(status, body, headers, close))
         self.over(close)
 
+    @property
+    def more_came(self) -> bool:
+        """Whether another request, or a part of one, has come behind the one in hand."""
+        return not self.parser.idle or unread(self.transport)
+
     def over(self, close: bool) -> None:
         """Go on after an answer."""
         self.busy, self.job, self.parcel, self.size = False, None, None, 0
         if close:
-            self.linger(self.server.close_reason())
+            self.linger(self.server.close_reason(), discard=False)
         elif self.blocked:
             self.watch_reading()
         else:
@@ -303,6 +322,7 @@
         """Wait for the next request, or go on with one that has come already."""
         if self.pass_on():
             return
+        self.graced = False
         self.server.move(self, RESTING if self.client or self.worker else ASKED)
         self.wait(self.server.idle_for, "idle")
         if not self.parser.idle:
@@ -356,16 +376,23 @@
         self.transport.write(http.response(status, body, headers, close=True))
         self.linger(reason)
 
-    def linger(self, reason: str) -> None:
-        """Close our side, and read on a little: a reset would overtake the answer."""
+    def linger(self, reason: str, discard: bool = True) -> None:
+        """Close our side, and the connection once the peer has closed its own, or a little later.
+
+        ``discard``: what still comes belongs to a request that was refused half read, and is read so that
+        no reset overtakes the answer. Else it would be a request of its own, which crosses the close: it
+        is left unread, as its client sends one that was not read again, and loses one that was.
+        """
         self.closing, self.reason = True, reason
         self.server.move(self, LEAVING)
         self.parser.buffer.clear()
         self.body, self.size = [], 0
         self.weigh()
+        if self.paused is discard:
+            self.paused = not discard
+            (self.transport.resumeProducing if discard else self.transport.pauseProducing)()
         if self.paused:
-            self.paused = False
-            self.transport.resumeProducing()
+            self.watch_leaving()
         if self.blocked:
             self.watch_reading()  # it closes once the peer has read its answer
         else:
@@ -399,14 +426,32 @@
             self.server.ending += 1
 
     def shed(self) -> None:
-        """Close at once, for want of descriptors."""
-        if self.closing:  # it has its answer
+        """Close at once, for want of descriptors; who is amid a request is told to come back."""
+        if not self.closing and (self.message is not None or not self.parser.idle):
+            if self.ask is not None:
+                self.server.core.turned_away(self.ask.job_class)
+            self.transport.write(http.response(
+                503, b"too many connections\n", retry_after(self.server.busy_retry), close=True))
+        if self.closing:  # it has its answer; in the next turn, as it may be gone at once
             self.server.move(self, None)
             self.ending()
-            self.transport.abortConnection()
+            self.server.deadlines.after(0.0, self.end, self.reason)
         else:
             self.end("crowded")
 
+    @property
+    def in_hand(self) -> bool:
+        """Whether a request is being read or answered."""
+        amid = self.busy or self.message is not None or self.blocked or not self.parser.idle
+        return amid and not self.closing
+
+    @property
+    def may_shed(self) -> bool:
+        """Whether nothing that is owed to the peer would be lost with the connection."""
+        if self.closing:
+            return not self.blocked and not unwritten(self.transport)
+        return not unread(self.transport)
+
     # ---- the job's client ----
 
     def answered(self, answer: Answer) -> None:
@@ -461,8 +506,9 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.closing = True
-        if self.timer is not None:
-            self.timer.cancel()
+        for waits in (self.timer, self.looking):
+            if waits is not None:
+                waits.cancel()
         job, self.job = self.job, None
         if job is not None:
             self.reason = "client-gone"
@@ -508,6 +554,8 @@
         self.accepting = True
         self.may_pass: Callable[[], bool] = lambda: False  # whether another process takes connections over
         self.hand: Callable[..., bool] = lambda fd, **fields: False  # gives it one
+        # Serves on with one that the other process could not be given.
+        self.keep: Callable[[int, dict[str, Any]], None] = lambda fd, fields: os.close(fd)
         self.ask_others: Callable[[Any], Deferred[bool] | None] = lambda call: None  # about a call-back
         # Ids of jobs let go of and not yet handed over: a call-back that comes meanwhile is to come again.
         self.moving: set[str] = set()
@@ -527,10 +575,13 @@
 
     def sheddable(self) -> ServerConnection | None:
         """Give the connection that can best be done without."""
+        now = self.deadlines.now()
         for place, table in enumerate(self.places):
-            c = next(iter(table.values()), None)
-            if c is not None and (place > LEAVING or self.deadlines.now() - c.placed >= YOUNG):
-                return c
+            for c in islice(table.values(), SHED_LOOKS):
+                if place <= LEAVING and now - c.placed < YOUNG:
+                    break
+                if c.may_shed:
+                    return c
         return None
 
     @property
@@ -568,7 +619,9 @@
         """Say whether a connection ends after its answer."""
         # Not yet while draining: clients that we send away may find no other dispatcher just then.
         # Nor where another process serves: it gets the connection.
-        return (self.leaving or connection.sent_away) and connection.client and not self.may_pass()
+        # Nor before what has come behind that request is answered too.
+        leaves = (self.leaving or connection.sent_away) and connection.client
+        return leaves and not self.may_pass() and not connection.more_came
 
     def close_reason(self) -> str:
         """Name the reason of such an end."""
@@ -714,6 +767,9 @@
         moved, c.moved = c.moved, None
         if moved is not None and c.parcel is not None:
             self.moving.discard(moved["cid"])
+            if self.core.jobs.full:
+                self.core.turn_away_moved(moved, c)
+                return
             number = self.core.adopt(moved, c.parcel, c)
             if c.busy:
                 c.job = number
@@ -729,10 +785,12 @@
                   "age": self.deadlines.now() - c.began}
         if c.moved is not None and c.parcel is not None:
             fields |= {"job": c.moved, "parcel": c.parcel.plain(), "last": c.close_after}
-        if not whole or not self.hand(fd, **fields):
+        if not whole:  # its client is gone
             os.close(fd)
             if c.moved is not None:
                 self.core.abandon(c.moved)
+        elif not self.hand(fd, **fields):  # the other process is gone meanwhile
+            self.keep(fd, fields)
 
     def adopted(self, c: ServerConnection, fields: dict[str, Any]) -> None:
         """Go on with a connection that the other process has handed over, and with its job if one is out."""
@@ -764,17 +822,16 @@
             idle = not (c.busy or c.closing or c.message) and c.parser.idle
             # What has come and is not read yet is answered first; its connection ends with that.
             if c.client and idle and not c.pass_on() and not unread(c.transport):
-                c.linger("drain")
+                c.linger("drain", discard=False)
 
     def last_look(self) -> bool:
         """Close what is left between requests; say that nothing has come that is not read yet."""
         there = [c for c in self.connections if not c.closing]
         for c in [c for c in there if not unread(c.transport)]:
-            c.linger("drain")
+            c.linger("drain", discard=False)
         return all(c.closing for c in there)
 
     @property
     def quiet(self) -> bool:
         """Whether no request is in hand or still being written."""
-        return not any(c.busy or c.message or c.blocked or not c.parser.idle for c in self.connections
-                       if not c.closing)
+        return not any(c.in_hand or unwritten(c.transport) for c in self.connections)
