--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -416,8 +416,9 @@
         self.server.move(self, None)
         self.ending()
         self.transport.loseConnection()
-        # A peer that reads nothing would hold the connection for ever.
-        self.timer = self.server.deadlines.after(LINGER, self.transport.abortConnection)
+        # A peer that reads nothing would hold the connection for ever; one that is slow gets its answer.
+        delay = self.server.write_for if unwritten(self.transport) else LINGER
+        self.timer = self.server.deadlines.after(delay, self.transport.abortConnection)
 
     def ending(self) -> None:
         """Note that the descriptor will be free soon."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -198,6 +198,48 @@
         self.assertTrue(self.loop.stopped)
 
 
+class SlowReader(Closing):
+    """A client that takes its answers late, the last of them smaller than the transport's buffer."""
+
+    def answers_unread(self) -> tuple[Side, ServerConnection, int]:
+        """Give answers to a client that does not read until the system takes one in part; then the last."""
+        self.begin()
+        client = self.client()
+        client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
+        client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.turn()
+        c = self.connection(client)
+        c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
+        count = 0
+        while not unwritten(c.transport):
+            cid, count = f"a{count}", count + 1
+            client.send(self.job(cid))
+            self.take(f"POST {cid}").send(http.response(202))
+            self.turn()
+            attempt = self.app.core.live(cid, "w1")
+            assert attempt is not None
+            self.app.core.called_back(attempt, Outcome(Ending.SERVED, b"x" * 5_000))
+            self.turn()
+        client.send(b"nothing\r\n\r\n")
+        self.turn()
+        self.assertTrue(c.closing)
+        self.assertFalse(c.blocked)
+        return client, c, count
+
+    def test_last_answers_are_not_cut_short(self) -> None:
+        """They were, twice the lingering time after the last one was given."""
+        client, _, count = self.answers_unread()
+        self.wait(3 * LINGER)
+        for _ in range(count):
+            self.assertEqual(5_000, len(self.answer(client).body))
+        self.assertEqual(400, self.answer(client).status)
+
+    def test_client_that_never_reads_is_ended(self) -> None:
+        _, c, _ = self.answers_unread()
+        self.wait(self.app.server.write_for + 3 * LINGER)
+        self.assertNotIn(c, list(self.app.server.connections))
+
+
 class Shedding(Closing):
     """Descriptors are short, and some connections have to go."""
 
