--- a/elderstall/net/handover.py
+++ b/elderstall/net/handover.py
@@ -94,7 +94,9 @@
                 raise ValueError("line too long")
         except (ValueError, KeyError, TypeError, IndexError, AttributeError, OSError) as error:
             self.handover.log.failure("link", error)
-            self.transport.abortConnection()
+            # What was confirmed is written first: the other would take back a connection served here.
+            self.transport.unregisterProducer()
+            self.transport.loseConnection()
 
     def take(self, message: Message) -> None:
         """Take a message, with its descriptor if it has one."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -374,6 +374,23 @@
         self.assertEqual(0, len(self.app.core.jobs))  # its connection was the other's alone
         self.assertTrue(self.closed(client))
 
+    def test_descriptor_taken_is_confirmed_though_the_next_message_is_faulty(self) -> None:
+        """Else the other process would take its connection back, and both would serve it."""
+        self.job_out()
+        fields, fd, client = self.moved()
+        assert self.app.handover is not None
+        link = socket.socket(socket.AF_UNIX)
+        self.addCleanup(link.close)
+        link.connect(self.app.handover.path)
+        line = json.dumps({"m": "connection", "fd": 1, **fields, "job": {**fields["job"], "cid": "a2"}})
+        socket.send_fds(link, [line.encode() + b"\nno message\n"], [fd])
+        os.close(fd)
+        self.turn()
+        self.assertTrue(self.app.core.knows("a2"))
+        self.assertEqual(b'{"m": "got"}\n', link.recv(1_000))
+        self.assertEqual(b"", link.recv(1_000))
+        client.sock.close()
+
     def moved(self, **more: Any) -> tuple[dict[str, Any], int, Side]:
         """Give a job as another process hands it over, its connection's descriptor and its client."""
         server = socket.create_server(("127.0.0.1", 0))
