--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -70,6 +70,7 @@
     def __init__(self, deadlines: Deadlines, rng: random.Random) -> None:
         self.deadlines, self.rng = deadlines, rng
         self.sent = self.asked = 0
+        self.reached: set[str] = set()  # workers that anything was sent to
 
     def send(
         self,
@@ -81,6 +82,7 @@
     ) -> Deferred[Outcome | None]:
         """Run a job."""
         self.sent += 1
+        self.reached.add(worker)
         done: Deferred[Outcome | None] = Deferred(lambda _: None)
         outcome = Outcome(i.Ending.SERVED, b"done", (2.0,))
         self.deadlines.after(ask.work_hint or MEAN_WORK, self.end, done, outcome)
@@ -94,6 +96,7 @@
     def probe(self, worker: str) -> Deferred[Outcome]:
         """Answer a question."""
         self.asked += 1
+        self.reached.add(worker)
         done: Deferred[Outcome] = Deferred()
         self.deadlines.after(1.0, done.callback, Outcome(i.Ending.SERVED, report=(2.0,)))
         return done
--- a/elderstall/choice.py
+++ b/elderstall/choice.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 from itertools import chain, islice
+from operator import attrgetter
 from typing import Any
 
 from elderstall import interface as i
@@ -21,8 +22,9 @@
 from elderstall.model import INTERVAL, TIER_WEIGHTS, tier_edges, utility
 from elderstall.records import Attempt, Job, Policy, Worker, flows, pairs, stable_hash
 from elderstall.recovery.listing import ListCalls
-from elderstall.rotation import FAR, NEAR, Rotation, Rotations
+from elderstall.rotation import FAR, NEAR, REST, Rotation, Rotations
 from elderstall.routing import lanes, pressure
+from elderstall.routing.subset import LARGE
 from elderstall.search import climb
 from elderstall.succession import Forgetting, inherited, relearned, retuned
 
@@ -64,6 +66,8 @@
 TOLD_FOR = 150.0  # ms for which an answer stands for jobs that follow at once: reports are older anyway
 FULL_FOR = 300.0  # ms after which a full worker is asked again: its report is hardly a new one before
 ROUNDS = 3  # times that a job asks, each time others, while all are full
+STRETCH = 200  # workers of a large fleet that jobs go to first, so that connections to them are kept
+STRETCH_ROOM = 4.0  # times the workers that our traffic fills, if that is more
 OURS = 16  # workers of our own, where workers are asked: few, so that connections to them are kept
 SURELY_LATE = 1.5  # times its hinted work: a job given up then would not have been in time, as hints err
 GIVEN_UP = 500.0  # ms a worker is skipped for a job given up as late: where all are late that says little
@@ -72,6 +76,9 @@
 TIMER_SOLVE, TIMER_PUMP, TIMER_ASK, TIMER_ASKED = 1, 2, 3, 4  # tokens
 
 
+ORDER = attrgetter("order")  # of workers
+
+
 class Dispatcher:
     """One dispatcher: ``handle`` takes an event and returns the actions it calls for."""
 
@@ -80,6 +87,7 @@
         self.now, self.actions = 0.0, list[i.Action]()
         self.workers: dict[str, Worker] = {}
         self.cut, self.common = list[Worker](), list[Worker]()  # shared out, in order; serving every tier
+        self.ordered = list[Worker]()  # all that are known, by hash but for the newest
         self.unproved, self.power, self.up = dict[str, Worker](), 0.0, 0  # must prove themselves; the fleet
         self.jobs: dict[int, Job] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
@@ -87,6 +95,7 @@
         self.asking: dict[int, Job] = {}  # jobs that wait for workers' answers
         self.pressure, self.near = pressure.Pressure(), 1.0  # near: our own part of the workers asked
         self.running, self.pumping = 0, False  # slots of our started attempts; whether a look is due
+        self.stretch, self.need = math.inf, 0.0  # of a large fleet, used first; what our work fills
         self.part, self.pace, self.keepers = 0.0, 1.0, dict[tuple[int, str], list[Worker]]()  # slots; a unit
         self.turn, self.claim = 0.0, 1 / settings.dispatchers  # virtual ms of rotation; our part of the fleet
         # Least delay from send to start by zone, as a first job may find a queue (ied79d9); a first guess.
@@ -191,15 +200,19 @@
             self.actions.append(i.Log(f"list out of reach; asked again within {self.calls.waited:.0f} ms"))
             return
         self.ask_at = math.inf if self.calls.answered(self.now) else self.ask_at  # not the one known at first
-        before = [(w.open, w.started) for w in self.workers.values()]
-        if e.scope is i.ListScope.WHOLE:
+        whole = e.scope is i.ListScope.WHOLE
+        named = self.workers if whole else [entry.worker for entry in e.entries]
+        before = {name: (w.open, w.started) for name in named if (w := self.workers.get(name)) is not None}
+        if whole:
             for w in self.workers.values():
                 w.open = False
+        count = len(self.workers)
         for entry in e.entries:
             up = entry.state is WorkerState.UP
             known = self.workers.get(entry.worker)
             if known is None:
                 known = Worker.of(entry)
+                self.ordered.append(known)
                 if self.many:  # or all start with the same workers
                     known.turn = self.turn + self.rng.random() * self.typical / SLOTS_GUESS
             elif up and entry.started not in (None, known.started):
@@ -208,26 +221,44 @@
             self.largest[entry.kind] = most = max(self.largest[entry.kind], entry.weight)
             known.held = most / entry.weight - 1
         self.held_mean = sum(w.held for w in self.cut) / max(1, len(self.cut))
-        if before != [(w.open, w.started) for w in self.workers.values()]:  # lists may bring weights alone
+        changed = any((w.open, w.started) != before[w.name] for w in map(self.workers.__getitem__, before))
+        if changed or count != len(self.workers):  # lists may bring weights alone
             self.cut_pools()
             self.pump()
 
     def cut_pools(self) -> None:
         """Cut the pools by stable hash within each kind; a kind too small to cut serves all tiers."""
         kin: dict[str, list[Worker]] = {}
-        for w in sorted(self.workers.values(), key=lambda w: w.order):
+        known = self.workers
+        self.ordered = [w for w in self.ordered if known.get(w.name) is w]  # others are forgotten
+        self.ordered.sort(key=ORDER)  # as few are out of place, one comparison each
+        for w in self.ordered:
             if w.open:
                 kin.setdefault(w.kind, []).append(w)
         self.common = [w for ws in kin.values() if len(ws) < len(TIER_WEIGHTS) for w in ws]
-        order = sorted(((n + 0.5) / len(ws), *w.order)
-                       for ws in kin.values() if len(ws) >= len(TIER_WEIGHTS) for n, w in enumerate(ws))
-        self.cut = [self.workers[name] for *_, name in order]
+        large = [ws for ws in kin.values() if len(ws) >= len(TIER_WEIGHTS)]
+        if len(large) == 1:
+            self.cut = large[0]
+        else:
+            places = sorted(((n + 0.5) / len(ws), *w.order, w) for ws in large for n, w in enumerate(ws))
+            self.cut = [place[-1] for place in places]
         self.near = min(1.0, max(self.s.least_part, OURS / max(1, len(self.cut) + len(self.common))))
+        self.size_stretch()
         for n, w in enumerate(self.cut + self.common):
             w.place, w.rank = (self.s.rank - n) * GOLDEN % 1 if w.line is None else w.line, n
         self.refresh_all()
         self.fit_sizes()
 
+    def size_stretch(self) -> None:
+        """Size the part of a large fleet that jobs go to first; of another it is all.
+
+        Guards against a connection for nearly every job: what does not fit on our own workers would go round
+        all that are known, and no connection would be kept long enough to be used again.
+        """
+        up = len(self.cut) + len(self.common)
+        large = self.s.sharing or up > LARGE
+        self.stretch = max(STRETCH / up, STRETCH_ROOM * self.need) if up and large else math.inf
+
     def fit_sizes(self) -> None:
         """Rescale the pool sizes to the workers there are, and hand out the workers."""
         total, old = len(self.cut), sum(self.policy.sizes)
@@ -254,20 +285,23 @@
     def refresh(self, ws: Iterable[Worker]) -> None:
         """Work out workers' speed, slots, power and our part; kin tell what they have not shown."""
         prior, each, kin = PRIOR_JOBS * self.typical, self.s.sharers, dict[str, tuple[float, float]]()
+        now, settled = self.now, self.s.cold_for + self.s.push_window
         for w in ws:
             if w.kind not in kin:
                 work, time, most, guess = self.kinds[w.kind]
                 kin[w.kind] = prior * ((work + prior) / (time + prior)), max(most, guess)
             shown, slots = kin[w.kind]
-            warmth = w.warmth(self.now, self.s)
-            w.speed, w.slots = (w.work + shown) / (w.time + prior), max(w.peak, slots)
-            w.power, w.fair = w.slots * w.speed * warmth, w.slots * warmth / each
-            # Guards against queues filled unseen: of a part under a slot, whole slots of few are ours.
-            if w.slots < WHOLE_UNDER * each:
-                w.fair = float(w.place < w.slots * warmth * self.claim)
+            cold = w.started is not None and now - w.started <= settled  # nearly none is: no calls for others
+            warmth = w.warmth(now, self.s) if cold else 1.0
+            w.speed, w.slots = (w.work + shown) / (w.time + prior), slots if slots > w.peak else w.peak
+            w.power = w.slots * w.speed * warmth
             if self.asks:  # of cold ones no more are ours, so that all together stay within rule 4
-                most = self.near if self.cold(w) else max(self.near, 2 * w.slots * self.claim)
-                w.fair = float(w.place < most)
+                w.fair = float(w.place < self.near or not cold and w.place < 2 * w.slots * self.claim)
+            elif w.slots < WHOLE_UNDER * each:
+                # Guards against queues filled unseen: of a part under a slot, whole slots of few are ours.
+                w.fair = float(w.place < w.slots * warmth * self.claim)
+            else:
+                w.fair = w.slots * warmth / each
 
     def solve(self) -> None:
         """Re-solve the fractions, and every tenth time the pool sizes too."""
@@ -278,13 +312,14 @@
             seen[:], new[:] = [s + (n - s) * fade for s, n in zip(seen, new, strict=True)], [0.0] * 4
         self.typical = self.usual_work()
         fleet = self.cut + self.common
-        if self.asks:
-            self.size_pools()
         power = sum(w.power for w in fleet) or 1.0
         work = CLAIM * sum(x[1] for x in self.load_seen) / INTERVAL
-        self.claim = max(1 / self.s.dispatchers, work / power)
+        self.need = work / power
+        self.claim = max(1 / self.s.dispatchers, self.need)
+        self.size_stretch()
         self.refresh_all()
-        self.rotations.settle(fleet)
+        if not (self.asks and self.size_pools()):
+            self.rotations.settle(fleet)
         self.part = sum(w.fair for w in fleet)
         self.pace = sum(w.slots for w in fleet) / power
         if resize:
@@ -302,12 +337,17 @@
         if resize:
             self.fit_sizes()
 
-    def size_pools(self) -> None:
-        """Size the pools by the work that each tier has brought: too little is seen here for the model."""
+    def size_pools(self) -> bool:
+        """Size the pools by the work that each tier has brought: too little is seen here for the model.
+
+        Says whether the workers were handed out anew.
+        """
         self.worked = [sum(x) for x in zip(self.worked, (seen[1] for seen in self.load_seen), strict=True)]
         if any(self.worked) and len(self.cut) >= self.tiers:
             self.policy = Policy(self.policy.f, records.portions(len(self.cut), self.worked))
             self.fit_sizes()
+            return True
+        return False
 
     def has_room(self, w: Worker, job: Job) -> bool:
         """Refuse a worker skipped, filled by our attempts, as believed, or with an overdue start of ours."""
@@ -353,17 +393,19 @@
         return not sent and need <= budget and turn < int(budget / self.typical)
 
     def group(self, w: Worker) -> int | None:
-        """Say where a worker stands in the rotation: within our part of it, past it, or nowhere when full."""
+        """Say where a worker stands in the rotation, by our part of it and of the fleet; full: nowhere."""
         if w.used and w.used >= self.most_on(w):
             return None
-        ours = w.fair or self.cold(w) and not self.asks
+        if w.place >= self.stretch:
+            return REST
+        ours = w.fair or not self.asks and self.cold(w)
         return NEAR if (w.used + 1 <= w.fair if w.used else ours) else FAR
 
     def next_in(self, rotation: Rotation, job: Job) -> tuple[int, Worker | None]:
         """Give the pool's next worker with room and its rank: our own slots, fast for long jobs (ifa13bf)."""
         best, least = None, (9, False, 0.0, 0)
         run, aim = LONG * job.work, job.cls.aim + job.cls.stretch * LONG * job.work
-        for floor, entries in zip((0, 2), rotation, strict=True):  # the best rank there can be in each group
+        for floor, entries in zip((0, 2, 4), rotation, strict=True):  # the best rank that a group can have
             if least[0] < floor:
                 break
             for turn, place, _, w in entries:
@@ -371,7 +413,7 @@
                     continue
                 # Where slots are whole, a cold worker in whose window we have a turn is as good as our own.
                 over = w.used + job.slots > w.fair and (w.used > 0 or not w.fair and not self.cold(w))
-                rank = 2 * over + (run > aim * w.speed)
+                rank = (4 if floor == 4 else 2 * over) + (run > aim * w.speed)
                 key = (rank, rank < 2 and w.zone != self.s.zone and self.s.crossing_price > 0, turn, place)
                 if key < least and self.has_room(w, job):
                     best, least = w, key
--- a/elderstall/rotation.py
+++ b/elderstall/rotation.py
@@ -10,48 +10,48 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 from heapq import merge
+from operator import is_
 
 from elderstall.records import Worker
 
-NEAR, FAR = 0, 1  # groups: within our own part of a worker, and past it
+NEAR, FAR, REST = range(3)  # groups: our own part of a worker, past it, beyond our stretch of the fleet
 Entry = tuple[float, int, str, Worker]  # turn, place in the pool, its name; places are unique
+Filed = tuple[int | None, float]  # group and turn
 
 
 @dataclass(slots=True)
 class Rotation:
-    """One pool: two groups in ascending order of turn; full workers stand in neither."""
+    """One pool: groups in ascending order of turn; full workers stand in none.
 
-    groups: tuple[list[Entry], list[Entry]] = field(default_factory=lambda: ([], []))
+    Where a worker stands follows from its place in the pool and from ``Worker.filed``.
+    """
+
+    groups: tuple[list[Entry], ...] = field(default_factory=lambda: ([], [], []))
     places: dict[str, int] = field(default_factory=dict)
-    kept: dict[str, tuple[int, Entry]] = field(default_factory=dict)
+    pool: list[Worker] = field(default_factory=list)
 
-    def fill(self, workers: Iterable[Worker], grouped: dict[str, int | None]) -> None:
+    def fill(self, workers: list[Worker], grouped: dict[str, int | None]) -> None:
         """Start anew with a pool's workers, in its order, each in its group or in none."""
-        self.places, self.kept = {}, {}
+        self.pool = workers[:]
+        self.places = {w.name: place for place, w in enumerate(workers)}
         for group in self.groups:
             group.clear()
         for place, w in enumerate(workers):
-            self.places[w.name] = place
             if (group_of := grouped[w.name]) is not None:
-                entry = (w.turn, place, w.name, w)
-                self.kept[w.name] = group_of, entry
-                self.groups[group_of].append(entry)
+                self.groups[group_of].append((w.turn, place, w.name, w))
         for group in self.groups:
             group.sort()
 
-    def move(self, w: Worker, group: int | None) -> None:
+    def move(self, w: Worker, old: Filed | None, new: Filed) -> None:
         """Put one worker where it belongs now: O(log n) comparisons."""
         place = self.places.get(w.name)
         if place is None:
             return
-        old = self.kept.pop(w.name, None)
-        if old is not None:
+        if old is not None and old[0] is not None:
             entries = self.groups[old[0]]
-            del entries[bisect_left(entries, old[1])]
-        if group is not None:
-            entry = (w.turn, place, w.name, w)
-            self.kept[w.name] = group, entry
-            insort(self.groups[group], entry)
+            del entries[bisect_left(entries, (old[1], place, w.name, w))]
+        if new[0] is not None:
+            insort(self.groups[new[0]], (new[1], place, w.name, w))
 
     def __iter__(self) -> Iterator[list[Entry]]:
         return iter(self.groups)
@@ -77,11 +77,11 @@
 
     def move(self, w: Worker) -> None:
         """Note that a worker's turn, or what it has of ours, has changed."""
-        filed = self.group(w), w.turn
-        if filed != w.filed:
-            w.filed = filed
+        old, new = w.filed, (self.group(w), w.turn)
+        if old != new:
+            w.filed = new
             for rotation in self.of:
-                rotation.move(w, filed[0])
+                rotation.move(w, old, new)
 
     def settle(self, workers: Iterable[Worker]) -> None:
         """Note that our part of many workers may have changed, with the pools as they were."""
@@ -90,10 +90,16 @@
 
     def fill(self) -> None:
         """Note that the pools, or all workers, may have changed."""
-        grouped: dict[str, int | None] = {}
-        for pool in self.pools:
-            for w in pool:
-                grouped[w.name] = group = self.group(w)
-                w.filed = group, w.turn
-        for rotation, pool in zip(self.of, self.pools, strict=True):
-            rotation.fill(pool, grouped)
+        other = [not same(rotation.pool, pool) for rotation, pool in zip(self.of, self.pools, strict=True)]
+        self.settle(w for pool in self.pools for w in pool)
+        if not any(other):
+            return
+        grouped = {w.name: w.filed[0] for pool in self.pools for w in pool if w.filed is not None}
+        for rotation, pool, changed in zip(self.of, self.pools, other, strict=True):
+            if changed:
+                rotation.fill(pool, grouped)
+
+
+def same(old: list[Worker], new: list[Worker]) -> bool:
+    """Say whether two pools are of the same workers, one by one: to compare what they hold takes long."""
+    return len(old) == len(new) and all(map(is_, old, new))
--- a/elderstall/routing/subset.py
+++ b/elderstall/routing/subset.py
@@ -24,6 +24,7 @@
 SUBSET_LEAST = 1_024  # workers: up to so many a dispatcher knows all, as its standing limits ask
 REPLICAS = 8  # dispatchers that hold each worker at least, so that unequal traffic evens out over them
 SLACK = 1 / 8  # of a size: it changes, and members leave, only beyond it, so that nothing flaps
+LARGE = SUBSET_LEAST * (1 + SLACK)  # workers, from which a fleet is a large one
 KIND_LEAST = 64  # workers of each kind, and of the own zone where that counts: some for each tier's pool
 KINDS_PART = 4  # one part in so many of a subset, at most, is taken so that no kind is missing
 LAST_PLACE = 0.999  # in line for a worker, of 1
@@ -51,6 +52,11 @@
     return int(rank * POINT_STEP % 1 * RING)
 
 
+def distance(name: str, rank: int) -> float:
+    """Give how far a worker lies from a dispatcher's point along the whole ring, from 0 to 1."""
+    return (position(name) - point(rank)) % RING / RING
+
+
 class Place(NamedTuple):
     """Where a worker belongs."""
 
--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -23,7 +23,7 @@
 from elderstall import interface as i
 from elderstall.interface import ListScope, WorkerState
 from elderstall.routing.reach import ZoneReach
-from elderstall.routing.subset import SLACK, Subset, subset_size
+from elderstall.routing.subset import LARGE, SLACK, Subset, distance, subset_size
 
 GONE_FOR = 300_000.0  # ms for which a worker that is gone is remembered, as it may come back
 GONE_LEAST = 64  # of them are remembered at any size; else one for every GONE_PART listed ones
@@ -225,6 +225,11 @@
         """How many workers are up and not banned."""
         return len(self.entries) - len(self.unavailable)
 
+    @property
+    def is_large(self) -> bool:
+        """Whether so many are up that a dispatcher that knows all begins with a part of them."""
+        return self.up > LARGE
+
     def tell(self, now: float, scope: ListScope, shown: tuple[i.Listed, ...], changed: list[str],
              ) -> list[i.Event]:
         """Give the module's part of a list that has been taken."""
@@ -232,7 +237,7 @@
         if self.subset is None and self.up <= size * (1 + SLACK):
             for worker in changed:
                 self.note_closed(worker, now)
-            return [i.WorkerList(scope, shown)]
+            return [i.WorkerList(scope, tuple(map(self.placed, shown)) if self.is_large else shown)]
         if self.subset is None or self.up <= size:
             return [self.switch(now, size)]
         return self.tell_subset(now, changed)
@@ -249,7 +254,7 @@
         seen = {worker: self.shown(entry) for worker, entry in self.entries.items()}
         self.waiting.clear()
         if self.up <= size:
-            self.subset, self.members, told = None, {}, list(seen.values())
+            self.subset, self.members, told = None, {}, [self.placed(entry) for entry in seen.values()]
             self.log("view", f"all of {len(seen)} workers")
         else:
             self.subset = self.new_subset()
@@ -296,8 +301,11 @@
         return self.placed(self.shown(entry))
 
     def placed(self, entry: i.Listed) -> i.Listed:
-        """Say with an entry of the subset where this dispatcher stands in line for its worker."""
-        if self.subset is None or entry.worker not in self.subset.places:
+        """Say with an entry of a large fleet where this dispatcher stands in line for its worker."""
+        if self.subset is None:
+            place = distance(entry.worker, self.settings.rank) if self.is_large else None
+            return entry if place is None else replace(entry, place=place)
+        if entry.worker not in self.subset.places:
             return entry
         return replace(entry, place=self.subset.place(entry.worker))
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,18 +6,21 @@
 import random
 import unittest
 from collections import Counter
+from dataclasses import replace
 from pathlib import Path
 from tempfile import TemporaryDirectory
+from unittest.mock import patch
 
 from click.testing import CliRunner
 
-from benchmarks.scale import play, subsets
+from benchmarks.scale import larger, play, subsets
 from benchmarks.scale.cli import main
 from benchmarks.scale.fit import Row, slope_of
-from benchmarks.scale.fleets import entry, list_text, replacements
-from benchmarks.scale.hollow import HollowDispatcher
+from benchmarks.scale.fleets import EPOCH, entry, list_text, replacements
+from benchmarks.scale.hollow import HollowDispatcher, settings_of
 from benchmarks.scale.measures import Size, churned, dispatcher_of
 from elderstall import interface as i
+from elderstall.records import Worker
 from elderstall.routing.subset import SLACK, SUBSET_LEAST
 from elderstall.routing.view import GONE_LEAST, GONE_PART
 
@@ -65,6 +68,70 @@
             self.assertLessEqual(abs(len(dispatcher.members) - SUBSET_LEAST), 8)
 
 
+class Touched(unittest.TestCase):
+    """Of how many workers a change, and how many a day's jobs, have something worked out or opened."""
+
+    def test_one_change_works_out_the_warmth_of_cold_workers_alone(self) -> None:
+        for workers in (300, WORKERS):
+            dispatcher = dispatcher_of(Size(workers, 60))
+            dispatcher.load(100, 40.0)
+            cold = [replace(entry(workers + n), started=EPOCH + dispatcher.loop.now) for n in range(3)]
+            for n, joining in enumerate(cold, 1):
+                dispatcher.core.listed(i.ListScope.CHANGES, (entry(n, i.WorkerState.GONE), joining))
+            with patch.object(Worker, "warmth", autospec=True, side_effect=Worker.warmth) as warmth:
+                dispatcher.change(entry(9, i.WorkerState.GONE))
+                for name in dispatcher.members[:1]:
+                    dispatcher.change(entry(self.number_of(name, workers), i.WorkerState.GONE))
+            self.assertLessEqual(len({call.args[0].name for call in warmth.call_args_list}), len(cold))
+
+    def number_of(self, name: str, workers: int) -> int:
+        return next(n for n in range(workers) if entry(n).worker == name)
+
+    def reached(self, workers: int, dispatchers: int, probes: bool) -> int:
+        """Count the workers that 25 s of jobs or questions go to; each second one leaves and one joins."""
+        settings = replace(settings_of(dispatchers), probes=probes)
+        dispatcher = HollowDispatcher(settings, tuple(entry(n) for n in range(workers)))
+        for second in range(25):
+            dispatcher.load(40, 40.0)
+            joining = replace(entry(workers + second), started=EPOCH + dispatcher.loop.now)
+            leaving = entry(7 * second, i.WorkerState.GONE)
+            dispatcher.core.listed(i.ListScope.CHANGES, (leaving, joining))
+        return len(dispatcher.carrier.reached)
+
+    def test_jobs_reach_no_more_than_twice_the_workers_of_a_usual_fleet(self) -> None:
+        for probes in (True, False):
+            for usual, large in ((200, 3_200), (200, 200), (12, 12), (5, 5)):
+                with self.subTest(probes=probes, dispatchers=large):
+                    few = self.reached(200, usual, probes)
+                    self.assertLessEqual(self.reached(3_200, large, probes), 2 * few)
+
+
+class Larger(unittest.TestCase):
+    """The program over sockets, with hollow workers: what is counted, at a small size."""
+
+    def test_counts(self) -> None:
+        play = larger.Play(workers=6, dispatchers=3, seconds=2.2, rate=30.0)
+        needs = larger.measure(play)
+        self.assertGreater(needs.jobs, 30)
+        self.assertEqual(needs.jobs, needs.served)
+        self.assertEqual(needs.jobs, needs.attempts)
+        self.assertLessEqual(needs.workers_reached, min(needs.connections, 6 + 3))
+        self.assertGreaterEqual(needs.list_bytes, 6 * 140)  # the whole list, with two changes behind it
+        self.assertLessEqual(needs.list_bytes, 6 * 180 + 3 * 400)
+        self.assertGreater(min(needs.cpu, needs.memory, needs.descriptors), 0)
+
+    def test_what_is_allowed(self) -> None:
+        usual = larger.Needs(cpu=2.0, memory=36.0, descriptors=80, connections=100, list_bytes=40_000,
+                             jobs=100, served=100)
+        most = larger.allowed(usual, 3_200)
+        self.assertAlmostEqual(2.8 + 0.02 + 0.384, most["cpu"])
+        self.assertAlmostEqual(54 + 8 + 12.8, most["memory"])
+        self.assertEqual((200, 290), (most["descriptors"], most["connections"]))
+        self.assertEqual(80e3 + 64e3 + 1_600e3, most["list_bytes"])
+        needs = larger.Needs(cpu=3.3, memory=44.0, descriptors=200, connections=291, jobs=100, served=84)
+        self.assertEqual(["cpu", "connections", "share"], larger.over(needs, most))
+
+
 class Held(unittest.TestCase):
     """After more churn no more is held than after some."""
 
