--- a/benchmarks/scale/larger.py
+++ b/benchmarks/scale/larger.py
@@ -47,6 +47,7 @@
     {"name": "long", "points": 5, "aim": 900, "deadline": 15000, "effect": "unsafe"},
     {"name": "urgent", "points": 10, "aim": 500, "deadline": 4500, "effect": "unsafe"},
 ]
+REPORT = ("qps", "util", "x0")  # x0: free slots
 WORK = {"short": 80.0, "long": 200.0, "urgent": 50.0}  # ms, mean
 SHARES = {"short": 6, "long": 3, "urgent": 1}
 RULES = {
@@ -69,6 +70,7 @@
     seconds: float = 25.0
     rate: float = 40.0  # jobs a second
     asks: bool = True  # whether the settings allow to ask workers how they stand
+    reports: bool = True  # whether workers report their free slots
     work: float = 1.0  # times the mean work of each class
     busy: float = 0.0  # share of the workers' slots that other dispatchers use
     seed: int = 5
@@ -315,7 +317,8 @@
         span = int(time.monotonic() / REPORT_EVERY)
         chances = (crc32(f"{worker.number} {span} {slot}".encode()) / 2**32 for slot in range(SLOTS))
         taken = sum(chance < self.play.busy for chance in chances)
-        return {"qps": 0.0, "util": 0.0, "x0": float(max(0, SLOTS - taken - worker.running))}
+        free = max(0, SLOTS - taken - worker.running)
+        return dict(zip(REPORT, (0.0, 0.0, float(free)), strict=True))
 
     def worked(self, worker: Worker, connection: Served, message: http.Message) -> None:
         """Answer a request to a worker."""
@@ -349,7 +352,7 @@
 
 def config_of(play: Play, surroundings: Surroundings) -> dict[str, Any]:
     """Write the program's configuration."""
-    settings = {
+    settings: dict[str, Any] = {
         "classes": CLASSES,
         "balancers": play.dispatchers,
         "rank": 7 % play.dispatchers,
@@ -366,9 +369,10 @@
             "max_open": 500,
             "probes": play.asks,
         },
-        "load_report": {"fields": ["qps", "util", "x0"]},
-        "specifics": {"report_x0": "free slots"},
     }
+    if play.reports:
+        settings["load_report"] = {"fields": list(REPORT)}
+        settings["specifics"] = {"report_x0": "free slots"}
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -534,6 +538,7 @@
 @click.option("--rate", default=40.0, show_default=True, help="Jobs a second.")
 @click.option("--busy", default=0.0, show_default=True, help="Share of the slots that others use.")
 @click.option("--asks/--no-asks", default=True, show_default=True, help="Whether workers may be asked.")
+@click.option("--reports/--no-reports", default=True, show_default=True, help="Whether workers report slots.")
 @click.option("--work", default=1.0, show_default=True, help="Times the jobs' mean work.")
 @click.option("--seed", default=5, show_default=True)
 @click.option("--json", "json_path", type=click.Path(path_type=Path), help="Write the figures to a file.")
@@ -545,6 +550,7 @@
     rate: float,
     busy: float,
     asks: bool,
+    reports: bool,
     work: float,
     seed: int,
     json_path: Path | None,
@@ -554,7 +560,9 @@
     results = []
     for case in chosen or cases(workers, times):
         sizes = zip((workers, workers * times), cases(workers, times)[case], strict=True)
-        plays = [Play(size, each, seconds, rate, asks, work, busy, seed) for size, each in sizes]
+        plays = [
+            Play(size, each, seconds, rate, asks, reports, work, busy, seed) for size, each in sizes
+        ]
         usual, larger = (measure(play) for play in plays)
         most = allowed(usual, workers * times)
         bad = over(larger, most)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -87,9 +87,11 @@
     def number_of(self, name: str, workers: int) -> int:
         return next(n for n in range(workers) if entry(n).worker == name)
 
-    def reached(self, workers: int, dispatchers: int, probes: bool) -> int:
+    def reached(self, workers: int, dispatchers: int, reports: bool) -> int:
         """Count the workers that 25 s of jobs or questions go to; each second one leaves and one joins."""
-        settings = replace(settings_of(dispatchers), probes=probes)
+        settings = settings_of(dispatchers)
+        if not reports:
+            settings = replace(settings, probes=False, report_free_slots=None)
         dispatcher = HollowDispatcher(settings, tuple(entry(n) for n in range(workers)))
         for second in range(25):
             dispatcher.load(40, 40.0)
@@ -99,11 +101,11 @@
         return len(dispatcher.carrier.reached)
 
     def test_jobs_reach_no_more_than_twice_the_workers_of_a_usual_fleet(self) -> None:
-        for probes in (True, False):
+        for reports in (True, False):
             for usual, large in ((200, 3_200), (200, 200), (12, 12), (5, 5)):
-                with self.subTest(probes=probes, dispatchers=large):
-                    few = self.reached(200, usual, probes)
-                    self.assertLessEqual(self.reached(3_200, large, probes), 2 * few)
+                with self.subTest(reports=reports, dispatchers=large):
+                    few = self.reached(200, usual, reports)
+                    self.assertLessEqual(self.reached(3_200, large, reports), 2 * few)
 
 
 class Larger(unittest.TestCase):
