--- a/benchmarks/fidelity.py
+++ b/benchmarks/fidelity.py
@@ -22,6 +22,7 @@
 
 import numpy as np
 
+from elderstall.atomic_file import write_text_atomically
 from elderstall.rehearsal.reading import read
 from elderstall.rehearsal.world import play
 
@@ -109,7 +110,7 @@
 
 def reference(command: list[str], day: dict[str, Any], folder: Path, name: str, noise: int) -> dict[str, Any]:
     path = folder / f"{name}-{noise}.json"
-    path.write_text(json.dumps({**day, "noise": noise}))
+    write_text_atomically(path, json.dumps({**day, "noise": noise}))
     done = subprocess.run([*command, str(path), "--json", "--why", WHY], capture_output=True, text=True)
     figures: dict[str, Any] = json.loads(done.stdout)
     if figures["fault"] or figures["breaks"]:
@@ -146,7 +147,7 @@
                 command, day, args.work, path.stem, noise), NOISES[:args.noises]))
         rate = fmean(o["requests"] for o in theirs) / (day["length"] / 1e6)
         script = args.work / f"{path.stem}.conf"
-        script.write_text(script_of(day, path.stem, rate))
+        write_text_atomically(script, script_of(day, path.stem, rate))
         with ProcessPoolExecutor() as procs:
             ours = list(procs.map(emulate, [(str(script), seed + 1) for seed in range(args.seeds)]))
         classes = [c["name"] for c in day["classes"]]
@@ -176,7 +177,7 @@
               "spearman": spearman(theirs_all, ours_all)}
     print(json.dumps(result))
     if args.json:
-        args.json.write_text(json.dumps({"rows": rows, **result}, indent=1))
+        write_text_atomically(args.json, json.dumps({"rows": rows, **result}, indent=1))
     return 0
 
 
--- a/benchmarks/scale/play.py
+++ b/benchmarks/scale/play.py
@@ -18,6 +18,7 @@
 from benchmarks.scale.fleets import REGIONS, ZONES, name_of, zone_of
 from benchmarks.scale.measures import know_all_workers
 from elderstall import interface as i
+from elderstall.atomic_file import write_text_atomically
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.world import World
 
@@ -160,7 +161,7 @@
     result = play(night_of(workers, dispatchers, seconds, unequal, trouble))
     click.echo(json.dumps(result, indent=1))
     if json_path is not None:
-        json_path.write_text(json.dumps(result))
+        write_text_atomically(json_path, json.dumps(result))
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import io
 import json
 from dataclasses import asdict, dataclass
 from pathlib import Path
@@ -11,6 +12,7 @@
 from rich.table import Table
 
 from benchmarks.scale.fit import Row, Slope, slope_of
+from elderstall.atomic_file import write_bytes_atomically, write_text_atomically
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,10 +67,12 @@
         axes.errorbar(sizes, medians, yerr=spans, marker="o")
         axes.plot(sizes, [s.slope.base + s.slope.each * size for size in sizes], linestyle=":")
         axes.set(xlabel=s.over, ylabel=s.unit, title=s.measure, ylim=(0, None))
-        figure.savefig(folder / f"{s.measure}-{s.over}.png")
+        picture = io.BytesIO()
+        figure.savefig(picture, format="png")
+        write_bytes_atomically(folder / f"{s.measure}-{s.over}.png", picture.getvalue())
         pyplot.close(figure)
 
 
 def save(series: list[Series], path: Path) -> None:
     """Write series to a file."""
-    path.write_text(json.dumps(as_json(series), indent=1))
+    write_text_atomically(path, json.dumps(as_json(series), indent=1))
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -19,6 +19,7 @@
 from pathlib import Path
 from typing import Any
 
+from elderstall.atomic_file import write_text_atomically
 from elderstall.choice import Dispatcher
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.reading import find, read, with_parts
@@ -116,7 +117,7 @@
         rows.append(row)
         print(json.dumps(row), flush=True)
     if args.json:
-        args.json.write_text(json.dumps(rows, indent=1))
+        write_text_atomically(args.json, json.dumps(rows, indent=1))
     return 0
 
 
--- a/elderstall/cli/group.py
+++ b/elderstall/cli/group.py
@@ -9,6 +9,8 @@
 
 import click
 
+from elderstall.atomic_file import write_text_atomically
+
 GOOD, FAILED, BAD = 0, 1, 2
 
 
@@ -50,8 +52,12 @@
 def write_json(value: Any, path: str) -> None:
     """Write JSON to a file, or to standard output for ``-``; the same value gives the same bytes."""
     text = json.dumps(value, indent=1, ensure_ascii=False, allow_nan=False) + "\n"
-    with click.open_file(path, "w", encoding="utf-8", atomic=path != "-") as out:
+    if path != "-":
+        write_text_atomically(path, text)
+        return
+    with click.open_file(path, "w", encoding="utf-8") as out:
         out.write(text)
+        out.flush()  # here an error still gets its message and status
 
 
 def main(argv: list[str]) -> int:
--- a/elderstall/rehearsal/report.py
+++ b/elderstall/rehearsal/report.py
@@ -13,6 +13,8 @@
 from matplotlib.figure import Figure
 from matplotlib.ticker import PercentFormatter
 
+from elderstall.atomic_file import write_text_atomically
+
 if TYPE_CHECKING:
     from elderstall.rehearsal.world import World
 
@@ -93,4 +95,4 @@
     page = env.get_template(TEMPLATE).render(
         f=figures, night=world.night, cpu_us=1e6 * cpu / max(1, figures["requests"]),
         service_plot=service_plot(figures), heat_map=heat_map(world, figures))
-    path.write_text(page, encoding="utf-8")
+    write_text_atomically(path, page)
--- a/elderstall/rehearsal/serve.py
+++ b/elderstall/rehearsal/serve.py
@@ -10,6 +10,7 @@
 
 from twisted.internet.defer import Deferred, gatherResults, maybeDeferred
 
+from elderstall.atomic_file import write_text_atomically
 from elderstall.net import http
 from elderstall.net.discovery import told_as
 from elderstall.rehearsal.draws import Draws
@@ -241,7 +242,7 @@
         paths = []
         for caller in self.callers:
             path = folder / f"n{caller.rank + 1}.json"
-            path.write_text(json.dumps(self.platform(caller), indent=1) + "\n", encoding="utf-8")
+            write_text_atomically(path, json.dumps(self.platform(caller), indent=1) + "\n")
             paths.append(path)
         return paths
 
