--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-import errno
+import contextlib
 import os
 import socket
 from collections.abc import Callable
@@ -11,14 +11,16 @@
 
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
+from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from elderstall.config import Config, ConfigError, address_of, fixed_keys, reloaded
+from elderstall.config import Config, ConfigError, UnreadableError, address_of, fixed_keys, reloaded
 from elderstall.core import Core
-from elderstall.deadlines import Deadlines
+from elderstall.deadlines import Deadline, Deadlines
 from elderstall.log import Log
-from elderstall.net.console import Console
+from elderstall.net.accepting import RESOURCE_ERRORS, Acceptor
+from elderstall.net.console import CALLERS, Console
 from elderstall.net.discovery import Discovery, WatchConnection, told_as
 from elderstall.net.handover import Handover
 from elderstall.net.peer import unread
@@ -36,10 +38,20 @@
 OLD_PART = 0.25  # of the cold budget that the old process of an upgrade keeps, for jobs that can't move yet
 BAN_TRIES = 10  # looks for what a process that runs hands over, before a call about a worker is answered
 DISCOVERY_CONNECT = 2.0  # s
-TAKE_OVER_TRIES = 40  # for a descriptor, LOOK_EVERY apart: 2 s
-NO_DESCRIPTOR = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 BACKLOG = 1024
 CONSOLE_BACKLOG = 64  # operators' calls that wait while the program is in another turn
+LISTEN_AGAIN = 100.0  # ms until a listener that could not be opened for lack of resources is tried again
+LISTEN_TRIES = 50  # times: the platform waits longer for a start
+ADOPT_AGAIN = 20.0  # ms until a connection handed over is tried again for which no descriptor was free
+ADOPT_TRIES = 100  # times: two seconds, then its client is given up
+RELOAD_AGAIN = 250.0  # ms until a file that could not be read at SIGHUP is read again
+RELOAD_TRIES = 12  # times: what is new counts 4 s after the signal
+
+
+def close_descriptor(descriptor: int) -> None:
+    """Close a descriptor: Linux frees it whatever error ``close`` gives."""
+    with contextlib.suppress(OSError):
+        os.close(descriptor)
 
 
 class App:
@@ -78,6 +90,11 @@
             self.server.keep = h.on_returned = self.take_over
             self.server.ask_others = lambda call: h.tell("callback", call=call) if h.linked else None
         self.port: Any = None
+        self.acceptor: Acceptor | None = None  # of that port
+        self.console_acceptor: Acceptor | None = None
+        self.inherited: int | None = None  # the listener's descriptor that another process has handed over
+        self.adopting = 0  # connections handed over for which no descriptor was free yet
+        self.reload_retry: Deadline | None = None
         self.stopping, self.stay = False, 0.0  # stay: when it may end at the earliest
         self.failed = False  # the program could not begin
 
@@ -100,28 +117,73 @@
 
     def start(self) -> None:
         """Listen for operators, and begin: with what a process that runs hands over, if there is one."""
-        if self.config.console is not None:
-            host, port = self.config.console
-            at = self.reactor.listenTCP(port, self.console, backlog=CONSOLE_BACKLOG, interface=host).getHost()
-            self.log.write("console", f"{at.host}:{at.port}")
+        if self.config.console is None:
+            self.find()
+            return
+        host, port = self.config.console
+
+        def open_port() -> Any:
+            return self.reactor.listenTCP(port, self.console, backlog=CONSOLE_BACKLOG, interface=host)
+
+        self.listen(open_port, self.console_opened)
+
+    def console_opened(self, port: Any) -> None:
+        """Accept operators' calls."""
+        self.console_acceptor = Acceptor(port, self.deadlines, self.log, lambda: CALLERS)
+        at = port.getHost()
+        self.log.write("console", f"{at.host}:{at.port}")
+        self.find()
+
+    def find(self) -> None:
+        """Begin, with what a process that runs hands over, if there is one."""
         if self.handover is None:
             self.begin(None)
         else:
-            self.handover.find().addCallback(self.begin).addErrback(self.cannot)
+            self.handover.find().addCallback(self.begin).addErrback(self.not_begun)
+
+    def listen(self, open_port: Callable[[], Any], opened: Callable[[Any], None],
+               tries: int = LISTEN_TRIES) -> None:
+        """Open a listener, and go on with it; a lack of resources is waited for."""
+        if self.stopping:
+            # Guards the process that runs: told that another serves, it would leave it its clients.
+            self.release_inherited()
+            return
+        try:
+            port = open_port()
+        except (CannotListenError, OSError) as error:
+            cause = error.socketError if isinstance(error, CannotListenError) else error
+            if tries and getattr(cause, "errno", None) in RESOURCE_ERRORS:
+                self.log.write_seldom("listen", f"tried again: {error}")
+                self.deadlines.after(LISTEN_AGAIN, self.listen, open_port, opened, tries - 1)
+            else:
+                self.release_inherited()
+                self.cannot(error)
+            return
+        opened(port)
+
+    def release_inherited(self) -> None:
+        """Close the copy of the listener that was handed over."""
+        if self.inherited is not None:
+            close_descriptor(self.inherited)
+            self.inherited = None
+
+    def not_begun(self, failure: Failure) -> None:
+        """End, as the process that runs does not hand over."""
+        self.cannot(failure.value)
 
-    def cannot(self, failure: Failure) -> None:
+    def cannot(self, error: BaseException | None) -> None:
         """End, as the program cannot begin."""
-        self.log.write("exit", f"cannot begin: {failure.value}")
+        self.log.write("exit", f"cannot begin: {error}")
         self.failed = True
         self.reactor.callLater(0, self.reactor.stop)
 
     def begin(self, found: tuple[dict[str, Any], int] | None) -> None:
         """Take the known list, then listen: from the first ``/up`` on clients may come."""
-        state, fd = found or ({}, -1)
+        state: dict[str, Any] = {}
+        if found is not None:
+            state, self.inherited = found
         if self.stopping:
-            # Guards the process that runs: told that another serves, it would leave it its clients.
-            if fd >= 0:
-                os.close(fd)
+            self.release_inherited()
             return
         known = state.get("known", self.config.known)
         if state:
@@ -131,43 +193,39 @@
         if state.get("discovery", self.config.discovery) != self.config.discovery:
             self.discovery.index = 0  # another one counts its versions afresh
         self.core.start(entries, state.get("learned"))
-        if found is None:
-            self.port = self.reactor.listenTCP(
-                self.config.port, self.server, backlog=BACKLOG, interface=self.config.host)
-            self.port._shouldShutdown = False  # it may be shared with a next process, which goes on with it
-        else:
-            self.port = self.reactor.adoptStreamPort(fd, socket.AF_INET, self.server)
-            os.close(fd)
+        self.listen(self.open_port, self.serve)
+
+    def open_port(self) -> Any:
+        """Open the listener, or take on the one that was handed over."""
+        if self.inherited is not None:
+            return self.reactor.adoptStreamPort(self.inherited, socket.AF_INET, self.server)
+        port = self.reactor.listenTCP(
+            self.config.port, self.server, backlog=BACKLOG, interface=self.config.host)
+        port._shouldShutdown = False  # it may be shared with a next process, which goes on with it
+        return port
+
+    def serve(self, port: Any) -> None:
+        """Accept clients, and be there for the next process."""
+        handed_over = self.inherited is not None
+        self.release_inherited()
+        self.port = port
+        self.acceptor = Acceptor(port, self.deadlines, self.log, lambda: self.server.room)
         self.server.accept = self.accept
-        self.bound_accepting()
-        host = self.port.getHost()
+        host = port.getHost()
         self.log.write("start", f"{self.config.name} listens on {host.host}:{host.port}")
         if self.handover is None:
             return
-        if found is None or self.handover.older is None:
+        if not handed_over or self.handover.older is None:
             self.handover.listen()
         else:
             self.handover.older.send("serving")
             self.linked()
 
-    def bound_accepting(self) -> None:
-        """Have the port take no more connections in one turn than there is room for.
-
-        Twisted's takes up to a hundred and more in one go: idle clients that come in a burst would have the
-        descriptors that workers and discovery need. Those left in the listener's queue come in the next turn.
-        """
-        port, read = self.port, self.port.doRead
-
-        def read_bounded() -> None:
-            port.numberAccepts = max(1, min(port.numberAccepts, self.server.room))
-            read()
-
-        port.doRead = read_bounded
-
     def accept(self, on: bool) -> None:
         """Read the listening port or not; while another process serves, it does."""
         serves = self.handover is None or self.handover.successor is None
-        (self.port.startReading if on and serves else self.port.stopReading)()
+        if self.acceptor is not None:
+            self.acceptor.enable(on and serves)
 
     # ---- an upgrade: see net/handover.py ----
 
@@ -250,23 +308,31 @@
             raise ValueError(f"unknown message {what!r}")
         return True
 
-    def take_over(self, fd: int, fields: dict[str, Any], tries: int = TAKE_OVER_TRIES) -> None:
+    def take_over(self, fd: int, message: dict[str, Any], tries: int = ADOPT_TRIES) -> None:
         """Go on with a connection that another process had, from a descriptor that is this one's to close.
 
-        A descriptor short for its copy is tried for again: its client is still owed an answer.
+        A lack of descriptors for its copy is waited for: its client is still owed an answer.
         """
+        job = message.get("job")
         try:
             transport = self.reactor.adoptStreamConnection(fd, socket.AF_INET, self.server)
         except OSError as error:
-            if error.errno in NO_DESCRIPTOR and tries:
-                self.deadlines.after(LOOK_EVERY, self.take_over, fd, fields, tries - 1)
+            if error.errno in RESOURCE_ERRORS and tries:
+                self.log.write_seldom("adopt", f"a connection handed over waits: {error}")
+                self.adopting += tries == ADOPT_TRIES
+                if job is not None:
+                    self.server.moving.add(job["cid"])
+                self.deadlines.after(ADOPT_AGAIN, self.take_over, fd, message, tries - 1)
                 return
-            os.close(fd)
-            if "job" in fields:  # its client is gone
-                self.core.abandon(fields["job"])
-            return
-        os.close(fd)
-        self.server.adopted(transport.protocol, fields)
+            transport = None  # its client is gone
+        self.adopting -= tries < ADOPT_TRIES
+        close_descriptor(fd)
+        if job is not None:
+            self.server.moving.discard(job["cid"])
+        if transport is not None:
+            self.server.adopted(transport.protocol, message)
+        elif job is not None:
+            self.core.abandon(job)
 
     def ban(self, what: str, worker: str, patience: int = BAN_TRIES) -> Deferred[bool]:
         """Ban a worker or put it back, here and at the other process."""
@@ -292,14 +358,25 @@
         """Read the configuration again, in the reactor's own turn."""
         self.reactor.callFromThread(self.reload)
 
-    def reload(self) -> None:
+    def reload(self, tries: int = RELOAD_TRIES) -> None:
         """Take on the configuration as it is now; a faulty one changes nothing.
 
-        Jobs, attempts and connections live on, a planned end under way goes on as well.
+        Jobs, attempts and connections live on, a planned end under way goes on as well. A file that can't be
+        read is read again for a while, without a further word.
         """
+        if self.reload_retry is not None:
+            self.reload_retry.cancel()
+            self.reload_retry = None
         try:
             told = self.read()
             new = reloaded(self.config, told)
+        except UnreadableError as error:
+            if tries == RELOAD_TRIES:
+                self.core.counts.load_errors += 1
+                self.log.write("reload", f"nothing changed: {error}")
+            if tries:
+                self.reload_retry = self.deadlines.after(RELOAD_AGAIN, self.reload, tries - 1)
+            return
         except ConfigError as error:
             self.core.counts.load_errors += 1
             self.log.write("reload", f"nothing changed: {error}")
@@ -365,13 +442,15 @@
         """End once nothing is owed and every client's connection is closed."""
         leaving = self.handover is not None and any(link.sent for link in self.handover.links)
         clients = any(c.client or c.passing is not None for c in self.server.connections)
-        owed = len(self.core.jobs) or not self.server.quiet or clients or leaving or self.console.answering
+        owed = (len(self.core.jobs) or not self.server.quiet or clients or leaving or self.adopting
+                or self.console.answering)
         if owed or not self.unseen():
             self.deadlines.after(LOOK_EVERY, self.look)
             return
         self.log.write("exit", "all that was taken is answered")
-        if self.port is not None:
-            self.port.stopListening()
+        for acceptor in (self.acceptor, self.console_acceptor):
+            if acceptor is not None:
+                acceptor.close()
         self.discovery.close()
         self.workers.close()
         if self.handover is not None:
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -5,7 +5,6 @@
 import argparse
 import os
 import signal
-import sys
 from typing import Any, cast
 
 from twisted.internet import reactor
@@ -13,6 +12,7 @@
 
 from elderstall.app import App
 from elderstall.config import ConfigError, load
+from elderstall.log import complain
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -31,7 +31,7 @@
     try:
         config = load(args.config, os.environ, args.front)
     except ConfigError as error:
-        print(f"elderstall: {error}", file=sys.stderr)
+        complain(str(error))
         return 2
     if args.command == "check":
         print(f"{config.name}: {len(config.settings.classes)} classes, "
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -20,6 +20,7 @@
 WORKER_PART = 0.3  # of the others are for connections to workers
 SOFT_PART = 0.8  # of the clients' descriptors are used before connections are shed
 MIN_SOCKETS = 64
+PORT_MOST, PORT_DIGITS = 65_535, 5
 FOOTPRINT = 24.0  # MiB that the program takes with nothing to do, measured
 READING_PART = 0.125  # of the memory beyond it may go to requests not whole yet; jobs may hold as much
 LIST_PART = 0.5  # of the memory beyond it may go to the list of workers, also while a new one is read
@@ -32,6 +33,10 @@
     """Configuration that cannot be used; the message begins with the key."""
 
 
+class UnreadableError(ConfigError):
+    """A file that could not be read; a moment later it may be."""
+
+
 @dataclass(frozen=True)
 class Progress:
     """The front with server-sent events, as an operator's file sets it up."""
@@ -73,7 +78,8 @@
 def address_of(text: Any, key: str) -> tuple[str, int]:
     """Read ``host:port``."""
     host, colon, port = str(text).rpartition(":")
-    if not isinstance(text, str) or not colon or not host or not port.isdigit() or not int(port) < 65536:
+    known = isinstance(text, str) and colon and host and port.isdecimal() and len(port) <= PORT_DIGITS
+    if not known or int(port) > PORT_MOST:
         raise ConfigError(f"{key}: {text!r} is not host:port")
     return host.strip("[]"), int(port)
 
@@ -102,7 +108,9 @@
         return Progress()
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-    except (OSError, ValueError) as error:
+    except OSError as error:
+        raise UnreadableError(f"front: {path}: {error}") from None
+    except (ValueError, RecursionError) as error:
         raise ConfigError(f"front: {path}: {error}") from None
     part = table(raw, "progress", "front.")
     known = ("enabled", "retry_ms", "remember", "coalesce_bytes")
@@ -158,7 +166,7 @@
     seed = raw.get("seed", "0")
     try:
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
-    except (ValueError, TypeError):
+    except (ValueError, TypeError, OverflowError):
         raise ConfigError(f"seed: {seed!r} is no hexadecimal number") from None
     sockets = int(number(table(raw, "limits"), "sockets", 1_024, "limits", MIN_SOCKETS))
     memory = number(table(raw, "limits"), "memory_mb", 128.0, "limits", 1)
@@ -236,6 +244,8 @@
         raise ConfigError("RELAY_CONFIG: is not set, and no --config was given")
     try:
         raw = json.loads(Path(path).read_text(encoding="utf-8"), parse_constant=no_number)
-    except (OSError, ValueError, RecursionError) as error:
+    except OSError as error:
+        raise UnreadableError(f"RELAY_CONFIG: {path}: {error}") from None
+    except (ValueError, RecursionError) as error:
         raise ConfigError(f"RELAY_CONFIG: {path}: {error}") from None
     return config_of(raw, env, front or env.get("ELDERSTALL_FRONT"))
--- a/elderstall/log.py
+++ b/elderstall/log.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import contextlib
+import math
+import os
 import select
 import sys
 import traceback
@@ -9,18 +12,68 @@
 from collections.abc import Callable
 from typing import TextIO
 
-LINE_MOST = 1_900  # characters: a pipe that takes anything takes 4 KiB, which are two lines
+LINE_MOST = 1_900  # bytes: a pipe that takes anything takes 4 KiB, which are two lines
+SELDOM_EVERY = 1_000.0  # ms between lines of a code of which one failing call could make any number
+
+
+class StandardError:
+    """Standard error without a buffer.
+
+    A buffer keeps a line whose write has failed: it would come out later in the middle of others, or fail
+    once more at the interpreter's end and spoil the exit status.
+    """
+
+    def __init__(self) -> None:
+        self.cut = False  # only a part of the last line was written
+
+    def fileno(self) -> int:
+        """Give the descriptor; fails where the process was started without one."""
+        if sys.stderr is None:
+            raise OSError("there is no standard error")
+        return sys.stderr.fileno()
+
+    def write(self, text: str) -> int:
+        """Write one line at once."""
+        data = ("\n" * self.cut + text).encode("utf-8", "backslashreplace")
+        try:
+            descriptor = self.fileno()
+        except ValueError:  # a stand-in without a descriptor, as in tests
+            return sys.stderr.write(text)
+        written = os.write(descriptor, data)
+        self.cut = written < len(data) if written else self.cut
+        if written < len(data):
+            raise BlockingIOError("only a part of the line was written")
+        return len(text)
+
+    def flush(self) -> None:
+        """Nothing is held back."""
+
+
+def complain(message: str) -> None:
+    """Write the one line with which a program ends that cannot begin; its exit status tells as much."""
+    with contextlib.suppress(OSError, ValueError):
+        StandardError().write(f"elderstall: {message}\n")
 
 
 class Log:
     """A token bucket of lines. One line tells what was held back as soon as there is room again."""
 
     def __init__(self, clock: Callable[[], float], lines_per_s: float = 20.0, burst: float = 100.0,
-                 out: TextIO | None = None) -> None:
-        self.clock, self.out = clock, out
+                 out: TextIO | StandardError | None = None) -> None:
+        self.clock, self.out = clock, out or StandardError()
         self.rate, self.burst = lines_per_s / 1000, burst
         self.tokens, self.at = burst, clock()
         self.suppressed: Counter[str] = Counter()
+        self.seldom: dict[str, float] = {}  # when a code was last written, of the few in write_seldom
+
+    def write_seldom(self, code: str, text: str) -> None:
+        """Print at most one line a second under a code, and count the others."""
+        now = self.clock()
+        if now - self.seldom.get(code, -math.inf) < SELDOM_EVERY:
+            self.suppressed[code] += 1
+            return
+        self.seldom[code] = now
+        self.write(code, text)
 
     def write(self, code: str, text: str) -> None:
         """Print one line under a code, or count it."""
@@ -44,16 +97,18 @@
         """
         poll = select.poll()
         try:
-            poll.register((self.out or sys.stderr).fileno(), select.POLLOUT)
+            poll.register(self.out.fileno(), select.POLLOUT)
             return bool(poll.poll(0))
         except (OSError, ValueError, AttributeError):
             return True  # no descriptor, so nobody to wait for
 
     def print(self, now: float, code: str, text: str) -> None:
         """Write the line; a log that cannot be written must not stop the program."""
-        clean = text.replace("\n", " | ").replace("\r", " ")[:LINE_MOST]
+        clean = text[:LINE_MOST].replace("\n", " | ").replace("\r", " ")
+        clean = clean.encode("utf-8", "backslashreplace")[:LINE_MOST].decode("utf-8", "ignore")
         try:
-            print(f"{now / 1000:.3f} {code} {clean}", file=self.out or sys.stderr, flush=True)
+            self.out.write(f"{now / 1000:.3f} {code} {clean}\n")
+            self.out.flush()
         except (OSError, ValueError):
             self.suppressed[code] += 1
 
@@ -62,9 +117,14 @@
         self.write(f"end:{reason}", f"{what} {number} {detail}".rstrip())
 
     def failure(self, where: str, error: BaseException | None) -> None:
-        """Note an error in the program, with the place it came from."""
+        """Note an error in the program, with the place it came from.
+
+        One of the system's is no fault of the program, and may come with each call for a while.
+        """
         if error is None:
             return
         frames = traceback.extract_tb(error.__traceback__)[-3:]
         places = " < ".join(f"{f.filename.rsplit('/', 1)[-1]}:{f.lineno}" for f in reversed(frames))
-        self.write("bug", f"{where}: {type(error).__name__}: {error} at {places}")
+        write = self.write_seldom if isinstance(error, OSError) else self.write
+        write("system" if isinstance(error, OSError) else "bug",
+              f"{where}: {type(error).__name__}: {error} at {places}")
--- a/elderstall/net/peer.py
+++ b/elderstall/net/peer.py
@@ -14,24 +14,36 @@
 ANYTHING = select.POLLIN | LEFT
 
 
-def state(at: Any, wanted: int) -> int:
-    """Give the poll's word on a transport or a listening port; 0 where it has no descriptor any more."""
+def state(at: Any, wanted: int, unknown: int) -> int:
+    """Give the poll's word on a transport or a listening port; 0 where it has no descriptor any more.
+
+    ``unknown`` is given where the poll itself fails, for want of memory or by a signal.
+    """
     fd = at.fileno()
     if fd < 0:
         return 0
     poll = select.poll()
     poll.register(fd, wanted)
-    return sum(event for _, event in poll.poll(0))
+    try:
+        return sum(event for _, event in poll.poll(0))
+    except OSError:
+        return unknown
 
 
 def left(transport: Any) -> bool:
-    """Say whether the peer has closed or reset the connection, also behind bytes that were not read."""
-    return bool(state(transport, LEFT) & LEFT)
+    """Say whether the peer has closed or reset the connection, also behind bytes that were not read.
+
+    A poll that fails shows no end: a client that is there must not lose its answer to it.
+    """
+    return bool(state(transport, LEFT, unknown=0) & LEFT)
 
 
 def unread(at: Any) -> bool:
-    """Say whether bytes or an end are there to be read, or a connection to be accepted."""
-    return bool(state(at, ANYTHING))
+    """Say whether bytes or an end are there to be read, or a connection to be accepted.
+
+    A poll that fails counts as yes: what is closed over a request is lost, what stays is looked at again.
+    """
+    return bool(state(at, ANYTHING, unknown=select.POLLIN))
 
 
 def unwritten(transport: Any) -> bool:
--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -723,7 +723,8 @@
     def heard(self, good: bool, c: ServerConnection, call: Any) -> None:
         """Answer a call-back that the other process was asked about; its job may have come over by now."""
         self.called(call)
-        c.reply(204 if good else 503)  # without the other's word the worker is to try again
+        # Without the other's word, or while its job is still on the way, the worker is to try again.
+        c.reply(204 if good and call["id"] not in self.moving else 503)
 
     def called(self, call: Any) -> bool:
         """Act on what a worker tells of a job here; say whether its attempt is live."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,8 +10,10 @@
 import json
 import socket
 import unittest
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from typing import Any
+from unittest import mock
 
 from twisted.internet import reactor as real_reactor
 from twisted.internet.defer import Deferred
@@ -81,6 +83,18 @@
         self.stopped = True
 
 
+@contextmanager
+def with_console(on: bool = True) -> Iterator[None]:
+    """Have the dispatchers that begin meanwhile listen for operators too."""
+
+    def with_address(*args: Any, **more: Any) -> dict[str, Any]:
+        return plain(*args, **more) | ({"console": "127.0.0.1:0"} if on else {})
+
+    plain = platform
+    with mock.patch(f"{__name__}.platform", with_address):
+        yield
+
+
 class Loopback(unittest.TestCase):
     """A dispatcher, its workers w1, w2 ... and discovery."""
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -214,6 +214,7 @@
 
     stopReading = stopListening = doRead = startReading  # noqa: N815
     numberAccepts = 1  # noqa: N815
+    socket, connected, transport = None, True, None
 
     def fileno(self) -> int:
         return -1
--- /dev/null
+++ b/tests/test_system_call_errors.py
@@ -0,0 +1,611 @@
+"""System calls round the listener, an upgrade, the log and the configuration fail; see test_accept_errors.py.
+
+In the test's own process calls fail where a test says so; the program as a process meets real lacks: a limit
+on its descriptors, a port that is taken, a standard error that nobody reads any more, a file it can't read.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import copy
+import errno
+import gc
+import json
+import os
+import resource
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+import unittest
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from twisted.internet.error import CannotListenError
+
+from elderstall.app import ADOPT_TRIES, LISTEN_AGAIN, LISTEN_TRIES, RELOAD_AGAIN, RELOAD_TRIES
+from elderstall.config import Config, ConfigError, UnreadableError, config_of, load
+from elderstall.log import LINE_MOST, Log, StandardError
+from elderstall.net import http, peer
+from elderstall.net.accepting import RESOURCE_ERRORS
+from tests import loopback
+from tests.loopback import Loop, Loopback, with_console
+from tests.scenario import platform
+from tests.test_program import PATIENCE, ROOT, Program
+
+LACKS = sorted(RESOURCE_ERRORS)
+
+
+def system_error(number: int) -> OSError:
+    return OSError(number, os.strerror(number))
+
+
+def open_descriptors() -> int:
+    gc.collect()
+    return len(os.listdir("/proc/self/fd"))
+
+
+def copies_of(sock: socket.socket) -> int:
+    """Count this process's descriptors of one socket."""
+    gc.collect()
+    links = []
+    for name in os.listdir("/proc/self/fd"):
+        with contextlib.suppress(OSError):  # that of the listing itself is gone
+            links.append(os.readlink(f"/proc/self/fd/{name}"))
+    return links.count(os.readlink(f"/proc/self/fd/{sock.fileno()}"))
+
+
+def failing(call: Callable[..., Any], *errors: BaseException) -> Callable[..., Any]:
+    """Wrap a call so that it raises each of the errors once, and then works."""
+    left = list(errors)
+
+    def call_or_fail(*args: Any, **named: Any) -> Any:
+        if left:
+            raise left.pop(0)
+        return call(*args, **named)
+
+    return call_or_fail
+
+
+class Listening(Loopback):
+    """The listeners can't be opened, for a moment or at all."""
+
+    def begin_with(self, *errors: BaseException, console: bool = False) -> None:
+        def loop() -> Loop:
+            made = Loop()
+            made.listenTCP = failing(made.listenTCP, *errors)
+            return made
+
+        with mock.patch.object(loopback, "Loop", loop), with_console(console):
+            self.begin()
+
+    def asked_lists(self) -> list[str]:
+        return super().asked_lists() if self.app.port is not None or not self.app.failed else ["none"]
+
+    def served(self) -> None:
+        side = self.client()
+        side.send(http.request("GET", "/up", "x"))
+        self.assertEqual(200, self.answer(side).status)
+
+    def test_a_lack_that_passes_is_waited_for(self) -> None:
+        for number in LACKS:
+            with self.subTest(errno.errorcode[number]):
+                error = system_error(number)
+                self.begin_with(CannotListenError("127.0.0.1", 0, error), error, error)  # type: ignore[no-untyped-call]
+                self.wait(4 * LISTEN_AGAIN)
+                self.served()
+                self.assertEqual(1, len([line for line in self.lines if line.startswith("listen ")]))
+
+    def test_the_operators_listener_is_waited_for_too(self) -> None:
+        self.begin_with(system_error(errno.ENFILE), console=True)
+        self.wait(2 * LISTEN_AGAIN)
+        self.served()
+        self.assertIsNotNone(self.app.console_acceptor)
+
+    def test_an_address_in_use_ends_it_at_once_and_says_so(self) -> None:
+        error = CannotListenError("127.0.0.1", 7, system_error(errno.EADDRINUSE))  # type: ignore[no-untyped-call]
+        for console in (False, True):
+            with self.subTest(console=console):
+                self.begin_with(error, console=console)
+                self.wait(10)
+                self.assertTrue(self.app.failed and self.loop.stopped)
+                said = [line for line in self.lines if line.startswith("exit cannot begin: ")]
+                self.assertEqual(1, len(said), self.lines)
+                self.assertIn("127.0.0.1:7", said[0])
+
+    def test_a_lack_that_does_not_pass_ends_it(self) -> None:
+        self.begin_with(*[system_error(errno.ENFILE)] * (LISTEN_TRIES + 1))
+        self.wait((LISTEN_TRIES - 1) * LISTEN_AGAIN)
+        self.assertFalse(self.app.failed)
+        self.wait(10 * LISTEN_AGAIN)
+        self.assertTrue(self.app.failed and self.loop.stopped)
+        self.assertLessEqual(len([line for line in self.lines if line.startswith("listen ")]), 7)
+
+    def test_sigterm_while_it_waits_ends_it_without_listening(self) -> None:
+        self.begin_with(system_error(errno.ENOMEM))
+        self.app.sigterm()
+        self.wait(2 * LISTEN_AGAIN)
+        self.assertIsNone(self.app.port)
+        self.assertTrue(self.loop.stopped)
+
+
+class TakingOver(Loopback):
+    """A new process is handed a listener and connections, and lacks what it takes to go on with them."""
+
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.older = socket.socket(socket.AF_UNIX)
+        self.addCleanup(self.older.close)
+        self.older.bind(f"{folder.name}/elderstall-127.0.0.1-0.sock")
+        self.older.listen()
+        self.begin(folder=folder.name)
+        self.link, _ = self.older.accept()
+        self.link.setblocking(False)
+        self.addCleanup(self.link.close)
+        self.assertIn(b'"hello"', self.link.recv(1_000))
+
+    def asked_lists(self) -> list[str]:
+        return super().asked_lists() if self.app.port is not None else ["none yet"]
+
+    def hand_over(self) -> None:
+        self.listening = self.listener()
+        state = {"m": "state", "fd": 1, "known": self.raw["known"], "discovery": self.raw["discovery"],
+                 "banned": {}, "back": {}, "ids": [], "begun": [], "learned": None, "held": 0}  # fmt: skip
+        socket.send_fds(self.link, [json.dumps(state).encode() + b"\n"], [self.listening.fileno()])
+        self.turn()
+
+    def adopt_port_fails(self, *errors: BaseException) -> None:
+        self.loop.adoptStreamPort = failing(self.loop.adoptStreamPort, *errors)
+
+    def adopt_connection_fails(self, *errors: BaseException) -> None:
+        adopt = failing(self.loop.adoptStreamConnection, *errors)
+        self.loop.adoptStreamConnection = adopt
+
+    def connection(self) -> tuple[socket.socket, socket.socket]:
+        """Give a client's end of a connection, and that of the process that hands over."""
+        server = socket.create_server(("127.0.0.1", 0))
+        client = socket.create_connection(server.getsockname())
+        accepted, _ = server.accept()
+        server.close()
+        self.addCleanup(client.close)
+        self.addCleanup(accepted.close)
+        return client, accepted
+
+    def send_connection(self, accepted: socket.socket, **fields: Any) -> None:
+        message = {"m": "connection", "fd": 1, "client": True, "worker": False, "asked": 1, "age": 1.0}
+        socket.send_fds(self.link, [json.dumps(message | fields).encode() + b"\n"], [accepted.fileno()])
+        accepted.close()
+        self.turn()
+
+    def job_fields(self, cid: str) -> dict[str, Any]:
+        now = self.app.deadlines.now()
+        state: dict[str, Any] = {
+            "cid": cid,
+            "cls": {"name": "album", "worth": 4.0, "aim": 4000.0, "deadline": 9000.0, "effect": "safe",
+                    "scope": "all"},
+            "tenant": "norte", "key": None, "hint": None, "slots": 1, "arrived": now - 10,
+            "deadline": now + 8_000, "sent": 0, "ran": False, "unsure": [], "attempt": None,
+        }  # fmt: skip
+        parcel = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").plain()
+        return {"job": state, "parcel": parcel, "last": False}
+
+    def test_a_listener_that_cannot_be_taken_on_yet_is_tried_again(self) -> None:
+        self.adopt_port_fails(system_error(errno.EMFILE), system_error(errno.ENOMEM))
+        self.hand_over()
+        self.assertIsNone(self.app.port)
+        self.wait(3 * LISTEN_AGAIN)
+        self.assertIsNotNone(self.app.port)
+        self.assertIn(b'"serving"', self.link.recv(1_000))
+        self.assertIsNone(self.app.inherited)
+
+    def test_one_that_cannot_be_taken_on_at_all_leaves_the_process_that_runs_serving(self) -> None:
+        self.adopt_port_fails(system_error(errno.EINVAL))
+        self.hand_over()
+        self.wait(10)
+        self.assertTrue(self.app.failed and self.loop.stopped)
+        self.assertNotIn(b'"serving"', self.link.recv(1_000))
+        self.assertEqual(1, copies_of(self.listening))  # the stand-in's own
+
+    def test_a_connection_that_cannot_be_taken_on_yet_is_tried_again(self) -> None:
+        self.hand_over()
+        for number in LACKS:
+            with self.subTest(errno.errorcode[number]):
+                descriptors = open_descriptors()
+                client, accepted = self.connection()
+                self.adopt_connection_fails(*[system_error(number)] * 3)
+                self.send_connection(accepted)
+                self.assertEqual(1, self.app.adopting)
+                self.wait(100)
+                self.assertEqual(0, self.app.adopting)
+                client.sendall(http.request("GET", "/up", "x"))
+                self.turn()
+                self.assertIn(b" 200 ", client.recv(1_000))
+                client.close()
+                self.turn()
+                self.assertEqual(descriptors, open_descriptors())
+
+    def test_its_job_goes_on_and_a_call_back_that_comes_first_is_to_come_again(self) -> None:
+        self.hand_over()
+        _, accepted = self.connection()
+        self.adopt_connection_fails(system_error(errno.EMFILE))
+        self.send_connection(accepted, **self.job_fields("a1"))
+        self.link.recv(10_000)
+        side = self.client()
+        call = {"id": "a1", "from": "w1", "state": "done", "result": "x"}
+        side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
+        self.turn()
+        asked = json.loads(self.link.recv(10_000).splitlines()[-1])
+        self.assertEqual("callback", asked["m"])
+        self.link.sendall(json.dumps({"m": "word", "n": asked["n"], "good": True}).encode() + b"\n")
+        self.assertEqual(503, self.answer(side).status)
+        self.wait(100)
+        self.take("POST /album")
+        self.assertEqual(set(), self.app.server.moving)
+
+    def test_one_that_can_never_be_taken_on_is_given_up_in_the_end_and_holds_no_descriptor(self) -> None:
+        self.hand_over()
+        client, accepted = self.connection()
+        self.adopt_connection_fails(*[system_error(errno.ENFILE)] * (ADOPT_TRIES + 1))
+        self.send_connection(accepted, **self.job_fields("a1"))
+        self.wait(3_000)
+        self.assertEqual(0, self.app.adopting)
+        self.assertLessEqual(len([line for line in self.lines if line.startswith("adopt ")]), 4)
+        self.assertEqual(b"", client.recv(1_000))  # so no copy of the other end is left
+
+    def test_one_whose_client_is_gone_is_given_up_at_once(self) -> None:
+        self.hand_over()
+        for number in (errno.ENOTCONN, errno.EINVAL, errno.ECONNRESET):
+            with self.subTest(errno.errorcode[number]):
+                descriptors = open_descriptors()
+                client, accepted = self.connection()
+                self.adopt_connection_fails(system_error(number))
+                self.send_connection(accepted)
+                self.assertEqual(0, self.app.adopting)
+                client.close()
+                self.assertEqual(descriptors, open_descriptors())
+
+    def test_a_close_that_fails_ends_nothing(self) -> None:
+        self.hand_over()
+        client, accepted = self.connection()
+        close = os.close
+
+        def close_and_fail(fd: int) -> None:
+            close(fd)
+            raise system_error(errno.EIO)
+
+        with mock.patch("elderstall.app.os.close", close_and_fail):
+            self.send_connection(accepted)
+        assert self.app.handover is not None
+        self.assertEqual([self.app.handover.older], self.app.handover.links)
+        client.sendall(http.request("GET", "/up", "x"))
+        self.turn()
+        self.assertIn(b" 200 ", client.recv(1_000))
+
+
+class HandingOver(Loopback):
+    """The process that runs lacks a descriptor for the copies that it hands over."""
+
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.begin(folder=folder.name)
+        assert self.app.handover is not None
+        self.path = self.app.handover.path
+
+    def new_process(self) -> socket.socket:
+        link = socket.socket(socket.AF_UNIX)
+        self.addCleanup(link.close)
+        link.connect(self.path)
+        link.sendall(b'{"m": "hello", "version": 1}\n')
+        return link
+
+    def test_a_listener_that_cannot_be_copied_ends_the_call_and_the_next_one_gets_it(self) -> None:
+        for number in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EBADF):
+            with self.subTest(errno.errorcode[number]):
+                descriptors = open_descriptors()
+                with mock.patch("elderstall.app.os.dup", failing(os.dup, system_error(number))):
+                    link = self.new_process()
+                    self.turn()
+                    link.setblocking(False)
+                    self.assertEqual(b"", link.recv(1_000))
+                    link.close()
+                self.turn()
+                self.assertEqual(descriptors, open_descriptors())
+                assert self.app.handover is not None
+                self.assertEqual([], self.app.handover.links)
+        link = self.new_process()
+        self.turn()
+        data, descriptors_sent, _, _ = socket.recv_fds(link, 100_000, 1)
+        self.assertIn(b'"state"', data + link.recv(100_000))
+        os.close(descriptors_sent[0])
+
+    def test_a_connection_that_cannot_be_copied_is_served_on_here(self) -> None:
+        side = self.client()
+        side.send(http.request("GET", "/up", "x"))
+        self.assertEqual(200, self.answer(side).status)
+        with mock.patch("elderstall.net.server.os.dup", mock.Mock(side_effect=system_error(errno.EMFILE))):
+            link = self.new_process()
+            link.sendall(b'{"m": "got"}\n{"m": "serving"}\n')
+            self.wait(200)
+            side.send(http.request("GET", "/up", "x"))
+            self.assertEqual(200, self.answer(side).status)
+
+
+class Polls(Loopback):
+    """The look at what a peer has sent fails."""
+
+    def test_a_poll_that_fails_loses_nothing(self) -> None:
+        self.begin()
+        side = self.client()
+        side.send(self.job("a1"))
+        at_worker = self.take("POST a1")
+        for number in (errno.ENOMEM, errno.EINTR, errno.EINVAL):
+            poll = mock.Mock()
+            poll.return_value.poll.side_effect = system_error(number)
+            with self.subTest(errno.errorcode[number]), mock.patch("elderstall.net.peer.select.poll", poll):
+                connection = next(iter(self.app.server.connections))
+                self.assertFalse(peer.left(connection.transport))
+                self.assertTrue(peer.unread(connection.transport))
+        at_worker.send(http.response(202))
+        self.call_back("a1")
+        self.assertEqual(200, self.answer(side).status)
+
+
+class Pipe:
+    """A pipe in the place of standard error."""
+
+    def __init__(self) -> None:
+        self.read_end, self.write_end = os.pipe()
+
+    def fileno(self) -> int:
+        return self.write_end
+
+    def lines(self) -> list[str]:
+        os.set_blocking(self.read_end, False)
+        return os.read(self.read_end, 1 << 20).decode().splitlines()
+
+    def close(self) -> None:
+        os.close(self.read_end)
+        os.close(self.write_end)
+
+
+class LogErrors(unittest.TestCase):
+    """Writes of lines fail."""
+
+    def setUp(self) -> None:
+        self.pipe = Pipe()
+        self.addCleanup(self.pipe.close)
+        patch = mock.patch.object(sys, "stderr", self.pipe)
+        patch.start()
+        self.addCleanup(patch.stop)
+        self.clock = [0.0]
+        self.log = Log(lambda: self.clock[0], burst=1e9)
+
+    def texts(self) -> list[str]:
+        return [line.split(" ", 1)[1] for line in self.pipe.lines()]
+
+    def test_lines_that_fail_are_counted_and_none_comes_out_later(self) -> None:
+        for number in (errno.EAGAIN, errno.ENOSPC, errno.EIO, errno.EPIPE, errno.EINTR, errno.EBADF):
+            with self.subTest(errno.errorcode[number]):
+                self.log.write("a", "before")
+                with mock.patch("elderstall.log.os.write", mock.Mock(side_effect=system_error(number))):
+                    for _ in range(3):
+                        self.log.write("b", "fails")
+                self.log.write("a", "after")
+                # Each try first tells what was held back: that line fails as well, and is counted itself.
+                held = self.texts()
+                self.assertEqual(["a before", "a after"], [held[0], held[-1]])
+                self.assertTrue(held[1].startswith("suppressed "), held)
+                self.assertNotIn("b fails", held)
+
+    def test_a_line_cut_by_a_short_write_is_ended_before_the_next(self) -> None:
+        write = os.write
+        with mock.patch("elderstall.log.os.write", lambda fd, data: write(fd, data[:9])):
+            self.log.write("a", "cut")
+        self.log.write("b", "next")
+        lines = self.pipe.lines()
+        self.assertEqual("0.000 a c", lines[0])
+        self.assertEqual(["0.000 suppressed a=1", "0.000 b next"], lines[1:])
+
+    def test_a_line_is_bounded_in_bytes(self) -> None:
+        self.log.write("a", "\u00e9\U0001f4e6" * LINE_MOST)
+        self.log.write("a", "\ud800" * LINE_MOST)
+        for line in os.read(self.pipe.read_end, 1 << 20).splitlines():
+            self.assertLessEqual(len(line), LINE_MOST + 20)
+
+    def test_without_a_standard_error_lines_are_counted(self) -> None:
+        with mock.patch.object(sys, "stderr", None):
+            self.log.write("a", "nowhere")
+            self.assertEqual(1, self.log.suppressed["a"])
+            self.assertRaises(OSError, StandardError().fileno)
+
+    def test_errors_of_the_system_take_a_line_a_second_and_are_counted(self) -> None:
+        for n in range(100):
+            self.clock[0] = n * 30.0
+            self.log.failure("twisted", system_error(errno.EINVAL))
+        told = [text for text in self.texts() if text.startswith("system ")]
+        self.assertEqual(3, len(told))
+        self.log.failure("request", ValueError("x"))
+        self.assertTrue(any(text.startswith("bug request: ValueError") for text in self.texts()))
+
+
+class Reloading(Loopback):
+    """The configuration can't be read at SIGHUP."""
+
+    def setUp(self) -> None:
+        self.begin()
+        self.reads = 0
+
+    def read_fails(self, *errors: Exception) -> None:
+        read = failing(lambda: config_of(self.raw, {}), *errors)
+
+        def counted() -> Config:
+            self.reads += 1
+            result: Config = read()
+            return result
+
+        self.app.read = counted
+
+    def test_a_file_that_cannot_be_read_for_a_moment_is_taken_afterwards(self) -> None:
+        self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EIO")] * 3)
+        old = self.app.config
+        self.app.sighup()
+        self.assertIs(old, self.app.config)
+        self.assertEqual((1, 0), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.wait(4 * RELOAD_AGAIN)
+        self.assertEqual((1, 1), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.assertEqual(4, self.reads)
+        self.assertEqual(1, len([line for line in self.lines if "nothing changed" in line]))
+
+    def test_one_that_stays_unreadable_is_given_up_and_the_next_signal_reads_it_anew(self) -> None:
+        self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EIO")] * (RELOAD_TRIES + 1))
+        self.app.sighup()
+        self.wait(RELOAD_AGAIN * (RELOAD_TRIES + 5))
+        self.assertEqual(RELOAD_TRIES + 1, self.reads)
+        self.assertEqual((1, 0), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.app.sighup()
+        self.assertEqual((1, 1), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+
+    def test_signals_in_a_row_make_one_row_of_tries(self) -> None:
+        self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EMFILE")] * 5)
+        for _ in range(5):
+            self.app.sighup()
+        self.assertEqual(5, self.reads)
+        self.wait(4 * RELOAD_AGAIN)
+        self.assertEqual((6, 1), (self.reads, self.app.core.counts.loads))
+
+
+class Reading(unittest.TestCase):
+    """Files of the configuration that fail to be read, are half written, or hold what no key may hold."""
+
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.file = Path(folder.name, "config.json")
+        self.file.write_text(json.dumps(platform()))
+
+    def test_each_error_of_a_read_names_the_key_and_the_path(self) -> None:
+        for number in (errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOENT, errno.EACCES, errno.ENOMEM,
+                       errno.EISDIR, errno.ESTALE, errno.ELOOP):  # fmt: skip
+            with (
+                self.subTest(errno.errorcode[number]),
+                mock.patch.object(Path, "read_text", mock.Mock(side_effect=system_error(number))),
+                self.assertRaises(UnreadableError) as raised,
+            ):
+                load(str(self.file), {})
+            self.assertTrue(str(raised.exception).startswith(f"RELAY_CONFIG: {self.file}: "))
+            with (
+                mock.patch.object(Path, "read_text", failing(self.file.read_text, system_error(number))),
+                self.assertRaises(UnreadableError) as raised,
+            ):
+                load(None, {"RELAY_CONFIG": "/x", "ELDERSTALL_FRONT": "/y"})
+
+    def test_a_file_cut_anywhere_is_turned_down(self) -> None:
+        text = self.file.read_text()
+        for size in range(0, len(text) - 1, 7):
+            self.file.write_text(text[:size])
+            with self.assertRaises(ConfigError):
+                load(str(self.file), {})
+
+    def test_whatever_stands_in_the_place_of_a_value_only_errors_of_the_configuration_come(self) -> None:
+        odd: tuple[Any, ...] = (
+            None, True, -1, 1e308, float("inf"), 10**400, "", "\u00b2", "a:\u00b2", "a:" + "9" * 5_000,
+            [], [[]], {}, {"": None}, [None])  # fmt: skip
+        for path in paths_of(platform()):
+            for value in odd:
+                raw: Any = copy.deepcopy(platform())  # parts of it are shared with other tests
+                at = raw
+                for step in path[:-1]:
+                    at = at[step]
+                at[path[-1]] = copy.deepcopy(value)
+                with self.subTest(f"{path} = {str(value)[:20]!r}"):
+                    try:
+                        config_of(raw, {})
+                    except ConfigError as error:
+                        self.assertRegex(str(error), r"^[a-z_.]+: ")
+
+
+def paths_of(at: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Give the way to each value of a JSON object."""
+    items = at.items() if isinstance(at, dict) else enumerate(at) if isinstance(at, list) else ()
+    return [found for name, value in items for found in ((*path, name), *paths_of(value, (*path, name)))]
+
+
+class WholeProgram(Program):
+    """The program as a process meets real errors."""
+
+    def start_with(self, raw: dict[str, Any]) -> subprocess.CompletedProcess[str]:
+        self.file.write_text(json.dumps(raw))
+        return subprocess.run(
+            [sys.executable, "-m", "elderstall", "--config", str(self.file)], cwd=ROOT, timeout=PATIENCE,
+            env={**os.environ, "TMPDIR": ""}, capture_output=True, text=True, check=False)  # fmt: skip
+
+    def test_addresses_in_use_end_it_with_a_message_and_a_status(self) -> None:
+        self.begin()
+        for key, address in (("listen", self.address), ("console", self.console)):
+            with self.subTest(key):
+                text = f"{address[0]}:{address[1]}"
+                done = self.start_with({**self.raw, key: text})
+                self.assertEqual(1, done.returncode)
+                self.assertIn("exit cannot begin: ", done.stderr)
+                self.assertIn(text, done.stderr)
+                self.assertNotIn("Traceback", done.stderr)
+
+    def test_clients_that_come_while_it_has_no_free_descriptor_are_served_once_it_has(self) -> None:
+        self.begin()
+        pid = self.program.pid
+        limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, (3, limits[1]))
+        lines = [self.connect() for _ in range(5)]
+        for line in lines:
+            line.sock.sendall(http.request("GET", "/up", "x"))
+        patience = time.monotonic() + PATIENCE
+        while not any(" accept failed with EMFILE" in call for call in self.calls):
+            self.assertIsNone(self.program.poll())
+            self.assertLess(time.monotonic(), patience, "no error of accept was said")
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
+        for line in lines:
+            self.assertEqual(200, line.read().status)
+            line.sock.close()
+        self.assertEqual(200, self.ask(self.job("a1")).status)
+        self.assertFalse([call for call in self.calls if " bug " in call])
+
+    def test_a_standard_error_that_is_closed_changes_nothing_and_not_the_exit_status(self) -> None:
+        raw = {**platform(), "listen": "127.0.0.1:0", "discovery": self.discovery.address}
+        with tempfile.TemporaryDirectory() as folder:
+            Path(folder, "config.json").write_text(json.dumps(raw))
+            program = subprocess.Popen(
+                [sys.executable, "-m", "elderstall", "--config", f"{folder}/config.json"], cwd=ROOT,
+                env={**os.environ, "TMPDIR": folder}, stderr=subprocess.PIPE, text=True)  # fmt: skip
+            self.addCleanup(self.end, program)
+            assert program.stderr is not None
+            line = ""
+            while " start " not in line:
+                line = program.stderr.readline()
+                self.assertTrue(line, "the program ended")
+            self.address = ("127.0.0.1", int(line.split(":")[-1]))
+            program.stderr.close()
+            program.send_signal(signal.SIGHUP)
+            self.assertEqual(200, self.ask(http.request("GET", "/up", "x")).status)
+            program.send_signal(signal.SIGTERM)
+            self.assertEqual(0, program.wait(PATIENCE))
+
+    def test_a_first_configuration_that_cannot_be_read_ends_it_with_the_path(self) -> None:
+        for path in ("/proc/self/mem", tempfile.gettempdir(), "/nowhere/config.json"):
+            with self.subTest(path):
+                done = subprocess.run([sys.executable, "-m", "elderstall", "--config", path], cwd=ROOT,
+                                      capture_output=True, text=True, check=False)  # fmt: skip
+                self.assertEqual(2, done.returncode)
+                self.assertTrue(done.stderr.startswith(f"elderstall: RELAY_CONFIG: {path}: "), done.stderr)
+                self.assertEqual(1, done.stderr.count("\n"))
+
+    def test_a_message_that_cannot_be_written_does_not_change_the_status(self) -> None:
+        with open("/dev/full", "w") as full:
+            done = subprocess.run([sys.executable, "-m", "elderstall", "--config", "/nowhere"], cwd=ROOT,
+                                  stderr=full, check=False)  # fmt: skip
+        self.assertEqual(2, done.returncode)
