--- a/elderstall/core.py
+++ b/elderstall/core.py
@@ -29,6 +29,7 @@
 CLIENT_LEFT = "its client has left"
 SHARING_CHANGED = 1 / 8  # the module is told anew how many dispatchers share its workers
 DRAIN_PART = 0.75  # of the time that the rule on drains allows; after that the core itself sends nothing
+HELD_UP = 150.0  # ms for which the process may be held up between reading its clock and writing
 
 
 class TooManyJobsError(Exception):
@@ -451,12 +452,18 @@
             return "may have run"
         return self.barred(job, action.worker)
 
+    @property
+    def drain_grace(self) -> float:
+        """How long after its drain was told a worker may still be written to, ms."""
+        within = self.s.drain_within
+        return max(0.0, min(DRAIN_PART * within, within - HELD_UP))
+
     def barred(self, job: Job, worker: str) -> str | None:
         """Give what time may have brought against sending a job, up to its first byte."""
         now = self.deadlines.now()
-        if not self.view.may_send(worker, now, DRAIN_PART * self.s.drain_within):
+        if not self.view.may_send(worker, now, self.drain_grace):
             return "worker told draining or gone"
-        if job.cls.effect is Effect.KEYED and now - job.ran_at >= job.cls.memory_span:
+        if job.cls.effect is Effect.KEYED and now - job.ran_at >= job.cls.memory_span - HELD_UP:
             return "its repeat would not be dropped any more"
         if not job.client.here():
             return CLIENT_LEFT
--- a/elderstall/recovery/listing.py
+++ b/elderstall/recovery/listing.py
@@ -42,6 +42,7 @@
 LIVED_LEAST = 1_000.0  # ms: a watch that ends sooner after its answer is as a failed call, or it would spin
 SMALL_JITTER = 0.6  # least share of the wait in a small fleet
 LARGE_JITTER = 0.5  # the same in a large one, of waits for a discovery that is down
+DOUBLINGS_MOST = 40  # of a wait: long past its bound; after a thousand the number would not fit a float
 
 
 @dataclass(slots=True)
@@ -101,12 +102,13 @@
         if calling and now - self.called >= CROWDED_AFTER:
             return self.crowded_wait(rng)
         self.crowded = 0
-        self.waited = min(AGAIN_EACH * self.dispatchers * 2 ** (self.failures - 1), RETRY_MOST)
+        doubled = 2 ** min(self.failures - 1, DOUBLINGS_MOST)
+        self.waited = min(AGAIN_EACH * self.dispatchers * doubled, RETRY_MOST)
         return max(AGAIN_LEAST, self.waited * rng.uniform(LARGE_JITTER, 1.0))
 
     def crowded_wait(self, rng: random.Random) -> float:
         """Give the delay after a call that failed in the queue of a crowded discovery."""
         most = max(self.ask_within, RETRY_MOST)
-        self.waited = min(RETRY_MOST * 2**self.crowded, most)
+        self.waited = min(RETRY_MOST * 2 ** min(self.crowded, DOUBLINGS_MOST), most)
         self.crowded += 1
         return max(AGAIN_LEAST, self.waited * rng.random())
