--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -21,6 +21,7 @@
     "in_service": i.WorkerState.UP, "terminating": i.WorkerState.DRAINING, "terminated": i.WorkerState.GONE}
 MOST = 1e15  # of any number in a list
 LINE_MOST = 4 * 1024 * 1024  # bytes of one list: 1,024 workers take 160 KB, indented 300 KB
+LIFE_BYTES = 4 * 1024  # of a long list, as a sign of life while it still comes: fewer may drip for ever
 SILENT_FOR = 2_500.0  # ms without a line on a watch: an empty one comes every 2 s
 ANSWER_IN = 4_000.0  # ms for the first line of a call, which may wait in discovery's queue
 # ms after which a call without an answer is joined by a second one. What a silent watch misses counts as told
@@ -96,6 +97,7 @@
         self.values = JsonLines(LINE_MOST)
         self.good = False
         self.index: int | None = None  # of the latest list told here
+        self.came = 0  # bytes since the last sign of life
         self.reason = "discovery-closed"
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -117,6 +119,11 @@
                     raise ListError("the watch ended")
         except (http.MessageError, ListError, ValueError, RecursionError) as error:
             self.watch.ended(self, "bad-list", str(error))
+            return
+        self.came += len(data)
+        if self.came >= LIFE_BYTES:
+            self.came = 0
+            self.watch.lives(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.watch.log.ended("discovery", 0, self.reason)
@@ -239,6 +246,11 @@
         if news is not None or fresh:
             self.told(*(news or (i.ListScope.CHANGES, ())))
 
+    def lives(self, connection: WatchConnection) -> None:
+        """Wait on for a long list of which much has come: asked for anew it would come no sooner."""
+        if self.call_of(connection) is not None:
+            self.expect(SILENT_FOR)
+
     def heard_formerly(self, value: Any, connection: WatchConnection) -> None:
         """Take a line of the watch at the address before a move: a change written there counts as told."""
         if value is None:
