--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -176,6 +176,9 @@
         """End a connection whose peer took too long; a body that still comes has a little longer."""
         if self.job is not None or self.busy:
             return
+        if unread(self.transport):
+            self.wait(LOOK_AGAIN, reason)  # more has come in this very turn, and is read first
+            return
         now = self.server.deadlines.now()
         if self.message is not None and now < min(self.came + BODY_PAUSE, self.began + self.server.body_for):
             self.wait(BODY_PAUSE, reason)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -238,6 +238,39 @@
                 self.assertEqual([408], self.final(side))
                 self.closed()
 
+    def test_one_whose_last_bytes_come_in_the_turn_of_its_time_out_is_served(self) -> None:
+        for where, part in STOPS.items():
+            if "chunk" in where:
+                continue  # framed otherwise than the rest that is sent here
+            with self.subTest(where):
+                self.begin()
+                side = self.client()
+                data = self.job("a1", "deck-build")
+                first = part(data) if "continue" not in where else head_of(data)
+                side.send(first)
+                self.turn()
+                self.jump(2_400)
+                self.turn()
+                side.send(data[len(first) :])
+                self.jump(150)  # the process is held up past the time-out
+                self.take("POST a1").send(http.response(202))
+                self.call_back("a1")
+                self.assertEqual(200, self.answer(side).status)
+
+    def test_one_that_sends_in_that_turn_and_still_not_all_is_ended(self) -> None:
+        self.begin()
+        side = self.client()
+        data = self.job("a1", "deck-build")
+        side.send(data[:40])
+        self.turn()
+        self.jump(2_400)
+        self.turn()
+        side.send(data[40:50])
+        self.jump(150)
+        self.ended_after([side], 300.0)
+        self.assertEqual([408], self.final(side))
+        self.closed()
+
     def test_a_body_that_never_ends_is_cut_in_the_end(self) -> None:
         self.begin()
         side = self.client()
