--- a/elderstall/choice.py
+++ b/elderstall/choice.py
@@ -70,6 +70,7 @@
 STRETCH_ROOM = 4.0  # times the workers that our traffic fills, if that is more
 OURS = 16  # workers of our own, where workers are asked: few, so that connections to them are kept
 SURELY_LATE = 1.5  # times its hinted work: a job given up then would not have been in time, as hints err
+BRIEF = 100.0  # ms: a worker may drop what has so little time left without a word; that is no sign of trouble
 GIVEN_UP = 500.0  # ms a worker is skipped for a job given up as late: where all are late that says little
 COLD_PART = 0.5  # of the budget of rule 4 is used: jobs are heavy-tailed and their work is a guess
 RETRY_LEAST, RETRY_MOST = 200.0, 2_000.0  # ms: shorter only adds to what is overloaded; longer is not heeded
@@ -760,7 +761,8 @@
         elif ending not in (Ending.NEVER_SENT, Ending.CANCELLED, Ending.CUT):  # not the worker's doing
             lost = AWAY * (self.now - a.sent) if ending is Ending.TIMED_OUT else FULL_SKIP
             lost = min(lost, GIVEN_UP) if self.asks else lost
-            w.skip = max(lost, min(w.skip * 2, SKIP_MOST))
+            brief = ending is Ending.TIMED_OUT and self.now - a.sent < BRIEF
+            w.skip = max(lost, w.skip if brief else min(w.skip * 2, SKIP_MOST))
             w.skip_until = self.now + w.skip
             w.limit = max(1, w.used)
         self.rotations.move(w)
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -10,6 +10,7 @@
 import unittest
 from typing import Any
 
+from elderstall.choice import BRIEF
 from elderstall.net import http
 from tests.loopback import Side
 from tests.scenario import CLASSES
@@ -257,6 +258,20 @@
             self.wait(200)
             self.served(f"a{n}", "deck-build")
 
+    def test_long_runs_of_them_keep_no_worker_from_other_jobs(self) -> None:
+        """Skipped for twice as long each time, workers were kept from all jobs for up to 4 s."""
+        self.begin(workers=4)
+        for run in range(5):
+            for n in range(20):
+                side = self.client()
+                side.send(self.short(f"s{run}-{n}", 50))
+                self.answered_after(side, 50 + SOCKET_SLACK)
+                for worker in self.sides:
+                    worker.read()
+                    worker.messages.clear()
+            self.wait(2 * BRIEF)
+            self.served(f"a{run}", "deck-build")
+
 
 if __name__ == "__main__":
     unittest.main()
