--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -136,6 +136,7 @@
         self.weight = 0  # bytes counted for this connection
         self.began = 0.0  # when the message began
         self.came = 0.0  # when its latest bytes came
+        self.request_began: float | None = None  # when the first bytes of the request in hand or next came
         self.job: int | None = None  # out
         self.busy = False  # a request is being handled
         self.blocked = False  # the peer does not read
@@ -176,9 +177,6 @@
         """End a connection whose peer took too long; a body that still comes has a little longer."""
         if self.job is not None or self.busy:
             return
-        if unread(self.transport):
-            self.wait(LOOK_AGAIN, reason)  # more has come in this very turn, and is read first
-            return
         now = self.server.deadlines.now()
         if self.message is not None and now < min(self.came + BODY_PAUSE, self.began + self.server.body_for):
             self.wait(BODY_PAUSE, reason)
@@ -197,6 +195,8 @@
         if self.closing:
             return
         self.came = self.server.deadlines.now()
+        if self.request_began is None:
+            self.request_began = self.came
         if self.place in (ASKED, RESTING):
             # Guards against a later request without end; the first has its time from the connection's start.
             self.began = self.came
@@ -295,6 +295,14 @@
                 if denied.status < 500:
                     raise
                 self.reply(denied.status, f"{denied}\n".encode(), denied.headers)
+            finally:
+                self.request_began = self.came if len(self.parser.buffer) else None
+
+    def time_since_request_began(self) -> float:
+        """Say how long ago the first bytes of the request in hand came, ms: its client waits since then."""
+        if self.request_began is None:
+            return 0.0
+        return self.server.deadlines.now() - self.request_began
 
     # ---- answering ----
 
@@ -669,6 +677,7 @@
     def job(self, c: ServerConnection, message: http.Message, ask: Ask) -> None:
         """Take a client's job."""
         c.client = True
+        ask = replace(ask, budget=max(0.0, ask.budget - c.time_since_request_began()))
         if not self.may_pass():  # else it moves on with the job
             left = self.until - self.deadlines.now()
             if left <= 0:
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -176,6 +176,65 @@
             self.assertLessEqual(budget_to_send(left), 0)
 
 
+class SlowClients(AttemptDeadlines):
+    """A client waits from when it sent its request, not from when its last byte came."""
+
+    def test_a_body_whose_last_byte_comes_late(self) -> None:
+        self.begin()
+        client, request = self.client(), self.job("a1", UNSAFE, 4_000)
+        self.ends["a1"] = self.app.deadlines.now() + 4_000
+        client.send(request[:-1])
+        self.turn()
+        self.wait(900)
+        client.send(request[-1:])
+        worker, told = self.heard("a1")
+        self.assertLessEqual(told, 3_100)
+        self.serve("a1", worker, client)
+
+    def test_a_request_that_waits_behind_another_on_its_connection(self) -> None:
+        self.begin()
+        client = self.send("a1")
+        worker, _ = self.heard("a1")
+        client.send(self.job("a2", UNSAFE, 4_000))
+        self.ends["a2"] = self.app.deadlines.now() + 4_000
+        self.turn()
+        self.wait(900)
+        self.serve("a1", worker, client)
+        _, told = self.heard("a2")
+        self.assertLessEqual(told, 3_100)
+
+    def test_one_sent_together_with_another(self) -> None:
+        self.begin()
+        client = self.client()
+        client.send(self.job("a1", UNSAFE, 4_000) + self.job("a2", UNSAFE, 4_000))
+        self.ends = dict.fromkeys(("a1", "a2"), self.app.deadlines.now() + 4_000)
+        worker, _ = self.heard("a1")
+        self.wait(900)
+        self.serve("a1", worker, client)
+        self.heard("a2")
+
+    def test_a_next_request_has_its_whole_time(self) -> None:
+        self.begin()
+        client = self.send("a1")
+        worker, _ = self.heard("a1")
+        self.serve("a1", worker, client)
+        self.wait(900)
+        client.send(self.job("a2", UNSAFE, 4_000))
+        self.ends["a2"] = self.app.deadlines.now() + 4_000
+        _, told = self.heard("a2")
+        self.assertGreater(told, 3_900)
+
+    def test_one_whose_time_is_over_when_its_last_byte_comes_is_not_forwarded(self) -> None:
+        self.begin()
+        client, request = self.client(), self.job("a1", UNSAFE, 500)
+        client.send(request[:-1])
+        self.turn()
+        self.wait(600)
+        client.send(request[-1:])
+        self.assertEqual(503, self.answer(client).status)
+        self.nothing()
+
+
 class LaterAttempts(AttemptDeadlines):
     """Retries, streams, and jobs that another process has taken."""
 
