--- a/elderstall/choice.py
+++ b/elderstall/choice.py
@@ -385,13 +385,14 @@
         budget = COLD_PART * s.push_multiple * s.push_window * learning.cold_power(self, w)
         if sent + need <= budget / self.s.sharers:
             return True
-        # Where our part is less than a job, as many dispatchers as jobs fit may send one, others each window.
+        # Where our part is less than the job, as many dispatchers as such jobs fit may send one, others each
+        # window. So what all send comes to the budget on average, whatever the jobs' lengths.
         if self.asks:  # those whose own it is share it
             sharers = max(1.0, self.near * self.s.sharers)
             at = (w.place / self.near + stable_hash(f"{w.name} {self.now // self.s.push_window}") / 2**32) % 1
-            return bool(w.fair) and not sent and need <= budget and at * sharers < int(budget / self.typical)
+            return bool(w.fair) and not sent and at * sharers < int(budget / need)
         turn = (self.s.rank + stable_hash(f"{w.name} {self.now // self.s.push_window}")) % self.s.sharers
-        return not sent and need <= budget and turn < int(budget / self.typical)
+        return not sent and turn < int(budget / need)
 
     def group(self, w: Worker) -> int | None:
         """Say where a worker stands in the rotation, by our part of it and of the fleet; full: nowhere."""
@@ -717,11 +718,11 @@
         w = a.worker
         a.started = self.now
         del w.waiting[e.job, e.number], self.waiting[e.job, e.number]
+        learning.saw_start(self, w, a.job.slots)
         w.running += a.job.slots
         self.running += a.job.slots
         delay = self.now - a.sent
         self.trips[w.zone] = min(self.trips[w.zone], delay)
-        learning.saw_slots(self, w, w.running)
         if delay <= self.trips[w.zone] + self.prompt:
             # Grows by the job's own slots, or jobs of many slots would never fit among those of one.
             w.limit = max(min(w.limit + a.job.slots, int(w.slots)), w.used + 1)
@@ -741,6 +742,7 @@
         w.waiting.pop((e.job, e.number), None)
         self.waiting.pop((e.job, e.number), None)
         if a.started is not None:
+            learning.saw_end(self, a)
             w.running -= job.slots
             self.running -= job.slots
         if e.report and self.s.report_free_slots is not None:
--- a/elderstall/learning.py
+++ b/elderstall/learning.py
@@ -19,6 +19,24 @@
     d.kinds[w.kind][2] = max(d.kinds[w.kind][2], slots)
 
 
+def saw_start(d: Dispatcher, w: Worker, slots: int) -> None:
+    """Take the start of a job of so many slots; call it before the job counts as running.
+
+    Guards rule 4: the end that made room for it may be told only after it, so with the others that run it
+    would show a slot too many, and a worker of one slot for one of two.
+    """
+    saw_slots(d, w, max(w.running - w.stale, slots))
+    w.last_start = d.now
+
+
+def saw_end(d: Dispatcher, a: Attempt) -> None:
+    """Take the end of an attempt that had started; call it while the attempt still counts as running."""
+    w = a.worker
+    if d.now - w.last_start > d.prompt:  # an end as late as that would have been told by now
+        saw_slots(d, w, w.running - w.stale)
+    w.stale = min(w.stale, w.running - a.job.slots)
+
+
 def cold_power(d: Dispatcher, w: Worker) -> float:
     """Give what a cold worker does now: speed x slots x warmth, in ms of work a ms.
 
--- a/elderstall/records.py
+++ b/elderstall/records.py
@@ -106,6 +106,8 @@
     turn: float = 0.0  # when it is next in the rotation, in virtual time
     used: int = 0  # slots of our attempts out
     running: int = 0  # slots of our attempts that have started
+    stale: int = 0  # at most so many of these started before its process was restarted
+    last_start: float = -math.inf  # when a start of ours was told
     peak: int = 1  # most slots of ours seen running at once
     limit: int = 1  # slots believed open to us
     work: float = 0.0  # decayed standard work of ended jobs
@@ -145,6 +147,7 @@
         """Take a new start: a new, cold worker; what was learned of the old process is void."""
         self.started, self.skip, self.skip_until, self.proving = started, 0.0, now, 0
         self.work, self.time, self.peak, self.limit = 0.0, 0.0, 1, 1
+        self.stale = self.running
 
     def learned(self) -> dict[str, Any]:
         """Give what was learned of its process, as plain data."""
--- /dev/null
+++ b/tests/test_cold_budget.py
@@ -0,0 +1,622 @@
+"""The cold budget: what all dispatchers together send a cold worker in any window of the settings.
+
+Fleets of modules run under one clock that is handed in. A window counts as broken where it holds more than
+the terms allow and over two thirds of it came from dispatchers that had been told of the worker's start.
+"""
+
+from __future__ import annotations
+
+import heapq
+import json
+import math
+import random
+import unittest
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
+from functools import partial
+from itertools import count
+from typing import Any
+
+from elderstall import Dispatcher
+from elderstall import interface as i
+from elderstall.app import OLD_PART
+from elderstall.succession import learned
+
+COLD = "w0"
+MEAN_WORK = 300.0  # ms of a standard core
+TRIP = 2.0  # ms one way
+STARTED = 4_000.0  # ms; when the cold worker's process starts
+TOLD = 4_300.0  # ms; when dispatchers are told, up to SPREAD later
+SPREAD = 200.0  # ms
+END = 9_000.0  # ms
+JOB_CLASSES = (
+    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
+    i.JobClass("build", 5.0, 600.0, 15_000.0, effect=i.Effect.UNSAFE, stretch=3.0),
+)
+NOTHING_TOLD = i.Settings(
+    JOB_CLASSES,
+    connect_timeout=250.0,
+    cold_share=0.42,
+    cold_for=9_000.0,
+    push_multiple=4.0,
+    push_window=2_000.0,
+    max_attempts=5,
+    tick=2.0,
+)
+STARTS_TOLD = replace(NOTHING_TOLD, tells_start=True)
+REPORTING = replace(NOTHING_TOLD, report_free_slots=0)
+ASKING = replace(REPORTING, probes=True)
+PULLED = replace(ASKING, pulled=True)
+MODES = {
+    "nothing told": NOTHING_TOLD,
+    "starts told": STARTS_TOLD,
+    "reporting": REPORTING,
+    "asking": ASKING,
+    "pulled": PULLED,
+}
+
+
+def allowed(slots: int, warmth: float, s: i.Settings) -> float:
+    """Give how many requests of mean work a cold worker stands in one window, by the terms."""
+    mean = s.push_multiple * slots * warmth * s.push_window / MEAN_WORK
+    return mean + (3 * math.sqrt(mean) + 3 if mean < 30 else 2 * math.sqrt(mean) + 2)
+
+
+def even(rng: random.Random, ranks: int) -> list[float]:
+    """Spread traffic evenly."""
+    return [1.0] * ranks
+
+
+def tenfold(rng: random.Random, ranks: int) -> list[float]:
+    """Spread traffic so that the busiest gets up to ten times what the idlest does."""
+    return [10 ** rng.random() for _ in range(ranks)]
+
+
+def lopsided(rng: random.Random, ranks: int) -> list[float]:
+    """Give a sixth of the dispatchers several times the mean, and a third nearly nothing."""
+    return [6.0 if n % 6 == 0 else 0.02 if n % 3 == 1 else 0.6 for n in range(ranks)]
+
+
+def exponential(rng: random.Random) -> float:
+    """Draw a job's work."""
+    return rng.expovariate(1 / MEAN_WORK)
+
+
+def heavy_tailed(rng: random.Random) -> float:
+    """Draw a job's work of the same mean: most jobs are short, a few take several seconds."""
+    sigma = 1.2
+    return rng.lognormvariate(math.log(MEAN_WORK) - sigma * sigma / 2, sigma)
+
+
+@dataclass(slots=True, frozen=True)
+class Case:
+    """One fleet and its traffic."""
+
+    settings: i.Settings
+    dispatchers: int
+    slots: int = 2
+    workers: int = 8
+    cold: int = 1  # workers that start at STARTED: the first ones
+    load: float = 1.6
+    traffic: Callable[[random.Random, int], list[float]] = lopsided
+    works: Callable[[random.Random], float] = exponential
+    hinted: bool = True
+    refusing: bool = False  # whether cold workers turn down all that comes, so that it is sent again
+    restart_at: float = math.inf  # when the cold worker's process starts once more
+    silent_restart: bool = False  # the attempts that were out at it end no more
+    dispatchers_before: int = 0  # in the settings at first; they learn the new number late or never
+    upgrade: bool = False  # whether every rank's process is replaced while the worker is cold
+
+
+@dataclass(slots=True, frozen=True)
+class Attempt:
+    """One attempt at a job, as a worker has it."""
+
+    process: Process
+    job: int
+    number: int
+    work: float
+    worker: str
+    generation: int  # of the worker's process
+
+
+@dataclass(slots=True)
+class StandInWorker:
+    """A worker that runs as many jobs as it has slots, and queues as many again."""
+
+    slots: int
+    started: float | None = None
+    generation: int = 0
+    running: int = 0
+    queue: deque[Attempt] = field(default_factory=deque)
+    out: set[Attempt] = field(default_factory=set)
+    sent: list[tuple[float, float, bool]] = field(
+        default_factory=list
+    )  # when, work, whether told of the start
+
+    @property
+    def report(self) -> tuple[float, ...]:
+        """Give its free slots."""
+        return (float(max(0, self.slots - self.running - len(self.queue))),)
+
+    def warmth(self, now: float, s: i.Settings) -> float:
+        """Give the part of its speed that it has: a cold one warms evenly."""
+        if self.started is None:
+            return 1.0
+        age = max(0.0, now - self.started) / s.cold_for
+        return min(1.0, s.cold_share + (1 - s.cold_share) * age)
+
+    def most_of_bound(self, s: i.Settings) -> float:
+        """Give the largest sum of any window over what the terms allow there, where they bind."""
+        worst, total, informed = 0.0, 0.0, 0.0
+        recent = deque[tuple[float, float, bool]]()
+        for at, work, told in self.sent:
+            recent.append((at, work, told))
+            total, informed = total + work, informed + work * told
+            while recent[0][0] <= at - s.push_window:
+                _, gone, gone_told = recent.popleft()
+                total, informed = total - gone, informed - gone * gone_told
+            if informed > total * 2 / 3:
+                bound = allowed(self.slots, self.warmth(recent[0][0], s), s)
+                worst = max(worst, total / MEAN_WORK / bound)
+        return worst
+
+
+@dataclass(eq=False, slots=True)
+class Process:
+    """One dispatcher's process."""
+
+    module: Dispatcher
+    settings: i.Settings
+    part: float = 1.0  # of its rank's cold budget, as ``Core.share`` sets it
+    told: dict[str, float] = field(default_factory=dict)  # the start that it was told of each worker
+    owed: int = 0
+
+    def retuned(self) -> i.Retuned:
+        """Give the settings as ``Core.share`` hands them on."""
+        multiple = self.settings.push_multiple * self.part
+        return i.Retuned(replace(self.settings, push_multiple=multiple))
+
+
+class Fleet:
+    """Dispatchers' modules, workers and clients under one clock."""
+
+    def __init__(self, case: Case, seed: int) -> None:
+        self.case, self.s, self.rng = case, case.settings, random.Random(seed)
+        self.heap: list[tuple[float, int, Callable[[], None]]] = []
+        self.order, self.jobs, self.now, self.seed = count(), count(1), 0.0, seed
+        self.works: dict[int, float] = {}
+        self.numbers: dict[tuple[Process, int], int] = {}
+        self.worst, self.cold_jobs, self.served = 0.0, 0, 0
+        self.workers = {f"w{n}": StandInWorker(case.slots) for n in range(case.workers)}
+        self.cold = [f"w{n}" for n in range(case.cold)]
+        before = case.dispatchers_before or case.dispatchers
+        self.serving = [self.process(rank, before) for rank in range(before)]
+        self.older: dict[int, Process] = {}  # by rank, in an upgrade
+        self.shares = case.traffic(self.rng, case.dispatchers)
+        self.at(STARTED, self.start_workers, self.cold)
+        for rank in range(before):
+            self.at(TOLD + SPREAD * self.rng.random(), self.tell, rank, self.cold)
+        if case.restart_at < END:
+            self.at(case.restart_at, self.start_workers, [COLD])
+            for rank in range(before):
+                self.at(case.restart_at + SPREAD * self.rng.random(), self.tell, rank, [COLD])
+        if case.dispatchers_before:
+            self.grow(before)
+        if case.upgrade:
+            for rank in range(before):
+                self.at(TOLD + SPREAD + 3_000.0 * self.rng.random(), self.take_over, rank)
+        self.at(0.0, self.arrive)
+
+    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+        """Have something happen at a time."""
+        entry: tuple[float, int, Callable[[], None]] = (when, next(self.order), partial(call, *args))
+        heapq.heappush(self.heap, entry)
+
+    def play(self) -> Fleet:
+        """Run it all."""
+        while self.heap and self.heap[0][0] < END:
+            self.now, _, call = heapq.heappop(self.heap)
+            call()
+        for worker in self.workers.values():
+            self.close_books(worker)
+        return self
+
+    # ---- dispatchers ----
+
+    def process(self, rank: int, dispatchers: int, old: Process | None = None) -> Process:
+        """Start a process, with what another had learned if it takes over from that one."""
+        settings = replace(self.s, rank=rank, dispatchers=dispatchers)
+        data = None if old is None else json.loads(json.dumps(learned(old.module)))
+        made = Process(Dispatcher(settings, self.rng.randrange(2**32)), settings)
+        self.feed(made, i.Begin())
+        self.inform(made, i.ListScope.WHOLE, list(self.workers), old.told if old is not None else None)
+        if data is not None:
+            self.feed(made, i.Learned(data))
+        return made
+
+    def inform(
+        self, process: Process, scope: i.ListScope, names: list[str], starts: dict[str, float] | None = None
+    ) -> None:
+        """Tell a process of workers as they are now, or as another process knew them."""
+        entries = []
+        for name in names:
+            started = self.workers[name].started if starts is None else starts.get(name)
+            if started is not None:
+                process.told[name] = started
+            entries.append(i.Listed(name, "k", started=started))
+        self.feed(process, i.WorkerList(scope, tuple(entries)))
+
+    def tell(self, rank: int, names: list[str]) -> None:
+        """Tell the processes of a rank of changed workers."""
+        for process in self.processes(rank):
+            self.inform(process, i.ListScope.CHANGES, names)
+
+    def processes(self, rank: int) -> list[Process]:
+        """Give the one or two processes of a rank."""
+        return [self.serving[rank], *([self.older[rank]] if rank in self.older else [])]
+
+    def grow(self, before: int) -> None:
+        """Start further dispatchers as one group; those that run learn of it late, a third of them never."""
+        joined = TOLD + SPREAD + 700.0
+        self.at(joined, self.join, before)
+        for rank in range(before):
+            if rank % 3:
+                self.at(joined + 4_000.0 * self.rng.random(), self.retune, rank)
+
+    def join(self, before: int) -> None:
+        """Start the further dispatchers."""
+        for rank in range(before, self.case.dispatchers):
+            self.serving.append(self.process(rank, self.case.dispatchers))
+
+    def retune(self, rank: int) -> None:
+        """Have a dispatcher take the new settings, as by SIGHUP."""
+        for process in self.processes(rank):
+            process.settings = replace(process.settings, dispatchers=self.case.dispatchers)
+            self.feed(process, process.retuned())
+
+    def share(self, process: Process, part: float) -> None:
+        """Leave the other process its part, as ``Core.share`` does."""
+        process.part = part
+        self.feed(process, process.retuned())
+
+    def take_over(self, rank: int) -> None:
+        """Begin an upgrade: the old process hands its state over, and serves for a moment more."""
+        old = self.serving[rank]
+        new = self.process(rank, old.settings.dispatchers, old)
+        self.share(old, OLD_PART)
+        self.at(self.now + 80.0, self.serve, rank, new)
+
+    def serve(self, rank: int, new: Process) -> None:
+        """Have the new process serve; a part of the clients' connections is yet to be handed over."""
+        self.older[rank], self.serving[rank] = self.serving[rank], new
+        self.share(new, 1 - OLD_PART)
+        self.at(self.now + 1_500.0, self.end, rank)
+
+    def end(self, rank: int) -> None:
+        """End the old process of an upgrade; the new one has the whole budget from now on."""
+        del self.older[rank]
+        self.share(self.serving[rank], 1.0)
+
+    def feed(self, process: Process, event: i.Event) -> None:
+        """Hand a module an event and carry its actions out."""
+        for action in process.module.handle(self.now, event):
+            if isinstance(action, i.SetTimer):
+                delay = max(self.s.tick, action.delay)
+                self.at(self.now + delay, self.feed, process, i.TimerFired(action.token))
+            elif isinstance(action, i.Probe):
+                self.at(self.now + 2 * TRIP, self.probed, process, action.worker)
+            elif isinstance(action, i.Send):
+                self.take(process, action)
+
+    def probed(self, process: Process, name: str) -> None:
+        """Answer a probe."""
+        self.feed(process, i.Probed(name, i.Ending.SERVED, self.workers[name].report))
+
+    # ---- clients ----
+
+    def arrive(self) -> None:
+        """Have a job arrive, and the next one some time later."""
+        case = self.case
+        rate = case.load * case.workers * case.slots / MEAN_WORK
+        self.at(self.now + self.rng.expovariate(rate), self.arrive)
+        rank = self.rng.choices(range(len(self.serving)), self.shares[: len(self.serving)])[0]
+        process = self.rng.choice(self.processes(rank))
+        job, cls = next(self.jobs), self.rng.choice(JOB_CLASSES)
+        self.works[job] = work = case.works(self.rng)
+        self.feed(process, i.JobArrived(job, cls.name, cls.deadline, work_hint=work if case.hinted else None))
+
+    # ---- workers ----
+
+    def start_workers(self, names: list[str]) -> None:
+        """Start workers' processes anew; what was out at the old ones breaks, or is never heard of again."""
+        for name in names:
+            worker = self.workers[name]
+            self.close_books(worker)
+            worker.started, worker.generation = self.now, worker.generation + 1
+            worker.running = 0
+            worker.queue.clear()
+            broken, worker.out = worker.out, set()
+            if not self.case.silent_restart:
+                for attempt in sorted(broken, key=lambda attempt: attempt.job):
+                    self.at(self.now + TRIP, self.tell_end, attempt, i.Ending.BROKEN)
+
+    def close_books(self, worker: StandInWorker) -> None:
+        """Take what a worker's process was sent while it was cold into the figures."""
+        if worker.started is not None:
+            self.worst = max(self.worst, worker.most_of_bound(self.s))
+            self.cold_jobs += len(worker.sent)
+        worker.sent = []
+
+    def take(self, process: Process, action: i.Send) -> None:
+        """Have a worker start a job, queue it or turn it away."""
+        number = self.numbers.get((process, action.job), 0)
+        self.numbers[process, action.job] = number + 1
+        worker = self.workers[action.worker]
+        work = self.works[action.job]
+        attempt = Attempt(process, action.job, number, work, action.worker, worker.generation)
+        if worker.started is not None:
+            told = process.told.get(action.worker) == worker.started
+            worker.sent.append((self.now, work, told))
+        if worker.started is not None and self.case.refusing:
+            self.at(self.now + 2 * TRIP, self.tell_end, attempt, i.Ending.FULL)
+        elif worker.running < worker.slots:
+            worker.out.add(attempt)
+            self.run(worker, attempt)
+        elif len(worker.queue) < worker.slots:
+            worker.out.add(attempt)
+            worker.queue.append(attempt)
+        else:
+            self.at(self.now + 2 * TRIP, self.tell_end, attempt, i.Ending.FULL)
+
+    def run(self, worker: StandInWorker, attempt: Attempt) -> None:
+        """Start a job."""
+        worker.running += 1
+        if self.s.tells_start:
+            noted = i.AttemptNoted(attempt.job, attempt.number, attempt.worker, started=True)
+            self.at(self.now + TRIP, self.feed, attempt.process, noted)
+        done = self.now + attempt.work / worker.warmth(self.now, self.s)
+        self.at(done, self.finished, worker, attempt)
+
+    def finished(self, worker: StandInWorker, attempt: Attempt) -> None:
+        """End a job, and start the next of the queue."""
+        if attempt.generation != worker.generation:
+            return
+        worker.running -= 1
+        worker.out.discard(attempt)
+        if worker.queue:
+            self.run(worker, worker.queue.popleft())
+        self.served += 1
+        self.at(self.now + TRIP, self.tell_end, attempt, i.Ending.SERVED)
+
+    def tell_end(self, attempt: Attempt, ending: i.Ending) -> None:
+        """Tell the end of an attempt, with a report where workers give one with their answers."""
+        report = () if self.s.pulled else self.workers[attempt.worker].report
+        self.feed(
+            attempt.process,
+            i.AttemptEnded(
+                attempt.job, attempt.number, attempt.worker, ending, ending is i.Ending.SERVED, report
+            ),
+        )
+
+
+class Budget(unittest.TestCase):
+    """Sums over all dispatchers of a fleet, against the bound of the terms."""
+
+    def stays_within(
+        self, seeds: tuple[int, ...] = (1, 2), modes: tuple[str, ...] = tuple(MODES), **fields: Any
+    ) -> None:
+        """Play a fleet in several ways of learning how workers stand."""
+        for mode in modes:
+            if (
+                mode == "asking"
+                and not Dispatcher(replace(ASKING, dispatchers=fields["dispatchers"]), 1).asks
+            ):
+                continue  # so few do as where workers report
+            shares, jobs = [], 0
+            for seed in seeds:
+                fleet = Fleet(Case(MODES[mode], **fields), seed).play()
+                shares.append(fleet.worst)
+                jobs += fleet.cold_jobs
+            with self.subTest(mode=mode, **fields):
+                if not fields.get("silent_restart"):  # there, jobs wait for attempts that never end
+                    self.assertTrue(jobs)  # cold workers are not left idle
+                text = ", ".join(f"{share:.2f}" for share in shares)
+                self.assertLessEqual(max(shares), 1.0, f"shares of the bound {text}; {jobs} jobs sent cold")
+
+    def test_any_number_of_dispatchers_one_cold_worker_of_eight(self) -> None:
+        for dispatchers in (1, 2, 5, 12, 30):
+            self.stays_within(seeds=(1,), dispatchers=dispatchers, slots=1)
+            self.stays_within(seeds=(1,), dispatchers=dispatchers, slots=4)
+
+    def test_any_number_of_dispatchers_all_workers_cold(self) -> None:
+        for dispatchers in (1, 2, 5, 12, 30):
+            for traffic in (even, tenfold, lopsided):
+                self.stays_within(
+                    seeds=(1, 3),
+                    dispatchers=dispatchers,
+                    slots=1,
+                    workers=2,
+                    cold=2,
+                    load=2.5,
+                    traffic=traffic,
+                )
+
+    def test_workers_of_many_slots(self) -> None:
+        for dispatchers in (5, 30):
+            self.stays_within(seeds=(1,), dispatchers=dispatchers, slots=16, workers=2, cold=2, load=2.5)
+
+    def test_heavy_tailed_jobs(self) -> None:
+        for dispatchers in (1, 2, 5, 12, 30):
+            self.stays_within(
+                dispatchers=dispatchers,
+                slots=1,
+                workers=2,
+                cold=2,
+                load=2.5,
+                traffic=even,
+                works=heavy_tailed,
+            )
+
+    def test_jobs_without_a_hint_of_their_work(self) -> None:
+        for dispatchers in (1, 5, 12, 30):
+            self.stays_within(dispatchers=dispatchers, slots=1, workers=2, cold=2, load=2.5, hinted=False)
+
+    def test_jobs_that_are_turned_down_and_sent_again(self) -> None:
+        for dispatchers in (1, 5, 12, 30):
+            self.stays_within(dispatchers=dispatchers, slots=1, workers=3, cold=2, load=2.5, refusing=True)
+
+    def test_a_worker_that_is_restarted_while_it_is_cold(self) -> None:
+        for dispatchers in (1, 5, 12, 30):
+            for silent in (False, True):
+                self.stays_within(
+                    dispatchers=dispatchers,
+                    slots=1,
+                    workers=2,
+                    cold=2,
+                    load=2.5,
+                    restart_at=5_500.0,
+                    silent_restart=silent,
+                )
+
+    def test_more_dispatchers_after_sighup(self) -> None:
+        for before, after in ((1, 2), (1, 5), (1, 30), (2, 12), (5, 30), (12, 30)):
+            self.stays_within(
+                dispatchers=after,
+                dispatchers_before=before,
+                slots=2,
+                workers=2,
+                cold=2,
+                load=2.5,
+                traffic=even,
+            )
+
+    def test_upgrades_while_a_worker_is_cold(self) -> None:
+        for dispatchers in (1, 2, 5, 12, 30):
+            self.stays_within(dispatchers=dispatchers, slots=1, workers=2, cold=2, load=2.5, upgrade=True)
+        self.stays_within(
+            dispatchers=12, dispatchers_before=5, slots=2, workers=2, cold=2, load=2.5, upgrade=True
+        )
+
+
+class LongJobs(unittest.TestCase):
+    """Many dispatchers whose part of the budget is less than the job that each has."""
+
+    def sent(self, settings: i.Settings, work: float) -> int:
+        """Count the jobs that thirty dispatchers with one job each send to the only worker, a cold one."""
+        sends = 0
+        for rank in range(30):
+            module = Dispatcher(replace(settings, dispatchers=30, rank=rank), rank)
+            module.handle(0.0, i.Begin())
+            entry = i.Listed(COLD, "k", started=0.0)
+            module.handle(1.0, i.WorkerList(i.ListScope.WHOLE, (entry,)))
+            actions = list(module.handle(2.0, i.JobArrived(1, "build", 15_000.0, work_hint=work)))
+            if any(isinstance(action, i.Probe) for action in actions):
+                actions += module.handle(6.0, i.Probed(COLD, i.Ending.SERVED, (1.0,)))
+            sends += sum(isinstance(action, i.Send) for action in actions)
+        return sends
+
+    def test_that_together_they_send_no_more_work_than_the_budget(self) -> None:
+        for mode in ("nothing told", "starts told", "asking"):
+            settings = MODES[mode]
+            for work in (300.0, 900.0, 1_500.0, 3_000.0):
+                with self.subTest(mode=mode, work=work):
+                    total = self.sent(settings, work) * work / MEAN_WORK
+                    self.assertGreater(total, 0.0)
+                    self.assertLessEqual(total, allowed(1, settings.cold_share, settings))
+
+
+class SlotsSeen(unittest.TestCase):
+    """How many slots a worker is seen to have, by starts and ends that come in any order."""
+
+    def setUp(self) -> None:
+        self.module = Dispatcher(STARTS_TOLD, 1)
+        self.module.handle(0.0, i.Begin())
+        self.module.handle(1.0, i.WorkerList(i.ListScope.WHOLE, (i.Listed(COLD, "k"),)))
+        self.now = 10.0
+
+    def send(self, job: int) -> None:
+        """Have a job sent."""
+        worker = self.module.workers[COLD]
+        worker.limit = 8
+        self.module.rotations.move(worker)
+        actions = self.module.handle(self.now, i.JobArrived(job, "build", 15_000.0, work_hint=300.0))
+        self.assertTrue(any(isinstance(action, i.Send) for action in actions))
+
+    def start(self, job: int) -> None:
+        """Tell a start."""
+        self.module.handle(self.now, i.AttemptNoted(job, 0, COLD, started=True))
+
+    def end(self, job: int) -> None:
+        """Tell an end."""
+        self.module.handle(self.now, i.AttemptEnded(job, 0, COLD, i.Ending.SERVED, True))
+
+    @property
+    def seen(self) -> float:
+        """Give the slots that were seen."""
+        return self.module.kinds["k"][2]
+
+    def test_a_start_that_is_told_before_the_end_that_made_room_shows_no_second_slot(self) -> None:
+        self.send(1)
+        self.start(1)
+        self.send(2)
+        self.now += 500.0
+        self.start(2)
+        self.end(1)
+        self.now += 500.0
+        self.end(2)
+        self.assertEqual(self.seen, 1)
+
+    def test_jobs_that_run_side_by_side_show_their_slots(self) -> None:
+        self.send(1)
+        self.start(1)
+        self.send(2)
+        self.start(2)
+        self.now += 500.0
+        self.end(1)
+        self.assertEqual(self.seen, 2)
+
+    def test_a_job_of_a_process_that_is_gone_shows_no_slot_of_the_next_one(self) -> None:
+        self.send(1)
+        self.start(1)
+        self.now += 100.0
+        entry = i.Listed(COLD, "k", started=self.now)
+        self.module.handle(self.now, i.WorkerList(i.ListScope.CHANGES, (entry,)))
+        self.now += 100.0
+        self.send(2)
+        self.start(2)
+        self.now += 500.0
+        self.end(2)
+        self.assertEqual(self.seen, 1)
+        self.end(1)
+        self.assertEqual(self.module.workers[COLD].stale, 0)
+
+
+class Upgrade(unittest.TestCase):
+    """Two processes of one rank."""
+
+    def begun(self, push_multiple: float) -> Dispatcher:
+        """Give a process that knows of one cold worker."""
+        module = Dispatcher(replace(REPORTING, push_multiple=push_multiple), 1)
+        module.handle(0.0, i.Begin())
+        module.handle(1.0, i.WorkerList(i.ListScope.WHOLE, (i.Listed(COLD, "k", started=0.0),)))
+        return module
+
+    def sends(self, module: Dispatcher, now: float, work: float) -> bool:
+        """Say whether a job that arrives now is sent."""
+        job = i.JobArrived(1, "build", 15_000.0, work_hint=work)
+        return any(isinstance(action, i.Send) for action in module.handle(now, job))
+
+    def test_what_the_old_process_sent_counts_at_the_new_one(self) -> None:
+        old = self.begun(REPORTING.push_multiple)
+        self.assertTrue(self.sends(old, 10.0, 2_800.0))  # of the 3,360 ms that may be sent in a window
+        data = json.dumps(learned(old))
+        for now, sent in ((30.0, False), (10.0 + REPORTING.push_window + 1.0, True)):
+            new = self.begun(REPORTING.push_multiple * (1 - OLD_PART))
+            new.handle(20.0, i.Learned(json.loads(data)))
+            self.assertEqual(self.sends(new, now, 500.0), sent)
+
+
+if __name__ == "__main__":
+    unittest.main()
