--- a/benchmarks/scale/larger.py
+++ b/benchmarks/scale/larger.py
@@ -240,8 +240,9 @@
         for _ in range(self.play.workers):
             self.workers.append(await self.new_worker(0.0))
 
-    async def listen(self, take: Callable[[Served, http.Message], None],
-                     host: str) -> tuple[asyncio.Server, str]:
+    async def listen(
+        self, take: Callable[[Served, http.Message], None], host: str
+    ) -> tuple[asyncio.Server, str]:
         """Listen at a port of the system's choice; gives the address."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: Served(take), host, 0)
@@ -560,9 +561,7 @@
     results = []
     for case in chosen or cases(workers, times):
         sizes = zip((workers, workers * times), cases(workers, times)[case], strict=True)
-        plays = [
-            Play(size, each, seconds, rate, asks, reports, work, busy, seed) for size, each in sizes
-        ]
+        plays = [Play(size, each, seconds, rate, asks, reports, work, busy, seed) for size, each in sizes]
         usual, larger = (measure(play) for play in plays)
         most = allowed(usual, workers * times)
         bad = over(larger, most)
