--- a/benchmarks/scale/larger.py
+++ b/benchmarks/scale/larger.py
@@ -465,7 +465,7 @@
 
 async def play_once(play: Play, profile: Path | None = None) -> Needs:
     """Run the program under the play's load; gives what it needed."""
-    needs, rng = Needs(), random.Random(play.seed)
+    needs, rng, churn = Needs(), random.Random(play.seed), random.Random(play.seed + 1)
     surroundings = Surroundings(play, needs)
     await surroundings.open()
     tasks: list[asyncio.Task[None]] = []
@@ -478,7 +478,7 @@
             tasks = [
                 loop.create_task(every(LOOK_EVERY, process.look)),
                 loop.create_task(every(BEAT_EVERY, surroundings.beat)),
-                loop.create_task(every(1.0, lambda: surroundings.replace_one(rng))),
+                loop.create_task(every(1.0, lambda: surroundings.replace_one(churn))),
             ]
             await load(play, needs, clients, rng)
             process.look()
