--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -15,6 +15,7 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
+from elderstall.clocks import SharedClock
 from elderstall.config import Config, ConfigError, UnreadableError, address_of, fixed_keys, reloaded
 from elderstall.core import Core
 from elderstall.deadlines import Deadline, Deadlines
@@ -27,7 +28,7 @@
 from elderstall.net.server import Server
 from elderstall.net.sse import ProgressServer, StreamWorkers
 from elderstall.net.workers import WorkerConnection, Workers
-from elderstall.succession import learned
+from elderstall.succession import learned, read_learned, write_learned
 
 SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
 LONGEST_MOST = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
@@ -192,7 +193,11 @@
         self.config = replace(self.config, known=None)  # what is listed from here on is the view's
         if state.get("discovery", self.config.discovery) != self.config.discovery:
             self.discovery.index = 0  # another one counts its versions afresh
-        self.core.start(entries, state.get("learned"))
+        data = state.get("learned")
+        if data is not None:
+            clock = SharedClock.of_message(state, self.deadlines.offset)
+            read_learned(data, entries, state["back"], self.core.view, clock)
+        self.core.start(entries, data)
         self.listen(self.open_port, self.serve)
 
     def open_port(self) -> Any:
@@ -231,19 +236,26 @@
 
     def state(self) -> tuple[dict[str, Any], int]:
         """Give a new process what it needs, and the listener."""
-        core = self.core
+        core, clock = self.core, self.deadlines.shared()
         return {
+            "clock": clock.plain(), "starts": self.discovery.starts.written(clock),
             "known": told_as(self.discovery.index, core.view.entries.values(), self.discovery.addresses),
-            "discovery": self.config.discovery, "banned": core.view.banned, "back": core.view.put_back,
+            "discovery": self.config.discovery,
+            "banned": {name: clock.written(since) for name, since in core.view.banned.items()},
+            "back": {name: (clock.written(since), clock.written(until))
+                     for name, (since, until) in core.view.put_back.items()},
             "ids": [*core.elsewhere, *core.answered, *core.by_cid], "begun": self.server.streamed(),
-            "learned": learned(core.module), "held": len(self.server.connections),
+            "learned": write_learned(learned(core.module), core.view, clock),
+            "held": len(self.server.connections),
         }, os.dup(self.port.fileno())
 
     def inherit(self, state: dict[str, Any]) -> None:
         """Take what the process that runs hands over."""
-        view = self.core.view
-        view.banned.update(state["banned"])
-        view.put_back.update((name, (since, until)) for name, (since, until) in state["back"].items())
+        view, clock = self.core.view, SharedClock.of_message(state, self.deadlines.offset)
+        view.banned.update((name, clock.read(since)) for name, since in state["banned"].items())
+        view.put_back.update((name, (clock.read(since), clock.read(until)))
+                             for name, (since, until) in state["back"].items())
+        self.discovery.starts.inherit(state.get("starts", {}), clock)
         for cid in state["ids"]:
             self.core.taken_elsewhere(cid)
         self.server.inherit(state["begun"])
--- a/elderstall/cli/rehearse.py
+++ b/elderstall/cli/rehearse.py
@@ -275,11 +275,10 @@
     Dispatchers are started by hand with the configuration written for each. At the end, or at an interrupt,
     what ran is printed as JSON; exit status 1 if a job of a class that must not repeat has run twice.
     """
-    from twisted.internet import reactor
-
+    from elderstall.net import monotonic_reactor
     from elderstall.rehearsal.serve import Stage
 
-    loop: Any = reactor
+    loop: Any = monotonic_reactor.install()  # in a process that has none yet
     stage = Stage(opened(script, changes), loop, time.monotonic, time.time() * 1000, dispatchers, seed)
     stage.begin()
     for path in stage.write(folder):
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -7,12 +7,12 @@
 import signal
 from typing import Any, cast
 
-from twisted.internet import reactor
 from twisted.logger import ILogObserver, LogEvent, globalLogBeginner
 
 from elderstall.app import App
 from elderstall.config import ConfigError, load
 from elderstall.log import complain
+from elderstall.net import monotonic_reactor
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -37,7 +37,7 @@
         print(f"{config.name}: {len(config.settings.classes)} classes, "
               f"{len(config.known['endpoints'])} known workers, listens on {config.host}:{config.port}")
         return 0
-    loop: Any = reactor  # its type is known only at run time
+    loop: Any = monotonic_reactor.install()  # as zope's interfaces say nothing to mypy
     app = App(config, loop, lambda: load(args.config, os.environ, args.front))
     # Before the program listens: from then on a signal without its handler would end it.
     signal.signal(signal.SIGTERM, app.sigterm)
--- a/elderstall/core.py
+++ b/elderstall/core.py
@@ -17,6 +17,7 @@
 
 from elderstall import interface as i
 from elderstall.choice import Dispatcher
+from elderstall.clocks import SharedClock
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.figures import Figures
 from elderstall.interface import Effect, Ending, ListScope, Scope, WorkerState
@@ -28,6 +29,8 @@
 REMEMBERED = 4_096  # ids of answered jobs kept: minutes of them at the rates known
 CLIENT_LEFT = "its client has left"
 SHARING_CHANGED = 1 / 8  # the module is told anew how many dispatchers share its workers
+CLOCK_SLACK = 500.0  # ms by which the readings of a process of an earlier version may be off with no step
+LEFT_UNKNOWN = 400.0  # ms left to a job handed over whose deadline is not known; it is lost 500 ms past that
 DRAIN_PART = 0.75  # of the time that the rule on drains allows; after that the core itself sends nothing
 HELD_UP = 150.0  # ms for which the process may be held up between reading its clock and writing
 
@@ -278,14 +281,15 @@
         a = job.attempt
         if a is not None and not (a.taken and a.sending is not None and a.sending.called):
             return None
-        ask = job.ask
+        ask, clock = job.ask, self.deadlines.shared()
         cls = {**asdict(job.cls), "effect": job.cls.effect.value, "scope": job.cls.scope.value}
         state = {
             "cid": ask.cid, "cls": cls, "tenant": ask.tenant, "key": ask.key, "hint": ask.work_hint,
-            "slots": ask.slots, "arrived": job.arrived, "deadline": job.deadline, "sent": job.sent,
-            "ran": job.may_have_run, "ran_at": job.ran_at if job.may_have_run else None,
+            "slots": ask.slots, "sent": job.sent, "clock": clock.plain(),
+            "arrived": clock.written(job.arrived), "deadline": clock.written(job.deadline),
+            "ran": job.may_have_run, "ran_at": clock.written(job.ran_at) if job.may_have_run else None,
             "unsure": sorted(job.unsure), "back": sorted(job.back), "to_tell": job.to_tell,
-            "attempt": None if a is None else [a.worker, a.sent, a.ends]}
+            "attempt": None if a is None else [a.worker, clock.written(a.sent), clock.written(a.ends)]}
         job.closed, job.attempt = True, None
         for timer in (job.guard, a.timer if a is not None else None):
             if timer is not None:
@@ -300,6 +304,7 @@
 
     def adopt(self, state: dict[str, Any], parcel: object, client: Client) -> int:
         """Take over a job that another process has let go of. Gives its number."""
+        state = self.with_own_readings(state)
         told = state["cls"]
         cls = i.JobClass(**{**told, "effect": Effect(told["effect"]), "scope": Scope(told["scope"])})
         ask = Ask(state["cid"], cls.name, state["deadline"] - state["arrived"], parcel, state["tenant"],
@@ -322,6 +327,22 @@
             min(job.unsure, default=None), worker, sent))
         return job.number
 
+    def with_own_readings(self, state: dict[str, Any]) -> dict[str, Any]:
+        """Give a released job's state with its times as readings of this process's clock."""
+        clock, now = SharedClock.of_message(state, self.deadlines.offset), self.deadlines.now()
+        arrived, deadline = clock.read(state["arrived"]), clock.read(state["deadline"])
+        worker, sent, ends = state["attempt"] or (None, 0.0, 0.0)
+        sent, ends = clock.read(sent), clock.read(ends)
+        ran_at = None if state.get("ran_at") is None else clock.read(state["ran_at"])
+        if not clock.told and not (arrived <= now + CLOCK_SLACK and now <= deadline + CLOCK_SLACK):
+            # Guards rule 1 where a process of an earlier version has run through a step of the wall clock:
+            # its readings say nothing here, and its client may wait for only a moment longer.
+            budget, deadline = deadline - arrived, now + LEFT_UNKNOWN
+            arrived = sent = deadline - budget
+            ran_at, ends = None, deadline
+        return {**state, "arrived": arrived, "deadline": deadline, "ran_at": ran_at,
+                "attempt": None if worker is None else [worker, sent, ends]}
+
     def abandon(self, state: dict[str, Any]) -> None:
         """Give up the attempt of a job that moves, as its client is gone."""
         if state["attempt"] is not None and self.s.cancels:
--- a/elderstall/deadlines.py
+++ b/elderstall/deadlines.py
@@ -7,9 +7,16 @@
 from collections.abc import Callable
 from typing import Any
 
+from elderstall.clocks import SharedClock, wall_offset
+
 COMPACT_AT = 1024  # entries from which a heap of mostly cancelled ones is cleared
 
 
+def unix_now() -> float:
+    """Read the wall clock, ms."""
+    return time.time() * 1000
+
+
 class Deadline:
     """One deadline; it can be cancelled."""
 
@@ -28,12 +35,15 @@
 
 
 class Deadlines:
-    """Milliseconds: Unix time at the start plus monotonic progress, so the list's starts compare."""
+    """Milliseconds: Unix time at the start plus monotonic progress. No step of the wall clock moves them."""
 
     def __init__(self, reactor: Any, seconds: Callable[[], float] = time.monotonic,
                  unix_ms: float | None = None) -> None:
         self.reactor, self.seconds = reactor, seconds  # an IReactorTime; its own clock may be set back
-        self.offset = (time.time() * 1000 if unix_ms is None else unix_ms) - seconds() * 1000
+        self.unix: Callable[[], float] = unix_now  # the wall clock, ms
+        self.offset = wall_offset(seconds, unix_now, 0.0) if unix_ms is None else unix_ms - seconds() * 1000
+        if unix_ms is not None:
+            self.unix = self.now
         self.heap: list[tuple[float, int, Deadline]] = []
         self.count = self.live = 0
         self.wake: Any = None  # IDelayedCall
@@ -45,6 +55,14 @@
         """Read the clock."""
         return self.seconds() * 1000 + self.offset
 
+    def wall_offset(self, known: float | None = None) -> float:
+        """Measure the offset that would make the readings Unix time now; ``known`` where that still does."""
+        return wall_offset(self.seconds, self.unix, self.offset if known is None else known)
+
+    def shared(self) -> SharedClock:
+        """Give the form in which readings are sent to the other process of an upgrade."""
+        return SharedClock(self.wall_offset(), self.offset)
+
     def after(self, delay: float, call: Callable[..., object], *args: Any) -> Deadline:
         """Call after so many milliseconds."""
         return self.at(self.now() + max(0.0, delay), call, *args)
--- a/elderstall/interface.py
+++ b/elderstall/interface.py
@@ -172,6 +172,7 @@
 class Listed:
     """One line of the list of workers. ``started`` is None where the start is long past.
 
+    ``started`` is a reading of the dispatcher's clock; ``since_ms`` is the start as the list has it, Unix ms.
     ``weight`` is the worker's size, lowered the more jobs it holds for a core, or 1 where none is told.
     """
 
@@ -183,6 +184,7 @@
     state: WorkerState = WorkerState.UP
     weight: float = 1.0
     place: float | None = None  # ours in line for it, from 0 to 1, where dispatchers hold subsets
+    since_ms: float | None = None
 
 
 # ---- events ----
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import replace
 from sys import intern
 from typing import Any
 from typing import Protocol as Shape
@@ -16,6 +18,7 @@
 from elderstall.log import Log
 from elderstall.net import http
 from elderstall.net.jsonlines import JsonLines
+from elderstall.starts import StartTimes
 
 STATES = {
     "in_service": i.WorkerState.UP, "terminating": i.WorkerState.DRAINING, "terminated": i.WorkerState.GONE}
@@ -39,7 +42,7 @@
     """What is told of addresses."""
 
     def listed(self, name: str, address: str, started: float | None) -> None:
-        """Take a worker's address."""
+        """Take a worker's address, and its start as the list gives it."""
 
     def gone(self, name: str) -> None:
         """Forget a worker."""
@@ -57,7 +60,8 @@
         kind, zone = str(e.get("type") or ""), e.get("zone")
         # Of the same few kinds and zones in every entry of a large list one copy is kept.
         listed = i.Listed(str(name), intern(kind), intern(zone) if isinstance(zone, str) else zone,
-                          int(e.get("group") or 0), started or None, state, (live and weight) or 1.0)
+                          int(e.get("group") or 0), started or None, state, (live and weight) or 1.0,
+                          since_ms=started or None)
         if not (0 <= started < MOST and 0 <= weight < MOST):  # NaN is neither
             raise ValueError("since_ms or weight out of range")
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
@@ -80,9 +84,13 @@
 def told_as(index: int, entries: Iterable[i.Listed], addresses: Mapping[str, str]) -> dict[str, Any]:
     """Write a whole list in discovery's form."""
     states = {state: name for name, state in STATES.items()}
+
+    def since_ms(e: i.Listed) -> float:
+        return (e.started if e.since_ms is None else e.since_ms) or 0
+
     return {"index": index, "snapshot": True, "endpoints": [
         {"name": e.worker, "address": addresses[e.worker], "zone": e.zone, "type": e.kind, "group": e.cell,
-         "status": states[e.state], "weight": e.weight, "since_ms": e.started or 0}
+         "status": states[e.state], "weight": e.weight, "since_ms": since_ms(e)}
         for e in entries if e.worker in addresses]}
 
 
@@ -180,6 +188,8 @@
         self.address, self.live = address, live
         self.index = 0
         self.addresses: dict[str, str] = {}
+        self.starts = StartTimes(deadlines)
+        self.listed_at = -math.inf  # when the list that is held was last heard to be whole
         self.calls: list[ListCall] = []  # the watch; or the calls without an answer yet, two at most
         self.former: ListCall | None = None  # at the address before a move, until the new one speaks
         self.wanted = False  # the module has asked to follow
@@ -212,21 +222,29 @@
         if not self.fits(scope, len(pairs)):
             return None
         names = {listed.worker for listed, _ in pairs}
+        self.starts.look()
+        oldest = math.inf if told_by is None else self.deadlines.now() - self.listed_at
         if scope is i.ListScope.WHOLE:
             for name in [name for name in self.addresses if name not in names]:
                 self.drop(name)
+        entries = []
         for listed, address in pairs:
             if listed.state is i.WorkerState.GONE:
                 self.drop(listed.worker)
             else:
                 self.addresses[listed.worker] = address
-                self.pools.listed(listed.worker, address, listed.started)
+                self.pools.listed(listed.worker, address, listed.since_ms)
+                started = self.starts.reading(listed.worker, listed.since_ms, oldest)
+                if started != listed.started:
+                    listed = replace(listed, started=started)
+            entries.append(listed)
         self.index = index
-        return scope, tuple(listed for listed, _ in pairs)
+        return scope, tuple(entries)
 
     def drop(self, name: str) -> None:
         """Forget a worker's address."""
         self.addresses.pop(name, None)
+        self.starts.drop(name)
         self.pools.gone(name)
 
     def heard(self, value: Any, connection: WatchConnection) -> None:
@@ -239,7 +257,11 @@
         self.leave_former()
         self.keep_only(call)
         fresh, self.fresh, self.fell_silent = self.fresh, False, False
+        if value is None:
+            self.starts.look()
         news = self.take(value, connection) if value is not None else None
+        if value is None or news is not None:
+            self.listed_at = self.deadlines.now()
         if news is not None and fresh:
             self.log.write("watch", f"{self.address} tells {len(news[1])} of {news[0].value}, "
                                     f"version {self.index}")
@@ -311,7 +333,7 @@
         It may count its versions afresh, so it is asked for all there is. Until it has spoken the former
         watch is heard on: a change written there counts as told. No call of it is repeated.
         """
-        self.address, self.index = address, 0
+        self.address, self.index, self.listed_at = address, 0, -math.inf
         if self.former is None or not self.fresh:  # else what has not spoken gives way, not what has
             self.leave_former()
             self.former = next((call for call in self.calls if call.connection is not None), None)
--- a/elderstall/succession.py
+++ b/elderstall/succession.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
+import math
+from collections.abc import Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
 from elderstall import interface as i
+from elderstall.clocks import SharedClock
 from elderstall.records import Attempt, Job, Policy, Worker, flows
 
 if TYPE_CHECKING:
     from elderstall.choice import Dispatcher
+    from elderstall.routing.view import FleetView
 
 
 def learned(d: Dispatcher) -> dict[str, Any]:
@@ -18,6 +22,38 @@
             "load": d.load_seen, "policy": (d.policy.f, d.policy.sizes)}
 
 
+def write_learned(data: dict[str, Any], view: FleetView, clock: SharedClock) -> dict[str, Any]:
+    """Write what was learned for another process: starts as the list has them, readings as both know them."""
+    for name, worker in data["workers"].items():
+        entry, started = view.entries.get(name), worker["started"]
+        if entry is not None and started == entry.started:
+            worker["started"] = entry.since_ms
+        elif started is not None:
+            worker["started"] = clock.written(started)  # put back by hand then
+        worker["skip_until"] = clock.written(worker["skip_until"])
+        worker["pushed"] = [(clock.written(at), work) for at, work in worker["pushed"]]
+    return data
+
+
+def read_learned(data: dict[str, Any], entries: Iterable[i.Listed], put_back: Mapping[str, Sequence[float]],
+                 view: FleetView, clock: SharedClock) -> None:
+    """Read what another process has written: its workers' starts become those that the view shows here.
+
+    ``put_back`` has the times of those that were put back by hand, as they were sent. What was learned of
+    another process of a worker gets a start that is no worker's.
+    """
+    workers = data["workers"]
+    for entry in entries:
+        if (worker := workers.get(entry.worker)) is None:
+            continue
+        shown = view.shown(entry)
+        listed = shown.started == entry.started
+        same = worker["started"] == (entry.since_ms if listed else put_back[entry.worker][1])
+        worker["started"] = shown.started if same else math.nan
+        worker["skip_until"] = clock.read(worker["skip_until"])
+        worker["pushed"] = [(clock.read(at), work) for at, work in worker["pushed"]]
+
+
 def relearned(d: Dispatcher, e: i.Learned) -> None:
     """Go on with what the process before this one had learned; where settings differ, what still fits."""
     for name, data in e.data["workers"].items():
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -181,6 +181,7 @@
         self.app = App(config, self, lambda: config_of(self.raw, {}))
         self.app.deadlines.seconds = self.clock.seconds
         self.app.deadlines.offset = 0.0
+        self.app.deadlines.unix = self.app.deadlines.now  # a wall clock that is never stepped
         self.app.log.clock = self.app.deadlines.now
         self.app.log.at = 0.0
         self.lines: list[str] = []
--- /dev/null
+++ b/tests/test_clock_steps.py
@@ -0,0 +1,574 @@
+"""The wall clock is stepped, by seconds or an hour, either way; the monotonic clock runs on.
+
+The clocks are handed in. At the end the program itself runs through steps, as a process.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import re
+import signal
+import tempfile
+import threading
+import time
+import unittest
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+from twisted.internet.base import ReactorBase
+from twisted.internet.task import Clock
+
+from elderstall import interface as i
+from elderstall.app import App
+from elderstall.clocks import wall_offset
+from elderstall.config import config_of
+from elderstall.core import CLOCK_SLACK, LEFT_UNKNOWN, Core
+from elderstall.deadlines import Deadlines
+from elderstall.net import http
+from elderstall.net.discovery import told_as
+from elderstall.net.monotonic_reactor import MonotonicReactor
+from elderstall.starts import GONE_KEPT, LEARNED_WITHIN, StartTimes
+from tests.loopback import CHUNKED, Loopback, address_of
+from tests.scenario import RULES, entry
+from tests.test_core import Client, One
+from tests.test_program import PATIENCE, ROOT, Line, Peer, Program
+
+HOUR = 3_600_000.0  # ms
+STEPS = (HOUR, -HOUR, -5_000.0, 5_000.0)
+QUARTER = 900_000.0  # ms: the clock of a dispatcher on loopback starts at 1,000 s
+UNIX_AT_START = 1_764_600_000_000.0
+READS_WALL_CLOCK = re.compile(r"\btime\.time\b|\bdatetime\b|\bfrom time import\b|CLOCK_REALTIME|time_ns")
+
+
+class Clocks:
+    """A monotonic clock that the test moves, and a wall clock that it steps beside."""
+
+    def __init__(self) -> None:
+        self.clock = Clock()
+        self.clock.advance(1_000.0)
+        self.off_by = UNIX_AT_START  # of the wall clock, ms
+
+    def wall(self) -> float:
+        return self.clock.seconds() * 1000 + self.off_by
+
+    def deadlines(self) -> Deadlines:
+        """Give what a process has that starts now."""
+        deadlines = Deadlines(self.clock, self.clock.seconds, self.wall())
+        deadlines.unix = self.wall
+        return deadlines
+
+
+class Timers(unittest.TestCase):
+    """The reactor's delayed calls."""
+
+    def setUp(self) -> None:
+        self.reactor = MonotonicReactor()  # type: ignore[no-untyped-call]
+        self.addCleanup(self.reactor.removeAll)
+        self.off_by, self.monotonic = 0.0, 1_000.0
+        for patched in (mock.patch.object(ReactorBase, "seconds", staticmethod(self.wall)),
+                        mock.patch("twisted.internet.base.runtimeSeconds", self.wall),
+                        mock.patch("time.time", self.wall)):
+            patched.start()
+            self.addCleanup(patched.stop)
+
+    def wall(self) -> float:
+        return self.monotonic + self.off_by
+
+    def test_they_are_kept_by_the_monotonic_clock_alone(self) -> None:
+        def no_wall_clock() -> float:
+            raise AssertionError("the wall clock was read")
+
+        self.assertIs(time.monotonic, self.reactor.seconds)
+        fired: list[str] = []
+        with mock.patch.object(ReactorBase, "seconds", no_wall_clock), \
+                mock.patch("twisted.internet.base.runtimeSeconds", no_wall_clock), \
+                mock.patch("time.time", no_wall_clock):
+            self.reactor.callLater(0, fired.append, "now")
+            later = self.reactor.callLater(3_600, fired.append, "in an hour")
+            later.delay(1.0)
+            later.reset(3_600)
+            self.reactor.iterate(0)
+            str(later)
+            self.reactor.timeout()
+            later.cancel()
+        self.assertEqual(["now"], fired)
+
+    def test_a_step_neither_fires_them_early_nor_holds_them_up(self) -> None:
+        for step in (3_600.0, -3_600.0, -5.0):
+            with self.subTest(step), mock.patch.object(MonotonicReactor, "seconds", lambda _: self.clock()):
+                fired: list[str] = []
+                self.reactor.callLater(1, fired.append, "in a second")
+                hour = self.reactor.callLater(3_600, fired.append, "in an hour")
+                self.off_by += step
+                self.reactor.runUntilCurrent()
+                self.assertEqual([], fired)
+                self.assertAlmostEqual(1.0, self.reactor.timeout() or 0.0)
+                self.monotonic += 1.001
+                self.reactor.runUntilCurrent()
+                self.assertEqual(["in a second"], fired)
+                hour.cancel()
+
+    def clock(self) -> float:
+        return self.monotonic
+
+    def test_the_wall_clock_is_read_in_two_places(self) -> None:
+        """What else is read from it would follow its steps."""
+        reading = {str(path.relative_to(ROOT)) for path in (ROOT / "elderstall").rglob("*.py")
+                   if READS_WALL_CLOCK.search(path.read_text())}
+        self.assertEqual({"elderstall/deadlines.py", "elderstall/cli/rehearse.py"}, reading)
+
+    def test_a_process_held_up_between_its_clocks_sees_no_step(self) -> None:
+        held = iter([0.0, 0.15, 1.0, 1.0])
+        self.assertEqual(500.0, wall_offset(lambda: next(held), lambda: 1_500.0, 500.0))
+
+
+class Starts(unittest.TestCase):
+    """When a worker started, by the list's Unix time and a wall clock that is stepped."""
+
+    def setUp(self) -> None:
+        self.clocks = Clocks()
+        self.deadlines = self.clocks.deadlines()
+        self.starts = StartTimes(self.deadlines)
+
+    def age(self, worker: str, since_ms: float, oldest: float = float("inf")) -> float:
+        self.starts.look()
+        reading = self.starts.reading(worker, since_ms, oldest)
+        assert reading is not None
+        return self.deadlines.now() - reading
+
+    def test_with_no_step_they_are_the_lists_to_the_last_digit(self) -> None:
+        for since_ms in (self.clocks.wall() - HOUR, self.clocks.wall() - 1_234.5678, 7.0):
+            self.starts.look()
+            self.assertEqual(since_ms, self.starts.reading(f"w{since_ms}", since_ms))
+        self.assertIsNone(self.starts.reading("w", None))
+
+    def test_a_start_after_the_step(self) -> None:
+        for step in STEPS:
+            with self.subTest(step):
+                self.clocks.off_by += step
+                self.assertAlmostEqual(2_000.0, self.age(f"w{step}", self.clocks.wall() - 2_000.0), 1)
+
+    def test_a_start_before_the_step_that_is_listed_after_it(self) -> None:
+        for step in STEPS:
+            with self.subTest(step):
+                self.starts.look()
+                since_ms = self.clocks.wall() - 1_000.0
+                self.clocks.off_by += step
+                self.assertAlmostEqual(1_000.0, self.age(f"w{step}", since_ms), 1)
+
+    def test_a_step_of_this_machine_alone(self) -> None:
+        for step in STEPS:
+            with self.subTest(step):
+                before = self.clocks.off_by
+                self.clocks.off_by = UNIX_AT_START + step
+                self.starts.look()
+                since_ms = self.clocks.clock.seconds() * 1000 + before - 3_000.0
+                self.assertTrue(-0.1 <= self.age(f"w{step}", since_ms) <= 3_000.1)
+                self.clocks.off_by = before
+
+    def test_a_step_elsewhere_alone_leaves_what_a_live_watch_tells_young(self) -> None:
+        for step in (HOUR, -HOUR):
+            since_ms = self.clocks.wall() + step
+            self.assertEqual(0.0, self.age(f"w{step}", since_ms, oldest=2_000.0))
+        self.assertAlmostEqual(LEARNED_WITHIN, self.age(
+            "late", self.clocks.wall() - LEARNED_WITHIN, oldest=2_000.0), 1)
+
+    def test_an_entry_read_again_keeps_its_start_through_any_step(self) -> None:
+        since_ms = self.clocks.wall() - 4_000.0
+        first = self.starts.reading("w1", since_ms)
+        for step in (*STEPS, 100.0):  # as the last, a drift
+            self.clocks.off_by += step
+            self.starts.look()
+            self.assertEqual(first, self.starts.reading("w1", since_ms, 0.0))
+            self.starts.drop("w1")  # and comes back as it was
+            self.assertEqual(first, self.starts.reading("w1", since_ms, 0.0))
+
+    def test_another_start_is_another_reading_even_where_both_are_now(self) -> None:
+        first = self.starts.reading("w1", self.clocks.wall() + HOUR)
+        second = self.starts.reading("w1", self.clocks.wall() + HOUR + 1)
+        self.assertNotEqual(first, second)
+
+    def test_what_is_kept_of_workers_that_are_gone_is_bounded(self) -> None:
+        for n in range(GONE_KEPT + 100):
+            self.starts.reading(f"w{n}", 7.0)
+            self.starts.drop(f"w{n}")
+        self.assertEqual((0, GONE_KEPT), (len(self.starts.listed), len(self.starts.gone)))
+
+
+class Joining(Loopback):
+    """A worker joins after a step: its slow start lasts as long as the settings say."""
+
+    def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
+        super().begin(workers, progress, folder, **more)
+        self.off_by = 0.0
+        self.app.deadlines.unix = self.wall
+
+    def wall(self) -> float:
+        return self.app.deadlines.now() + self.off_by
+
+    def list_starts(self, index: int, whole: bool = False, **since: float) -> None:
+        """Tell workers with their starts, Unix ms."""
+        side = self.watches[-1]
+        head = b"" if side.message.status else http.head_of("HTTP/1.1 200 OK", CHUNKED)
+        side.message.status = 200
+        entries = [entry(name, "up", address_of(self.listeners[int(name[1:]) - 1]), at)
+                   for name, at in since.items()]
+        line = json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode()
+        side.send(head + http.chunk(line + b"\n"))
+        self.turn()
+
+    def cold(self, worker: str) -> bool:
+        module = self.app.core.module
+        module.now = self.app.deadlines.now()
+        return module.cold(module.workers[worker])
+
+    def test_it_is_cold_for_the_settings_span_and_no_longer(self) -> None:
+        span = RULES["cold"] + RULES["overload_for"]
+        for step in (HOUR, -QUARTER, -5_000.0, 5_000.0):
+            with self.subTest(step):
+                self.begin(workers=2)
+                self.list_starts(42, whole=True, w1=0)
+                self.off_by = step
+                self.list_starts(43, w2=self.wall())
+                self.assertTrue(self.cold("w2"))
+                self.jump(span - 100)
+                self.assertTrue(self.cold("w2"))
+                self.jump(200)
+                self.assertFalse(self.cold("w2"))
+
+    def test_a_whole_list_on_a_new_watch_changes_no_start_and_drops_no_connection(self) -> None:
+        self.begin(workers=2)
+        self.list_starts(42, whole=True, w1=0, w2=self.wall() - 1_000.0)
+        since_ms = self.wall() - 1_000.0
+        started, place = self.app.core.module.workers["w2"].started, self.app.workers.places["w2"]
+        self.off_by = -QUARTER
+        self.watches[-1].sock.close()
+        count = len(self.asked_lists())
+        self.until(lambda: self.wait(50) or len(self.asked_lists()) > count)  # type: ignore[func-returns-value]
+        self.list_starts(43, whole=True, w1=0, w2=since_ms)
+        self.assertEqual(started, self.app.core.module.workers["w2"].started)
+        self.assertIs(place, self.app.workers.places["w2"])
+
+    def test_a_ban_lifted_after_a_step(self) -> None:
+        """Starts and bans are compared: a step back had a new process pass for one of before the ban."""
+        self.begin()
+        self.list_starts(42, whole=True, w1=0)
+        self.app.core.exclude("w1")
+        self.jump(1_000.0)
+        self.off_by = -QUARTER
+        self.list_starts(43, w1=self.wall())  # started anew while banned
+        self.jump(500.0)
+        self.app.core.include("w1")
+        started = self.app.core.module.workers["w1"].started
+        self.assertAlmostEqual(500.0, self.app.deadlines.now() - (started or 0), 1)
+
+
+class HandingOver(Loopback):
+    """Two processes of one dispatcher whose offsets differ, as the clock was stepped between their starts."""
+
+    def after(self, step: float, of_before: bool = False) -> App:
+        """Have a next process start after a step, with what the first one hands over."""
+        first = self.app
+        self.off_by = step
+        first.deadlines.unix = lambda: first.deadlines.now() + self.off_by
+        state, fd = first.state()
+        if of_before:
+            del state["clock"], state["starts"]
+        next_app = App(config_of(self.raw, {}), self.loop)
+        next_app.deadlines.seconds = self.loop.clock.seconds
+        next_app.deadlines.offset = first.deadlines.offset + step
+        next_app.deadlines.unix = next_app.deadlines.now
+        next_app.log.clock, next_app.log.at = next_app.deadlines.now, 0.0
+        next_app.log.print = lambda now, code, text: None  # type: ignore[method-assign]
+        next_app.begin((json.loads(json.dumps(state)), fd))
+        self.addCleanup(next_app.port.stopListening)
+        self.addCleanup(next_app.discovery.close)
+        return next_app
+
+    def prepare(self) -> None:
+        self.begin(workers=3)
+        self.tell(42, whole=True, w1="up", w2="up", w3="up")
+        now = self.app.deadlines.now()
+        addresses = [address_of(sock) for sock in self.listeners]
+        line = {"index": 43, "snapshot": False, "endpoints": [
+            entry("w1", address=addresses[0], since=now - 2_000),
+            entry("w3", address=addresses[2], since=now - 500)]}
+        self.watches[-1].send(http.chunk(json.dumps(line).encode() + b"\n"))
+        self.turn()
+        self.app.core.exclude("w2")
+        self.app.core.exclude("w3")
+        self.jump(1_000.0)
+        self.app.core.include("w3")
+        worker = self.app.core.module.workers["w1"]
+        worker.pushed.append((now, 55.0))
+        worker.skip_until, worker.peak = now + 10, 7
+        self.app.core.module.workers["w3"].peak = 9
+
+    def test_bans_starts_and_what_was_learned(self) -> None:
+        for step in (0.0, *STEPS):
+            with self.subTest(step):
+                self.prepare()
+                old, new = self.app, self.after(step)
+                shift = new.deadlines.offset - old.deadlines.offset
+                self.assertEqual(step, shift)
+                self.assertAlmostEqual(old.core.view.banned["w2"] + shift, new.core.view.banned["w2"], 1)
+                banned, until = old.core.view.put_back["w3"]
+                self.assertAlmostEqual(banned + shift, new.core.view.put_back["w3"][0], 1)
+                self.assertAlmostEqual(until + shift, new.core.view.put_back["w3"][1], 1)
+                for name in ("w1", "w3"):
+                    before, now = old.core.module.workers[name], new.core.module.workers[name]
+                    self.assertAlmostEqual((before.started or 0) + shift, now.started or 0, 1)
+                    self.assertEqual(before.peak, now.peak)
+                self.assertEqual(7, new.core.module.workers["w1"].peak)
+                at, work = new.core.module.workers["w1"].pushed[0]
+                self.assertAlmostEqual(old.core.module.workers["w1"].pushed[0][0] + shift, at, 1)
+                self.assertEqual(55.0, work)
+                self.assertAlmostEqual(old.core.module.workers["w1"].skip_until + shift,
+                                       new.core.module.workers["w1"].skip_until, 1)
+
+    def test_with_no_step_a_process_of_the_version_before_is_understood(self) -> None:
+        self.prepare()
+        new = self.after(0.0, of_before=True)
+        self.assertEqual(self.app.core.view.banned, new.core.view.banned)
+        self.assertEqual(self.app.core.view.put_back, new.core.view.put_back)
+        for name in ("w1", "w3"):
+            before, now = self.app.core.module.workers[name], new.core.module.workers[name]
+            self.assertEqual((before.started, before.peak, before.pushed),
+                             (now.started, now.peak, now.pushed))
+
+    def test_a_process_of_the_version_before_understands_what_it_is_sent(self) -> None:
+        """It takes all readings for Unix time by its own, as its clock was when it started: just now."""
+        self.prepare()
+        old = self.app.deadlines
+        for step in (0.0, *STEPS):
+            old.unix = lambda step=step: old.now() + step  # type: ignore[misc]
+            state, fd = self.app.state()
+            os.close(fd)
+            self.assertAlmostEqual(self.app.core.view.banned["w2"] + step, state["banned"]["w2"], 1)
+            learned = state["learned"]["workers"]
+            listed = {e["name"]: e["since_ms"] for e in state["known"]["endpoints"]}
+            self.assertEqual(listed["w1"], learned["w1"]["started"])  # it compares the two
+            self.assertEqual(state["back"]["w3"][1], learned["w3"]["started"])
+            self.assertAlmostEqual(old.now() + step, state["back"]["w3"][1], 1)
+
+    def test_the_list_is_written_with_the_starts_that_it_came_with(self) -> None:
+        entries = [i.Listed("w1", started=500.0, since_ms=7.0), i.Listed("w2", started=9.0), i.Listed("w3")]
+        told = told_as(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
+        self.assertEqual([7.0, 9.0, 0], [e["since_ms"] for e in told["endpoints"]])
+
+
+class MovingJobs(One):
+    """A job moves to a process whose clock readings differ, after a step."""
+
+    def next_core(self, step: float) -> Core:
+        old = self.core.deadlines
+        old.unix = lambda: old.now() + step
+        deadlines = Deadlines(self.clock, self.clock.seconds, old.now() + step)
+        core = Core(self.core.s, 1, deadlines, self.carrier, self.core.log)
+        core.listed(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
+        core.module.handle = lambda now, event: []  # type: ignore[method-assign]
+        return core
+
+    def moved(self, step: float, **changes: Any) -> tuple[dict[str, Any], Core, Client]:
+        """Release a job 300 ms after its arrival, and have the next process adopt it."""
+        number = self.job("safe")
+        self.clock.advance(0.3)
+        core = self.next_core(step)
+        state = self.core.release(number)
+        assert state is not None
+        state = json.loads(json.dumps(state)) | changes
+        client = Client()
+        core.adopt({name: value for name, value in state.items() if value != "left out"}, None, client)
+        return state, core, client
+
+    def test_it_keeps_the_time_that_it_has_left(self) -> None:
+        for step in (0.0, *STEPS):
+            with self.subTest(step):
+                self.setUp()
+                state, core, client = self.moved(step)
+                job = core.by_cid["a1"]
+                self.assertAlmostEqual(1_700.0, job.deadline - core.deadlines.now(), 1)
+                self.assertAlmostEqual(300.0, core.deadlines.now() - job.arrived, 1)
+                # As a process of the version before reads it, which takes it for a reading of its own:
+                self.assertAlmostEqual(core.deadlines.now() - 300.0, state["arrived"], 1)
+                self.clock.advance(1.65)
+                self.assertEqual([], client.answers)
+                self.clock.advance(0.1)
+                self.assertEqual(1, len(client.answers))
+
+    def test_with_no_step_one_of_the_version_before_is_understood(self) -> None:
+        _, core, _ = self.moved(0.0, clock="left out")
+        self.assertAlmostEqual(1_700.0, core.by_cid["a1"].deadline - core.deadlines.now(), 1)
+
+    def test_one_of_the_version_before_with_a_step_still_has_its_answer_in_time(self) -> None:
+        """Its time left is not known: it is answered before it could be lost."""
+        for step in (HOUR, -HOUR, -5_000.0):
+            with self.subTest(step):
+                self.setUp()
+                number = self.job("safe")
+                self.clock.advance(0.3)
+                core, client = self.next_core(step), Client()
+                self.core.deadlines.unix = self.core.deadlines.now  # it knows of no step
+                state = self.core.release(number)
+                assert state is not None
+                del state["clock"]
+                core.adopt(state, None, client)
+                self.assertEqual([], client.answers)
+                self.clock.advance((LEFT_UNKNOWN + 8) / 1000)
+                self.assertEqual(1, len(client.answers))
+        self.assertLess(LEFT_UNKNOWN + 8, CLOCK_SLACK)
+
+
+class Process(Program):
+    """The program itself, its wall clock stepped while it runs."""
+
+    command = ("-m", "tests.stepped_program")
+
+    def setUp(self) -> None:
+        super().setUp()
+        self.watched = threading.Semaphore(0)
+
+    def watch(self, line: Line) -> None:
+        self.watched.release()
+        super().watch(line)  # one line, and then silence
+
+    def begin_stepped(self, step: float, budget: int = 15_000) -> Line:
+        """Start the program with a job out, and step its clock."""
+        self.file_of_step = Path(self.enterContext(tempfile.TemporaryDirectory()), "step")
+        os.environ["STEP_FILE"] = str(self.file_of_step)
+        self.addCleanup(os.environ.pop, "STEP_FILE", None)
+        os.environ.pop("STEP_AT_START", None)
+        self.begin()
+        self.assertTrue(self.watched.acquire(timeout=PATIENCE))
+        line = self.connect()
+        line.sock.sendall(self.job("held", "deck-build", budget))
+        self.assertTrue(self.seen.wait(PATIENCE))
+        self.file_of_step.write_text(str(step))
+        self.program.send_signal(signal.SIGUSR1)
+        while not any(" stepped by " in call for call in self.calls):
+            self.assertEqual(200, self.ask(http.request("GET", "/up", "x")).status)
+        return line
+
+    def for_each_step(self, test: Any) -> None:
+        for step in (3_600.0, -3_600.0, -5.0):
+            with self.subTest(step):
+                self.doCleanups()
+                self.calls.clear()
+                self.setUp()
+                test(step)
+
+    def test_deadlines_hold_and_a_job_that_is_out_is_answered(self) -> None:
+        def stepped(step: float) -> None:
+            line = self.begin_stepped(step)
+            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
+            self.call_back("held")
+            self.assertEqual(b"deck held", line.read().body)
+            self.assertEqual(504, self.ask(self.job("never", "deck-build", 500)).status)
+            line.sock.close()
+
+        self.for_each_step(stepped)
+
+    def test_sigterm_ends_it(self) -> None:
+        def stepped(step: float) -> None:
+            line = self.begin_stepped(step)
+            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
+            self.program.send_signal(signal.SIGTERM)
+            while self.ask(http.request("GET", "/up", "x")).status != 503:
+                pass
+            self.call_back("held")
+            self.assertEqual(b"deck held", line.read().body)
+            line.sock.close()
+            self.assertEqual(0, self.program.wait(PATIENCE))
+
+        self.for_each_step(stepped)
+
+    def test_a_watch_that_falls_silent_is_opened_anew_also_where_sighup_has_moved_it(self) -> None:
+        def stepped(step: float) -> None:
+            line = self.begin_stepped(step)
+            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the first has said one line only
+            moved = threading.Semaphore(0)
+
+            def silent(there: Line) -> None:
+                moved.release()
+                there.read()
+                there.read()
+
+            other = Peer(silent)
+            self.addCleanup(other.close)
+            self.file.write_text(json.dumps({**self.raw, "discovery": other.address}))
+            self.program.send_signal(signal.SIGHUP)
+            for _ in range(2):  # a call, and the second beside it
+                self.assertTrue(moved.acquire(timeout=PATIENCE))
+            self.call_back("held")
+            self.assertEqual(b"deck held", line.read().body)
+            line.sock.close()
+
+        self.for_each_step(stepped)
+
+    def test_a_worker_that_joins_gets_jobs(self) -> None:
+        joined, came = threading.Event(), threading.Event()
+
+        def watch(line: Line) -> None:
+            line.read()
+            head = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+            line.sock.sendall(head + http.chunk(b'{"index": 42, "snapshot": false, "endpoints": []}\n'))
+            self.watched.release()
+            joined.wait(PATIENCE)
+            since = (time.time() + self.stepped_by) * 1000
+            told = entry("w2", address=self.second.address, since=since)
+            text = json.dumps({"index": 43, "snapshot": False, "endpoints": [told]}).encode()
+            line.sock.sendall(http.chunk(text + b"\n"))
+            line.read()
+
+        def work(line: Line) -> None:
+            while line.read().method == "POST":
+                came.set()
+                line.sock.sendall(http.response(202))
+
+        def stepped(step: float) -> None:
+            joined.clear()
+            came.clear()
+            self.stepped_by, self.second = step, Peer(work)
+            self.addCleanup(self.second.close)
+            self.discovery.serve = watch
+            line = self.begin_stepped(step)  # its job holds the one worker there is
+            joined.set()
+            more = [self.connect() for _ in range(4)]
+            for n, other in enumerate(more):
+                other.sock.sendall(self.job("never" if n == 0 else f"held{n}", "deck-fetch", 4_000))
+            self.assertTrue(came.wait(PATIENCE))
+            for other in [line, *more]:
+                other.sock.close()
+
+        self.for_each_step(stepped)
+
+    def test_an_upgrade_after_the_step_keeps_jobs(self) -> None:
+        def stepped(step: float) -> None:
+            held = self.upgraded(step, 15_000)
+            self.call_back("held")
+            self.assertEqual(b"deck held", held.read().body)
+            held.sock.close()
+
+        self.for_each_step(stepped)
+
+    def test_an_upgrade_after_the_step_keeps_deadlines(self) -> None:
+        def stepped(step: float) -> None:
+            held = self.upgraded(step, 3_000)
+            self.assertEqual(504, held.read().status)
+            held.sock.close()
+
+        self.for_each_step(stepped)
+
+    def upgraded(self, step: float, budget: int) -> Line:
+        """Have a next process take over, after the step, from one with a job out."""
+        held = self.begin_stepped(step, budget)
+        os.environ["STEP_AT_START"] = str(step)  # the machine's clock is stepped for the next one too
+        self.addCleanup(os.environ.pop, "STEP_AT_START", None)
+        self.launch()
+        while not any("it gets the connections" in call for call in self.calls):
+            self.ask(http.request("GET", "/up", "x"))
+        self.program.send_signal(signal.SIGTERM)
+        self.assertEqual(0, self.program.wait(PATIENCE))  # its job has moved
+        return held
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -85,6 +85,8 @@
 class Program(unittest.TestCase):
     """One dispatcher, one worker and discovery on loopback."""
 
+    command = ("-m", "elderstall")
+
     def setUp(self) -> None:
         self.calls: list[str] = []
         self.streams = False
@@ -108,7 +110,7 @@
         self.file.write_text(json.dumps(self.raw))
         env = {**os.environ, "RELAY_CONFIG": str(self.file), "TMPDIR": self.folder}
         program = subprocess.Popen(
-            [sys.executable, "-m", "elderstall", *options], cwd=ROOT, env=env,
+            [sys.executable, *self.command, *options], cwd=ROOT, env=env,
             stderr=subprocess.PIPE, text=True)
         self.addCleanup(self.end, program)
         assert program.stderr is not None
