--- /dev/null
+++ b/tests/test_decision_digest.py
@@ -0,0 +1,144 @@
+"""Decisions and figures of the shipped rehearsals are what was recorded (benchmarks/decision_digest.py).
+
+All scripts are played whole, on two seeds. After a change that alters decisions on purpose,
+``python -m benchmarks.decision_digest --write`` records them anew.
+"""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from dataclasses import dataclass, replace
+
+import pytest
+
+from benchmarks.decision_digest import (
+    ACTIONS,
+    SEEDS,
+    Digest,
+    Recorder,
+    UnmappedNameError,
+    canonical_action,
+    difference,
+    digest,
+    figures_text,
+    names,
+    play_night,
+    read_recorded,
+    scripts,
+    write_recorded,
+)
+from benchmarks.random_events import drive
+from elderstall import interface as i
+from tests.nights import night
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+@pytest.mark.parametrize("name", names())
+def test_decisions_and_figures_are_as_recorded(name: str, seed: int) -> None:
+    assert difference(read_recorded().get((name, seed)), digest(name, seed)) == ""
+
+
+def test_every_shipped_script_is_recorded_on_every_seed() -> None:
+    assert set(read_recorded()) == {(name, seed) for name in names() for seed in SEEDS}
+    assert set(scripts()) <= set(names())
+
+
+@pytest.mark.parametrize(
+    ("name", "action"),
+    [
+        ("events-polled", "probes"),
+        ("events-pulled", "probes"),
+        ("events-subset", "probes"),
+        ("events-keys", "sends"),
+        ("events-starts", "refused"),
+    ],
+)
+def test_random_events_reach_the_paths_that_the_scripts_leave_out(name: str, action: str) -> None:
+    assert drive(name, SEEDS[0])[action] > 50
+
+
+def test_digest_does_not_depend_on_the_hash_seed() -> None:
+    command = "from benchmarks.decision_digest import digest; print(digest('cold-rush', 1))"
+    outputs = {
+        subprocess.run(
+            [sys.executable, "-c", command],
+            check=True,
+            capture_output=True,
+            text=True,
+            env={**os.environ, "PYTHONHASHSEED": hash_seed},
+        ).stdout
+        for hash_seed in ("0", "1", "4242")
+    }
+    assert len(outputs) == 1
+    assert outputs == {f"{digest('cold-rush', 1)}\n"}
+
+
+def test_one_changed_decision_changes_the_digest(monkeypatch: pytest.MonkeyPatch) -> None:
+    small = night(length=3_000.0)
+    before, _ = play_night(small, 1, Recorder())
+    assert play_night(small, 1, Recorder())[0] == before
+    original = i.Send.__init__
+    seen = 0
+
+    def later(self: i.Send, job: int, worker: str, time_out: float = 0.0) -> None:
+        nonlocal seen
+        seen += 1
+        original(self, job, worker, time_out + (1e-9 if seen == 20 else 0.0))
+
+    monkeypatch.setattr(i.Send, "__init__", later)
+    after, _ = play_night(small, 1, Recorder())
+    assert seen >= 20
+    assert after.decisions != before.decisions
+    assert "decisions" in difference(before, after)
+
+
+def test_actions_are_written_by_canonical_names_and_exact_values() -> None:
+    assert canonical_action(i.Send(7, "w", 0.1)) == ('send job=7 time_out=0x1.999999999999ap-4 worker="w"')
+    assert canonical_action(i.Refuse(7, 200.0, "full fleet")) == (
+        'refuse job=7 retry_after=0x1.9000000000000p+7 why="full fleet"'
+    )
+    assert canonical_action(i.FollowList()) == "follow_list"
+    assert canonical_action(i.Log("pace 1.25, -3 jobs held")) == "log text=[1.25 -3]"
+
+
+def test_an_action_that_the_mapping_lacks_is_an_error() -> None:
+    @dataclass(frozen=True)
+    class Send:
+        job: int
+        worker: str
+
+    with pytest.raises(UnmappedNameError, match="Send has the fields"):
+        canonical_action(Send(1, "w"))
+    with pytest.raises(UnmappedNameError, match="ACTIONS has no int"):
+        canonical_action(1)
+    with pytest.raises(UnmappedNameError, match="REASONS has no"):
+        canonical_action(i.Refuse(1, 0.0, "other"))
+
+
+def test_an_unmapped_action_ends_the_play_although_the_engine_goes_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.delitem(ACTIONS, "SetTimer")
+    with pytest.raises(UnmappedNameError, match="ACTIONS has no SetTimer"):
+        play_night(night(length=1_000.0), 1, Recorder())
+
+
+def test_figures_are_written_alike_whatever_the_order_of_their_keys() -> None:
+    assert (
+        figures_text({"b": 0.5, "a": [1, None]})
+        == figures_text({"a": [1, None], "b": 0.5})
+        == ('{"a":[1,null],"b":"0x1.0000000000000p-1"}')
+    )
+
+
+def test_writing_keeps_the_rows_of_other_plays(tmp_path_factory: pytest.TempPathFactory) -> None:
+    path = tmp_path_factory.mktemp("digests") / "d.json"
+    row = Digest("f", "d", 7, 3)
+    write_recorded({("calm", 1): row}, path)
+    write_recorded({("calm", 2): replace(row, actions=1)}, path)
+    assert read_recorded(path) == {("calm", 1): row, ("calm", 2): replace(row, actions=1)}
+    assert difference(row, row) == ""
+    assert difference(row, replace(row, decisions="e", actions=1)) == "decisions, 1 actions, recorded 7"
+    assert difference(None, row) == "not recorded"
