--- a/benchmarks/scale/larger.py
+++ b/benchmarks/scale/larger.py
@@ -117,10 +117,10 @@
         self.take, self.parser = take, http.Parser(max_body=1 << 20)
         self.message = http.Message((0, 0), http.Headers())
 
-    def connection_made(self, transport: Any) -> None:  # noqa: D102
+    def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def data_received(self, data: bytes) -> None:  # noqa: D102
+    def data_received(self, data: bytes) -> None:
         self.parser.feed(data)
         while (event := self.parser.next()) is not None:
             if isinstance(event, http.Head):
@@ -141,10 +141,10 @@
         self.parser, self.status = http.Parser(responses=True, max_body=1 << 20), 0
         self.waiting: asyncio.Future[int] | None = None
 
-    def connection_made(self, transport: Any) -> None:  # noqa: D102
+    def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def data_received(self, data: bytes) -> None:  # noqa: D102
+    def data_received(self, data: bytes) -> None:
         self.parser.feed(data)
         while (event := self.parser.next()) is not None:
             if isinstance(event, http.Head):
@@ -152,7 +152,7 @@
             elif isinstance(event, http.End):
                 self.end(self.status)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: D102
+    def connection_lost(self, exc: Exception | None) -> None:
         self.end(0)
 
     def end(self, status: int) -> None:
@@ -413,7 +413,7 @@
 
     def look(self) -> None:
         """Note how many descriptors are open."""
-        self.descriptors = max(self.descriptors, len(os.listdir(self.at / "fd")))
+        self.descriptors = max(self.descriptors, sum(1 for _ in (self.at / "fd").iterdir()))
 
     def needs(self, needs: Needs) -> None:
         """Note what the process has needed so far."""
--- a/elderstall/atomic_file.py
+++ b/elderstall/atomic_file.py
@@ -41,11 +41,11 @@
     try:
         write_synced(temporary, data)
         if target.exists():
-            os.chmod(temporary, target.stat().st_mode & 0o7777)
-        os.replace(temporary, target)
+            temporary.chmod(target.stat().st_mode & 0o7777)
+        temporary.replace(target)
     except BaseException:  # also where the command is interrupted
         with contextlib.suppress(OSError):
-            os.unlink(temporary)
+            temporary.unlink()
         raise
     sync_folder(target.parent)
 
--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -53,7 +53,7 @@
     before = open_descriptors()
     with monkeypatch.context() as patch:
         failing(patch, step, OSError(number, os.strerror(number)))
-        with pytest.raises(OSError, match="report.html") as raised:
+        with pytest.raises(OSError, match=r"report\.html") as raised:
             write_text_atomically(path, NEW)
     assert (raised.value.errno, raised.value.filename) == (number, str(path))
     assert open_descriptors() == before
@@ -185,7 +185,7 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda fd, data: write(fd, data[:100]))  # so it fails half-way
         failing(patch, "write", OSError(errno.EIO, os.strerror(errno.EIO)), after=1)
-        with pytest.raises(OSError, match="n1.json"):
+        with pytest.raises(OSError, match=r"n1\.json"):
             Stage.write(stage, tmp_path)
     assert (os.listdir(tmp_path), (tmp_path / "n1.json").read_text()) == (["n1.json"], FORMER)
     assert [json.loads(path.read_text()) for path in Stage.write(stage, tmp_path)] == [{"name": NEW}]
