--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -236,7 +236,8 @@
                 self.pools.listed(listed.worker, address, listed.since_ms)
                 started = self.starts.reading(listed.worker, listed.since_ms, oldest)
                 if started != listed.started:
-                    listed = replace(listed, started=started)
+                    entries.append(replace(listed, started=started))
+                    continue
             entries.append(listed)
         self.index = index
         return scope, tuple(entries)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -162,9 +162,10 @@
         """Let time pass: timers fire and time-outs end attempts, each at its own time."""
         until = self.now + by
         while True:
+            due: list[tuple[float, int, int, Out | None]]
             due = [(at, 0, token, None) for at, token in self.timers if at <= until]
-            due += [(o.at + o.time_out, 1, 0, o) for o in self.outs()  # type: ignore[misc]
-                    if o.time_out and o.at + o.time_out <= until]
+            timed = [o for o in self.outs() if o.time_out and o.at + o.time_out <= until]
+            due += [(o.at + o.time_out, 1, 0, o) for o in timed]
             if not due:
                 break
             at, what, token, out = min(due, key=lambda d: d[:3])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -95,9 +95,13 @@
             later.cancel()
         self.assertEqual(["now"], fired)
 
+    def stepped_clock(self) -> Any:
+        """Have the reactor read the test's clock."""
+        return mock.patch.object(MonotonicReactor, "seconds", side_effect=self.clock)
+
     def test_a_step_neither_fires_them_early_nor_holds_them_up(self) -> None:
         for step in (3_600.0, -3_600.0, -5.0):
-            with self.subTest(step), mock.patch.object(MonotonicReactor, "seconds", lambda _: self.clock()):
+            with self.subTest(step), self.stepped_clock():
                 fired: list[str] = []
                 self.reactor.callLater(1, fired.append, "in a second")
                 hour = self.reactor.callLater(3_600, fired.append, "in an hour")
@@ -465,7 +469,7 @@
             self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
             self.call_back("held")
             self.assertEqual(b"deck held", line.read().body)
-            self.assertEqual(504, self.ask(self.job("never", "deck-build", 500)).status)
+            self.assertEqual(504, self.ask(self.job("never", "deck-build", 500, ("X-Call-Cost", "50000"))).status)
             line.sock.close()
 
         self.for_each_step(stepped)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -163,10 +163,13 @@
     assert random_day(7, settings()).actions == random_day(7, settings()).actions
 
 
+NO_EFFECT = i.JobClass("x", 1, 1, 1, "odd")  # type: ignore[arg-type]
+
+
 @pytest.mark.parametrize("field,value", [
     ("classes", ()), ("dispatchers", 0), ("ask_within", -1.0), ("cold_share", 0.0), ("max_attempts", 0),
     ("classes", (SAFE, SAFE)), ("tenants", (i.Tenant("t", -1.0),)),
-    ("classes", (i.JobClass("x", 1, 1, 1, "odd"),)), ("classes", (i.JobClass("x", -1, 1, 1),)),  # type: ignore
+    ("classes", (NO_EFFECT,)), ("classes", (i.JobClass("x", -1, 1, 1),)),
 ])
 def test_settings_without_sense_raise_and_name_the_field(field: str, value: object) -> None:
     names = {"tenants": "quota_per_s"}
