--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -30,6 +30,7 @@
 
 def clocked(handle: Any) -> Any:
     """Time what the module takes."""
+
     def timed(self: Any, now: float, event: Any) -> Any:
         global spent
         before = time.perf_counter()
@@ -37,26 +38,36 @@
             return handle(self, now, event)
         finally:
             spent += time.perf_counter() - before
+
     return timed
 
 
-def night_of(workers: int, jobs: int, dispatchers: int | None = None,
-             seconds: float | None = None) -> s.Night:
+def night_of(
+    workers: int, jobs: int, dispatchers: int | None = None, seconds: float | None = None
+) -> s.Night:
     """Describe a calm, busy night of a size."""
     base, _ = read(find("calm"))
     posts = dispatchers or max(4, workers // 10)
     rate = 3.0 * workers
     length = 1000 * (seconds or max(5.0, jobs / rate))
     quick = round(0.6 * workers)
-    fleet = tuple(s.Worker(f"w{n}", "fast-2c" if n < quick else "slow-2c", "bog-1", n // 4)
-                  for n in range(workers))
-    night = with_parts(base, name=f"{workers} workers", workers=fleet, length=length, troubles=(),
-                       dispatchers=s.Dispatchers((1.0,) * posts))
+    fleet = tuple(
+        s.Worker(f"w{n}", "fast-2c" if n < quick else "slow-2c", "bog-1", n // 4) for n in range(workers)
+    )
+    night = with_parts(
+        base,
+        name=f"{workers} workers",
+        workers=fleet,
+        length=length,
+        troubles=(),
+        dispatchers=s.Dispatchers((1.0,) * posts),
+    )
     capacity = night.capacity * 1000 / night.mean_work
     night = with_parts(night, load=s.Traffic(min(rate, 0.75 * capacity)))
     scale = night.load.rate / sum(t.quota for t in night.tenants)
-    return with_parts(night, tenants=tuple(s.TenantLoad(t.name, t.share, t.quota * scale)
-                                           for t in night.tenants))
+    return with_parts(
+        night, tenants=tuple(s.TenantLoad(t.name, t.share, t.quota * scale) for t in night.tenants)
+    )
 
 
 def measure(night: s.Night, profile: bool = False) -> dict[str, Any]:
@@ -73,12 +84,20 @@
         pstats.Stats(profiler).sort_stats("tottime").print_stats(32)
     wall, cpu = time.perf_counter() - wall, time.process_time() - cpu
     jobs = max(1, figures["requests"])
-    return {"workers": len(night.workers), "dispatchers": len(night.dispatchers.weights),
-            "rate": round(night.load.rate, 1), "jobs": jobs, "night_s": round(world.loop.now / 1000, 1),
-            "wall_s": round(wall, 2), "us_a_job": round(1e6 * cpu / jobs, 1),
-            "module_us_a_job": round(1e6 * spent / jobs, 1), "calls_a_job": round(world.loop.made / jobs, 2),
-            "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
-            "service": figures["service"]["whole"], "broken": figures["rules"]["broken"]}
+    return {
+        "workers": len(night.workers),
+        "dispatchers": len(night.dispatchers.weights),
+        "rate": round(night.load.rate, 1),
+        "jobs": jobs,
+        "night_s": round(world.loop.now / 1000, 1),
+        "wall_s": round(wall, 2),
+        "us_a_job": round(1e6 * cpu / jobs, 1),
+        "module_us_a_job": round(1e6 * spent / jobs, 1),
+        "calls_a_job": round(world.loop.made / jobs, 2),
+        "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
+        "service": figures["service"]["whole"],
+        "broken": figures["rules"]["broken"],
+    }
 
 
 def bytes_a_job(night: s.Night) -> float:
--- a/elderstall/__main__.py
+++ b/elderstall/__main__.py
@@ -21,8 +21,9 @@
     try:
         from elderstall.cli.group import main as tools
     except ModuleNotFoundError as error:
-        print(f"elderstall: {words[0]} needs {error.name}: pip install 'elderstall[rehearsal]'",
-              file=sys.stderr)
+        print(
+            f"elderstall: {words[0]} needs {error.name}: pip install 'elderstall[rehearsal]'", file=sys.stderr
+        )
         return 2
     return tools(words)
 
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -66,25 +66,61 @@
         self.deadlines.failed = lambda error: self.log.failure("deadline", error)
         carrier, listener = (StreamWorkers, ProgressServer) if config.progress.enabled else (Workers, Server)
         self.workers = carrier(
-            self.deadlines, self.connect_worker, self.log, config.report_fields, config.idle_ms,
-            config.worker_connections, config.connect_ms)
-        self.core = Core(config.settings, config.seed, self.deadlines, self.workers, self.log,
-                         config.slack_ms, config.max_open, config.entries_most)
-        self.discovery = Discovery(self.deadlines, self.log, self.connect_discovery, self.workers,
-                                   self.core.listed, config.discovery, config.live_weights)
+            self.deadlines,
+            self.connect_worker,
+            self.log,
+            config.report_fields,
+            config.idle_ms,
+            config.worker_connections,
+            config.connect_ms,
+        )
+        self.core = Core(
+            config.settings,
+            config.seed,
+            self.deadlines,
+            self.workers,
+            self.log,
+            config.slack_ms,
+            config.max_open,
+            config.entries_most,
+        )
+        self.discovery = Discovery(
+            self.deadlines,
+            self.log,
+            self.connect_discovery,
+            self.workers,
+            self.core.listed,
+            config.discovery,
+            config.live_weights,
+        )
         self.core.follow, self.discovery.fits = self.discovery.follow, self.core.view.fits
         self.workers.wrote = self.core.wrote
-        self.console = Console(self.deadlines, self.log, lambda: self.ready, self.core.figures, {
-            "/api/exclude": lambda worker: self.ban("exclude", worker),
-            "/api/include": lambda worker: self.ban("include", worker)})
-        self.server = listener(self.core, self.deadlines, self.log, self.workers.report_of,
-                               config.client_hard, config.client_soft, config.reading_bytes)
+        self.console = Console(
+            self.deadlines,
+            self.log,
+            lambda: self.ready,
+            self.core.figures,
+            {
+                "/api/exclude": lambda worker: self.ban("exclude", worker),
+                "/api/include": lambda worker: self.ban("include", worker),
+            },
+        )
+        self.server = listener(
+            self.core,
+            self.deadlines,
+            self.log,
+            self.workers.report_of,
+            config.client_hard,
+            config.client_soft,
+            config.reading_bytes,
+        )
         if isinstance(self.server, ProgressServer):
             self.server.setup = config.progress
         self.handover: Handover | None = None
         if config.folder is not None:
-            self.handover = h = Handover(self.deadlines, self.log, reactor, config.folder,
-                                         f"elderstall-{config.host}-{config.port}")
+            self.handover = h = Handover(
+                self.deadlines, self.log, reactor, config.folder, f"elderstall-{config.host}-{config.port}"
+            )
             h.state, h.told, h.on_links, h.on_room = self.state, self.told, self.linked, self.server.pass_all
             self.core.on_taken = lambda cid: h.announce("id", id=cid)
             self.server.may_pass, self.server.hand = lambda: h.room, self.hand
@@ -142,8 +178,9 @@
         else:
             self.handover.find().addCallback(self.begin).addErrback(self.not_begun)
 
-    def listen(self, open_port: Callable[[], Any], opened: Callable[[Any], None],
-               tries: int = LISTEN_TRIES) -> None:
+    def listen(
+        self, open_port: Callable[[], Any], opened: Callable[[Any], None], tries: int = LISTEN_TRIES
+    ) -> None:
         """Open a listener, and go on with it; a lack of resources is waited for."""
         if self.stopping:
             # Guards the process that runs: told that another serves, it would leave it its clients.
@@ -205,7 +242,8 @@
         if self.inherited is not None:
             return self.reactor.adoptStreamPort(self.inherited, socket.AF_INET, self.server)
         port = self.reactor.listenTCP(
-            self.config.port, self.server, backlog=BACKLOG, interface=self.config.host)
+            self.config.port, self.server, backlog=BACKLOG, interface=self.config.host
+        )
         port._shouldShutdown = False  # it may be shared with a next process, which goes on with it
         return port
 
@@ -238,13 +276,17 @@
         """Give a new process what it needs, and the listener."""
         core, clock = self.core, self.deadlines.shared()
         return {
-            "clock": clock.plain(), "starts": self.discovery.starts.written(clock),
+            "clock": clock.plain(),
+            "starts": self.discovery.starts.written(clock),
             "known": told_as(self.discovery.index, core.view.entries.values(), self.discovery.addresses),
             "discovery": self.config.discovery,
             "banned": {name: clock.written(since) for name, since in core.view.banned.items()},
-            "back": {name: (clock.written(since), clock.written(until))
-                     for name, (since, until) in core.view.put_back.items()},
-            "ids": [*core.elsewhere, *core.answered, *core.by_cid], "begun": self.server.streamed(),
+            "back": {
+                name: (clock.written(since), clock.written(until))
+                for name, (since, until) in core.view.put_back.items()
+            },
+            "ids": [*core.elsewhere, *core.answered, *core.by_cid],
+            "begun": self.server.streamed(),
             "learned": write_learned(learned(core.module), core.view, clock),
             "held": len(self.server.connections),
         }, os.dup(self.port.fileno())
@@ -253,8 +295,9 @@
         """Take what the process that runs hands over."""
         view, clock = self.core.view, SharedClock.of_message(state, self.deadlines.offset)
         view.banned.update((name, clock.read(since)) for name, since in state["banned"].items())
-        view.put_back.update((name, (clock.read(since), clock.read(until)))
-                             for name, (since, until) in state["back"].items())
+        view.put_back.update(
+            (name, (clock.read(since), clock.read(until))) for name, (since, until) in state["back"].items()
+        )
         self.discovery.starts.inherit(state.get("starts", {}), clock)
         for cid in state["ids"]:
             self.core.taken_elsewhere(cid)
@@ -351,7 +394,8 @@
         done: Deferred[bool] = Deferred()
         if self.port is None and patience:  # what the process that runs hands over is still to come
             self.deadlines.after(
-                LOOK_EVERY, lambda: self.ban(what, worker, patience - 1).addCallback(done.callback))
+                LOOK_EVERY, lambda: self.ban(what, worker, patience - 1).addCallback(done.callback)
+            )
             return done
         good = (self.core.exclude if what == "exclude" else self.core.include)(worker)
         if self.handover is None:
@@ -402,8 +446,9 @@
         if (new.settings, new.slack_ms, new.max_open) != (old.settings, old.slack_ms, old.max_open):
             self.core.retune(new.settings, new.slack_ms, new.max_open)
             self.server.retuned()
-            self.log.write("reload", f"classes are {', '.join(self.core.classes)}; "
-                                     f"{new.settings.max_attempts} attempts")
+            self.log.write(
+                "reload", f"classes are {', '.join(self.core.classes)}; {new.settings.max_attempts} attempts"
+            )
         self.log.write("reload", f"discovery is at {told.discovery}" + ("" if moved else ", as before"))
         if moved:
             self.discovery.move(told.discovery)
@@ -454,8 +499,14 @@
         """End once nothing is owed and every client's connection is closed."""
         leaving = self.handover is not None and any(link.sent for link in self.handover.links)
         clients = any(c.client or c.passing is not None for c in self.server.connections)
-        owed = (len(self.core.jobs) or not self.server.quiet or clients or leaving or self.adopting
-                or self.console.answering)
+        owed = (
+            len(self.core.jobs)
+            or not self.server.quiet
+            or clients
+            or leaving
+            or self.adopting
+            or self.console.answering
+        )
         if owed or not self.unseen():
             self.deadlines.after(LOOK_EVERY, self.look)
             return
--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -44,21 +44,40 @@
 
 def listed_of(e: Fields, live: bool) -> i.Listed:
     """Translate one line of a list; weights that are not live say nothing of the jobs held."""
-    return i.Listed(e["worker"], e.get("generation_hw") or "", e.get("area"), e.get("cluster") or 0,
-                    e.get("ready_at") or None, lookup(STATES, e["lifecycle"], "lifecycle"),
-                    (live and e.get("rating")) or 1.0)
+    return i.Listed(
+        e["worker"],
+        e.get("generation_hw") or "",
+        e.get("area"),
+        e.get("cluster") or 0,
+        e.get("ready_at") or None,
+        lookup(STATES, e["lifecycle"], "lifecycle"),
+        (live and e.get("rating")) or 1.0,
+    )
 
 
 def job_of(e: Fields) -> i.Event:
     """Translate a request."""
-    return i.JobArrived(e["id"], e["priority"], e["budget"], e.get("team") or None, e.get("subject"),
-                        e.get("predicted"), e.get("cores_needed") or 1)
+    return i.JobArrived(
+        e["id"],
+        e["priority"],
+        e["budget"],
+        e.get("team") or None,
+        e.get("subject"),
+        e.get("predicted"),
+        e.get("cores_needed") or 1,
+    )
 
 
 def ended_of(e: Fields) -> i.Event:
     """Translate an outcome."""
-    return i.AttemptEnded(e["id"], e["send_no"], e["worker"], lookup(ENDINGS, e["ending"], "ending"),
-                          bool(e["terminal"]), tuple(e.get("stats") or ()))
+    return i.AttemptEnded(
+        e["id"],
+        e["send_no"],
+        e["worker"],
+        lookup(ENDINGS, e["ending"], "ending"),
+        bool(e["terminal"]),
+        tuple(e.get("stats") or ()),
+    )
 
 
 def noted_of(e: Fields) -> i.Event:
--- a/elderstall/choice.py
+++ b/elderstall/choice.py
@@ -107,11 +107,19 @@
         self.intervals, self.ask_at, self.calls = 0, math.inf, ListCalls()  # sized in adopt
         self.largest, self.held_mean = defaultdict[str, float](float), 0.0  # by the list's live weights
         self.handlers: dict[type, Callable[[Any], None]] = {
-            i.Begin: self.begin, i.WorkerList: self.listed, i.JobArrived: self.arrived,
-            i.AttemptNoted: self.noted, i.AttemptEnded: self.attempt_ended, i.JobLeft: self.left,
-            i.TimerFired: self.timer, i.AnswerBegan: self.left, i.Retuned: partial(retuned, self),
-            i.Probed: self.probed, i.Learned: partial(relearned, self),
-            i.JobInherited: partial(inherited, self), i.WorkersForgotten: Forgetting(self),
+            i.Begin: self.begin,
+            i.WorkerList: self.listed,
+            i.JobArrived: self.arrived,
+            i.AttemptNoted: self.noted,
+            i.AttemptEnded: self.attempt_ended,
+            i.JobLeft: self.left,
+            i.TimerFired: self.timer,
+            i.AnswerBegan: self.left,
+            i.Retuned: partial(retuned, self),
+            i.Probed: self.probed,
+            i.Learned: partial(relearned, self),
+            i.JobInherited: partial(inherited, self),
+            i.WorkersForgotten: Forgetting(self),
         }
         self.tiers = 0
         self.adopt(settings)
@@ -141,8 +149,10 @@
         self.rotations = Rotations(self.pools, self.group)
         # Pools start alike; where many, who are long in solving, work over shares alone gets little.
         used = {self.tier_of(c.worth) for c in settings.classes if self.many}
-        self.policy = Policy((0,) * len(pairs(self.tiers)),
-                             tuple(1 if used and t not in used else 1000 for t in range(self.tiers)))
+        self.policy = Policy(
+            (0,) * len(pairs(self.tiers)),
+            tuple(1 if used and t not in used else 1000 for t in range(self.tiers)),
+        )
         self.shares = flows(self.policy, self.tiers)
         self.held: list[list[Job]] = [[] for _ in range(self.tiers + 1)]  # a tier each, then the late
         # Jobs, slot-work, work and aim by tier: of this interval, and smoothed.
@@ -268,7 +278,7 @@
         self.keepers.clear()
         at = 0
         for pool, n in zip(self.pools, self.policy.sizes, strict=True):
-            pool[:] = self.cut[at:at + n] + self.common
+            pool[:] = self.cut[at : at + n] + self.common
             at += n
         self.rotations.fill()
 
@@ -324,8 +334,12 @@
         self.part = sum(w.fair for w in fleet)
         self.pace = sum(w.slots for w in fleet) / power
         if resize:
-            self.actions.append(i.Log(f"{self.policy}, our part {self.part:.0f} slots, {self.running} run, "
-                                      f"pace {self.pace:.2f}, {sum(map(len, self.held))} jobs held"))
+            self.actions.append(
+                i.Log(
+                    f"{self.policy}, our part {self.part:.0f} slots, {self.running} run, "
+                    f"pace {self.pace:.2f}, {sum(map(len, self.held))} jobs held"
+                )
+            )
         jobs = sum(seen[0] for seen in self.load_seen)
         allowed = [us for us in (self.s.cpu_us_per_s * INTERVAL / 1000, self.s.cpu_us_per_job * jobs) if us]
         most = min(S_BUDGET if resize else F_BUDGET, JOB_EVALS * jobs)
@@ -506,7 +520,7 @@
 
     def place(self, job: Job) -> None:
         """Send the job if a worker has room, else hold it; one that can't be done in its time is answered."""
-        late = self.out_of_time(job) or any(self.held[:self.bucket(job) + 1])
+        late = self.out_of_time(job) or any(self.held[: self.bucket(job) + 1])
         if self.asks and not late and job.ran_on is None:
             if not job.sent and self.rng.random() < self.pressure.refuses(job.worth):
                 # Guards what is worth more from the queues that a full fleet's workers would fill for all.
@@ -572,8 +586,17 @@
         del self.asking[job.id]
         run, aim = LONG * job.work, job.cls.aim + job.cls.stretch * LONG * job.work
         free = [w for w in job.asked if self.has_room(w, job)]
-        best = min(free, default=None, key=lambda w: (
-            w.free < FREE_LEAST, w.told < job.asked_at - TOLD_FOR, run > aim * w.speed, -w.free, -w.speed))
+        best = min(
+            free,
+            default=None,
+            key=lambda w: (
+                w.free < FREE_LEAST,
+                w.told < job.asked_at - TOLD_FOR,
+                run > aim * w.speed,
+                -w.free,
+                -w.speed,
+            ),
+        )
         if (best is None or best.free < FREE_LEAST) and job.rounds < ROUNDS and self.ask_around(job):
             return
         if (best := best or (None if self.out_of_time(job) else self.choose(job))) is not None:
@@ -617,8 +640,16 @@
             job.held = True
             self.held[self.bucket(job)].append(job)
             self.watch_held()
-            self.ask(sorted((w for w in self.cut + self.common if self.pulls and w.used and
-                             not w.asked and w.skip_until < self.now), key=lambda w: w.told)[:PULLED])
+            self.ask(
+                sorted(
+                    (
+                        w
+                        for w in self.cut + self.common
+                        if self.pulls and w.used and not w.asked and w.skip_until < self.now
+                    ),
+                    key=lambda w: w.told,
+                )[:PULLED]
+            )
 
     def bucket(self, job: Job) -> int:
         """Say with which held jobs a job waits: by the worth that a slot's time brings (incident i90de53)."""
@@ -684,8 +715,11 @@
         """Give the final answer: a refusal where trying again is harmless, else a failure."""
         self.close(job)
         cls = job.cls
-        harmless = cls.effect is Effect.SAFE or (job.ran_on is None and job.out == 0) or (
-            cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
+        harmless = (
+            cls.effect is Effect.SAFE
+            or (job.ran_on is None and job.out == 0)
+            or (cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
+        )
         self.actions.append(i.Refuse(job.id, self.come_back(), why) if harmless else i.Fail(job.id))
 
     def come_back(self) -> float:
--- a/elderstall/cli/rehearse.py
+++ b/elderstall/cli/rehearse.py
@@ -19,8 +19,13 @@
 from elderstall.rehearsal.script import Night
 from elderstall.rehearsal.world import World
 
-settings = click.option("--set", "changes", multiple=True, metavar="KEY=VALUE",
-                        help="lay a value over the script, such as load/rate=40 or slow/factor=3")
+settings = click.option(
+    "--set",
+    "changes",
+    multiple=True,
+    metavar="KEY=VALUE",
+    help="lay a value over the script, such as load/rate=40 or slow/factor=3",
+)
 seed_option = click.option("--seed", type=click.IntRange(0), help="instead of the script's")
 
 
@@ -44,8 +49,15 @@
 def progress_bar(what: str) -> Progress:
     """Make a progress bar on standard error, for people alone."""
     console = Console(stderr=True)
-    return Progress(TextColumn(what), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(),
-                    console=console, disable=not console.is_terminal, transient=True)
+    return Progress(
+        TextColumn(what),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TimeRemainingColumn(),
+        console=console,
+        disable=not console.is_terminal,
+        transient=True,
+    )
 
 
 def played(night: Night, seed: int | None, explain: int | None = None) -> tuple[dict[str, Any], World, float]:
@@ -70,11 +82,15 @@
     def say(*parts: str) -> None:
         out.print("".join(parts), soft_wrap=True)
 
-    say(f"[bold]{figures['night']}[/bold], seed {figures['seed']}: {figures['requests']} requests, ",
-        f"{figures['workers']} workers, {figures['dispatchers']} dispatchers, {figures['length_s']:g} s")
-    say(f"figure [bold]{figures['figure'] or 0:.3f}[/bold]   service {percent(service['whole'])}, ",
+    say(
+        f"[bold]{figures['night']}[/bold], seed {figures['seed']}: {figures['requests']} requests, ",
+        f"{figures['workers']} workers, {figures['dispatchers']} dispatchers, {figures['length_s']:g} s",
+    )
+    say(
+        f"figure [bold]{figures['figure'] or 0:.3f}[/bold]   service {percent(service['whole'])}, ",
         f"worst 10 s {percent(service['worst_10_s'])} from {service['worst_10_s_from']} s, ",
-        f"worst class {percent(service['worst_class'])}, worst tenant {percent(service['worst_tenant'])}")
+        f"worst class {percent(service['worst_class'])}, worst tenant {percent(service['worst_tenant'])}",
+    )
     table = Table(box=None, pad_edge=False)
     for name in ("class", "service", "served", "late", "refused", "failed", "p50 ms", "p99 ms"):
         table.add_column(name, justify="left" if name == "class" else "right")
@@ -82,21 +98,36 @@
     for name, c in figures["classes"].items():
         endings, latency = c["endings"], c["latency_ms"]
         failed = sum(n for what, n in endings.items() if what not in (*shown_endings, "left"))
-        table.add_row(name, percent(c["service"]), *(str(endings.get(e, 0)) for e in shown_endings),
-                      str(failed), *(f"{latency[q]:.0f}" if latency else "-" for q in ("p50", "p99")))
+        table.add_row(
+            name,
+            percent(c["service"]),
+            *(str(endings.get(e, 0)) for e in shown_endings),
+            str(failed),
+            *(f"{latency[q]:.0f}" if latency else "-" for q in ("p50", "p99")),
+        )
     out.print(table)
-    say(f"{figures['attempts']} attempts, {figures['retries']} retries, ",
+    say(
+        f"{figures['attempts']} attempts, {figures['retries']} retries, ",
         f"{figures['connections']} connections; ",
         f"cores {percent(core['busy'])} busy, {percent(core['overhead'])} connections, ",
         f"{percent(core['down'] + core['paused'])} down or paused; ",
-        f"{figures['work']['wasted_s']:.0f} of {figures['work']['core_s']:.0f} core s wasted")
+        f"{figures['work']['wasted_s']:.0f} of {figures['work']['core_s']:.0f} core s wasted",
+    )
     for t in figures["troubles"]:
-        say(f"  {t['at_s']:g} s  {t['kind']}", f" for {t['for_s']:g} s" if t["for_s"] else "",
-            ": " + ", ".join(t["struck"][:6]) if t["struck"] else "", " ..." if len(t["struck"]) > 6 else "")
+        say(
+            f"  {t['at_s']:g} s  {t['kind']}",
+            f" for {t['for_s']:g} s" if t["for_s"] else "",
+            ": " + ", ".join(t["struck"][:6]) if t["struck"] else "",
+            " ..." if len(t["struck"]) > 6 else "",
+        )
     if figures["most_lost"]:
-        say("most worth lost with requests ", ", ".join(
-            f"{row['request']} ({row['class']}, {row['ending']}, {percent(row['share_of_worth'])})"
-            for row in figures["most_lost"][:3]))
+        say(
+            "most worth lost with requests ",
+            ", ".join(
+                f"{row['request']} ({row['class']}, {row['ending']}, {percent(row['share_of_worth'])})"
+                for row in figures["most_lost"][:3]
+            ),
+        )
     say(f"{1e6 * cpu / max(1, figures['requests']):.0f} us of CPU a request on this machine")
 
 
@@ -107,8 +138,10 @@
         complain(f"rule {b['rule']} broken at {b['at_s']:g} s: {b['what']}")
         for line in b["history"]:
             click.echo(f"    {line}", err=True)
-    complain(f"{rules['broken']} times a rule was broken" + (
-        f", of which {len(rules['first'])} are shown" if rules["broken"] > len(rules["first"]) else ""))
+    complain(
+        f"{rules['broken']} times a rule was broken"
+        + (f", of which {len(rules['first'])} are shown" if rules["broken"] > len(rules["first"]) else "")
+    )
 
 
 @click.group()
@@ -122,8 +155,9 @@
 @settings
 @click.option("--json", "json_path", metavar="FILE", help="write the figures there; - for standard output")
 @click.option("--report", metavar="FILE", help="write a report with plots there, as HTML")
-def run(script: str, seed: int | None, changes: tuple[str, ...], json_path: str | None,
-        report: str | None) -> int:
+def run(
+    script: str, seed: int | None, changes: tuple[str, ...], json_path: str | None, report: str | None
+) -> int:
     """Play the night SCRIPT, a file or the name of one that comes with the program.
 
     Exit status 1 if a rule was broken.
@@ -155,25 +189,38 @@
     if as_json:
         write_json(summary, "-")
     else:
-        shown().print(f"{night.name}: {summary['workers']} workers, {summary['dispatchers']} dispatchers, "
-                      f"{summary['rate']:g} jobs a second for {summary['length_s']:g} s, "
-                      f"{percent(summary['load'])} of what the fleet can do, {len(night.troubles)} troubles")
+        shown().print(
+            f"{night.name}: {summary['workers']} workers, {summary['dispatchers']} dispatchers, "
+            f"{summary['rate']:g} jobs a second for {summary['length_s']:g} s, "
+            f"{percent(summary['load'])} of what the fleet can do, {len(night.troubles)} troubles"
+        )
     return GOOD
 
 
 def summary_of(night: Night) -> dict[str, Any]:
     """Say in figures what a night holds."""
     rate = night.load.rate
-    return {"name": night.name, "describe": night.describe, "length_s": night.length / 1000,
-            "workers": len(night.workers), "dispatchers": len(night.dispatchers.weights),
-            "rate": round(rate, 3), "load": round(rate * night.mean_work / 1000 / night.capacity, 4),
-            "troubles": [t.kind for t in night.troubles]}
+    return {
+        "name": night.name,
+        "describe": night.describe,
+        "length_s": night.length / 1000,
+        "workers": len(night.workers),
+        "dispatchers": len(night.dispatchers.weights),
+        "rate": round(rate, 3),
+        "load": round(rate * night.mean_work / 1000 / night.capacity, 4),
+        "troubles": [t.kind for t in night.troubles],
+    }
 
 
 @rehearse.command(name="list")
 @click.option("--json", "as_json", is_flag=True, help="for programs")
-@click.option("--folder", type=click.Path(exists=True, file_okay=False, path_type=Path), default=SHIPPED,
-              help="where the scripts are", show_default=False)
+@click.option(
+    "--folder",
+    type=click.Path(exists=True, file_okay=False, path_type=Path),
+    default=SHIPPED,
+    help="where the scripts are",
+    show_default=False,
+)
 def list_scripts(as_json: bool, folder: Path) -> int:
     """List the nights that come with the program."""
     rows, good = [], True
@@ -190,8 +237,13 @@
         for name in ("night", "s", "workers", "jobs/s", "what happens"):
             table.add_column(name, justify="right" if name in ("s", "workers", "jobs/s") else "left")
         for row in rows:
-            table.add_row(row["name"], f"{row['length_s']:g}", str(row["workers"]), f"{row['rate']:.0f}",
-                          row["describe"])
+            table.add_row(
+                row["name"],
+                f"{row['length_s']:g}",
+                str(row["workers"]),
+                f"{row['rate']:.0f}",
+                row["describe"],
+            )
         shown().print(table)
     return GOOD if good else BAD
 
@@ -212,15 +264,33 @@
 @rehearse.command()
 @click.argument("first")
 @click.argument("second")
-@click.option("--seeds", default="1-8", callback=seeds_of, metavar="1-8", show_default=True,
-              help="each is played by both")
+@click.option(
+    "--seeds",
+    default="1-8",
+    callback=seeds_of,
+    metavar="1-8",
+    show_default=True,
+    help="each is played by both",
+)
 @click.option("--set", "changes", multiple=True, metavar="KEY=VALUE", help="lay a value over both scripts")
-@click.option("--set-second", "second_changes", multiple=True, metavar="KEY=VALUE",
-              help="lay a value over the second alone, so that two settings of one night can be compared")
+@click.option(
+    "--set-second",
+    "second_changes",
+    multiple=True,
+    metavar="KEY=VALUE",
+    help="lay a value over the second alone, so that two settings of one night can be compared",
+)
 @click.option("--processes", type=click.IntRange(1), help="plays at once (all cores)")
 @click.option("--json", "json_path", metavar="FILE", help="write the comparison there; - for standard output")
-def compare(first: str, second: str, seeds: list[int], changes: tuple[str, ...],
-            second_changes: tuple[str, ...], processes: int | None, json_path: str | None) -> int:
+def compare(
+    first: str,
+    second: str,
+    seeds: list[int],
+    changes: tuple[str, ...],
+    second_changes: tuple[str, ...],
+    processes: int | None,
+    json_path: str | None,
+) -> int:
     """Compare the nights FIRST and SECOND, paired by seed, with 95% intervals of the difference."""
     from elderstall.rehearsal.compare import compare as pair_up
 
@@ -230,17 +300,30 @@
         table, pairs = pair_up(nights, seeds, lambda: bar.advance(task), processes)
     broken = sum(side["rules"]["broken"] for pair in pairs for side in pair)
     if json_path:
-        write_json({"first": first, "second": second, "seeds": seeds, "broken": broken,
-                    "pairs": [[side["figure"] for side in pair] for pair in pairs],
-                    "measures": [asdict(d) for d in table]}, json_path)
+        write_json(
+            {
+                "first": first,
+                "second": second,
+                "seeds": seeds,
+                "broken": broken,
+                "pairs": [[side["figure"] for side in pair] for pair in pairs],
+                "measures": [asdict(d) for d in table],
+            },
+            json_path,
+        )
     if json_path != "-":
         out = Table(box=None, pad_edge=False)
         for name in ("", first, second if second != first else "second", "difference", "95% interval"):
             out.add_column(name, justify="left" if not name else "right")
         for d in table:
             low, high = d.difference - (d.half or 0.0), d.difference + (d.half or 0.0)
-            out.add_row(d.name, f"{d.first:.4f}", f"{d.second:.4f}", f"{d.difference:+.4f}",
-                        "-" if d.half is None else f"{low:+.4f} to {high:+.4f}{' *' if d.clear else '  '}")
+            out.add_row(
+                d.name,
+                f"{d.first:.4f}",
+                f"{d.second:.4f}",
+                f"{d.difference:+.4f}",
+                "-" if d.half is None else f"{low:+.4f} to {high:+.4f}{' *' if d.clear else '  '}",
+            )
         shown().print(out)
         shown().print(f"{len(seeds)} pairs; * where the interval leaves out zero")
     if broken:
@@ -261,15 +344,34 @@
 
 @rehearse.command()
 @click.argument("script")
-@click.option("--dispatcher", "dispatchers", multiple=True, required=True, callback=address,
-              metavar="HOST:PORT", help="where a dispatcher will listen; may be given several times")
-@click.option("--write", "folder", type=click.Path(file_okay=False, path_type=Path), default="build/serve",
-              show_default=True, help="where a configuration for each dispatcher is written")
+@click.option(
+    "--dispatcher",
+    "dispatchers",
+    multiple=True,
+    required=True,
+    callback=address,
+    metavar="HOST:PORT",
+    help="where a dispatcher will listen; may be given several times",
+)
+@click.option(
+    "--write",
+    "folder",
+    type=click.Path(file_okay=False, path_type=Path),
+    default="build/serve",
+    show_default=True,
+    help="where a configuration for each dispatcher is written",
+)
 @click.option("--for", "seconds", type=click.FloatRange(0, min_open=True), help="stop after so many seconds")
 @seed_option
 @settings
-def serve(script: str, dispatchers: list[tuple[str, int]], folder: Path, seconds: float | None,
-          seed: int | None, changes: tuple[str, ...]) -> int:
+def serve(
+    script: str,
+    dispatchers: list[tuple[str, int]],
+    folder: Path,
+    seconds: float | None,
+    seed: int | None,
+    changes: tuple[str, ...],
+) -> int:
     """Put the workers, the list and the troubles of SCRIPT on loopback sockets, in real time.
 
     Dispatchers are started by hand with the configuration written for each. At the end, or at an interrupt,
@@ -308,15 +410,24 @@
         return FAILED
     lines = lines_of(request)
     summary = {
-        "request": job, "class": request.load.cls.name, "tenant": request.tenant, "ending": request.ended,
-        "asked_s": round(request.asked / 1000, 4), "wanted_s": round(request.aim / 1000, 4),
-        "work_ms": round(request.work, 3), "slots": request.slots, "in_share": request.in_share}
+        "request": job,
+        "class": request.load.cls.name,
+        "tenant": request.tenant,
+        "ending": request.ended,
+        "asked_s": round(request.asked / 1000, 4),
+        "wanted_s": round(request.aim / 1000, 4),
+        "work_ms": round(request.work, 3),
+        "slots": request.slots,
+        "in_share": request.in_share,
+    }
     if as_json:
         write_json({**summary, "history": lines}, "-")
     else:
-        click.echo(f"request {job}: {request.load.cls.name} of {request.tenant or 'nobody'}, "
-                   f"{request.work:.0f} ms of work, asked at {request.asked / 1000:.4f} s, "
-                   f"wanted by {request.aim / 1000:.4f} s, ended {request.ended}")
+        click.echo(
+            f"request {job}: {request.load.cls.name} of {request.tenant or 'nobody'}, "
+            f"{request.work:.0f} ms of work, asked at {request.asked / 1000:.4f} s, "
+            f"wanted by {request.aim / 1000:.4f} s, ended {request.ended}"
+        )
         for line in lines:
             click.echo(line)
     return GOOD
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -18,13 +18,23 @@
 def main(argv: list[str] | None = None) -> int:
     """Run the command given; without one, a dispatcher."""
     parser = argparse.ArgumentParser(
-        prog="elderstall", description="A job dispatcher.",
-        epilog="Tools, each with a --help of its own: elderstall rehearse (bad nights in virtual time).")
-    parser.add_argument("command", nargs="?", choices=("run", "check"), default="run",
-                        help="run a dispatcher (default), or check its configuration and stop")
+        prog="elderstall",
+        description="A job dispatcher.",
+        epilog="Tools, each with a --help of its own: elderstall rehearse (bad nights in virtual time).",
+    )
+    parser.add_argument(
+        "command",
+        nargs="?",
+        choices=("run", "check"),
+        default="run",
+        help="run a dispatcher (default), or check its configuration and stop",
+    )
     parser.add_argument("--config", metavar="FILE", help="the platform's JSON (default: $RELAY_CONFIG)")
-    parser.add_argument("--front", metavar="FILE",
-                        help="an operator's file for the progress front (default: $ELDERSTALL_FRONT)")
+    parser.add_argument(
+        "--front",
+        metavar="FILE",
+        help="an operator's file for the progress front (default: $ELDERSTALL_FRONT)",
+    )
     args = parser.parse_args(argv)
     early: list[int] = []  # signals to read the configuration again that come from its first reading on
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
@@ -34,8 +44,10 @@
         complain(str(error))
         return 2
     if args.command == "check":
-        print(f"{config.name}: {len(config.settings.classes)} classes, "
-              f"{len(config.known['endpoints'])} known workers, listens on {config.host}:{config.port}")
+        print(
+            f"{config.name}: {len(config.settings.classes)} classes, "
+            f"{len(config.known['endpoints'])} known workers, listens on {config.host}:{config.port}"
+        )
         return 0
     loop: Any = monotonic_reactor.install()  # as zope's interfaces say nothing to mypy
     app = App(config, loop, lambda: load(args.config, os.environ, args.front))
--- a/elderstall/client/policy.py
+++ b/elderstall/client/policy.py
@@ -137,8 +137,16 @@
 class Call:
     """One call, from its first try to its one end."""
 
-    def __init__(self, rule: Rule, habits: Habits, budget: RetryBudget, now: float,
-                 new_id: Callable[[], str], uniform: Iterator[float], time_left: float | None = None) -> None:
+    def __init__(
+        self,
+        rule: Rule,
+        habits: Habits,
+        budget: RetryBudget,
+        now: float,
+        new_id: Callable[[], str],
+        uniform: Iterator[float],
+        time_left: float | None = None,
+    ) -> None:
         self.rule, self.habits, self.budget = rule, habits, budget
         self.new_id, self.uniform = new_id, uniform
         self.deadline = now + (rule.deadline if time_left is None else min(time_left, rule.deadline))
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -177,18 +177,29 @@
     if not isinstance(fields, list) or not all(isinstance(f, str) for f in fields):
         raise ConfigError("settings.load_report.fields: must be names")
     return Config(
-        name=told("name"), host=host, port=port, discovery=told("discovery"), seed=seed, settings=settings,
-        known=known, live_weights=live, report_fields=tuple(fields),
+        name=told("name"),
+        host=host,
+        port=port,
+        discovery=told("discovery"),
+        seed=seed,
+        settings=settings,
+        known=known,
+        live_weights=live,
+        report_fields=tuple(fields),
         slack_ms=number(rules, "answer_slack", 0.0, "settings.rules"),
         idle_ms=number(limits, "conn_idle", 10_000.0, "settings.limits", 1) * IDLE_PART,
         connect_ms=number(limits, "connect_timeout", 250.0, "settings.limits") or 250.0,
         max_open=int(number(limits, "max_open", 20_000, "settings.limits", 1)),
-        worker_connections=workers, client_soft=int((usable - workers) * SOFT_PART),
+        worker_connections=workers,
+        client_soft=int((usable - workers) * SOFT_PART),
         client_hard=usable - workers,
         reading_bytes=int(max(READING_LEAST, (memory - FOOTPRINT) * READING_PART) * 1024 * 1024),
-        progress=progress_of(front), console=address_of(console, "console") if console else None,
-        folder=env.get("TMPDIR") or None, entries_most=entries_most(memory),
-        raw={**raw, "known": None} if "known" in raw else raw)  # the list is not kept a second time
+        progress=progress_of(front),
+        console=address_of(console, "console") if console else None,
+        folder=env.get("TMPDIR") or None,
+        entries_most=entries_most(memory),
+        raw={**raw, "known": None} if "known" in raw else raw,
+    )  # the list is not kept a second time
 
 
 FIXED = {"name": "name", "listen": "host port", "console": "console"}  # what the sockets were made with
@@ -196,8 +207,11 @@
 
 def fixed_keys(old: Config, new: Config) -> list[str]:
     """Name the keys that differ and that a running program cannot change."""
-    keys = [key for key, names in FIXED.items()
-            if any(getattr(old, name) != getattr(new, name) for name in names.split())]
+    keys = [
+        key
+        for key, names in FIXED.items()
+        if any(getattr(old, name) != getattr(new, name) for name in names.split())
+    ]
     return keys + ["front.progress.enabled"] * (old.progress.enabled is not new.progress.enabled)
 
 
@@ -211,8 +225,12 @@
                 return found
     elif isinstance(old, list) and isinstance(new, list):
         entries = [e for e in old if isinstance(e, dict)]
-        shared = {name: value for e in entries[:1] for name, value in e.items()
-                  if all(name in other for other in entries)}
+        shared = {
+            name: value
+            for e in entries[:1]
+            for name, value in e.items()
+            if all(name in other for other in entries)
+        }
         for n, entry in enumerate(new if entries else ()):
             if (found := lacking(shared, entry, f"{key[:-1]}[{n}].")) is not None:
                 return found
@@ -228,8 +246,15 @@
     """
     if (key := lacking(old.raw, new.raw)) is not None:
         raise ConfigError(f"{key}: is missing, the file in use has it")
-    return replace(new, name=old.name, host=old.host, port=old.port, console=old.console, seed=old.seed,
-                   progress=replace(new.progress, enabled=old.progress.enabled))
+    return replace(
+        new,
+        name=old.name,
+        host=old.host,
+        port=old.port,
+        console=old.console,
+        seed=old.seed,
+        progress=replace(new.progress, enabled=old.progress.enabled),
+    )
 
 
 def no_number(text: str) -> float:
--- a/elderstall/core.py
+++ b/elderstall/core.py
@@ -86,8 +86,17 @@
 class Core:
     """One dispatcher: the module, its jobs and the rules."""
 
-    def __init__(self, settings: i.Settings, seed: int, deadlines: Deadlines, carrier: Carrier, log: Log,
-                 slack: float = 8.0, max_open: int = 20_000, entries_most: int = ENTRIES_MOST) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        seed: int,
+        deadlines: Deadlines,
+        carrier: Carrier,
+        log: Log,
+        slack: float = 8.0,
+        max_open: int = 20_000,
+        entries_most: int = ENTRIES_MOST,
+    ) -> None:
         self.s, self.deadlines, self.carrier, self.log = settings, deadlines, carrier, log
         self.module = Dispatcher(settings, seed)
         self.slack, self.part = slack, 1.0  # part: of this process, of the dispatcher's cold budget
@@ -109,9 +118,13 @@
         self.started = False  # the list known at the start has been taken
         self.on_empty: Callable[[], None] = lambda: None
         self.doing: dict[type, Callable[..., None]] = {
-            i.Send: self.send, i.Probe: self.probe, i.Refuse: self.refuse, i.Fail: self.fail,
+            i.Send: self.send,
+            i.Probe: self.probe,
+            i.Refuse: self.refuse,
+            i.Fail: self.fail,
             i.SetTimer: self.set_timer,
-            i.FollowList: lambda _: self.call(), i.Log: lambda a: self.log.write("module", a.text),
+            i.FollowList: lambda _: self.call(),
+            i.Log: lambda a: self.log.write("module", a.text),
         }
 
     # ---- the module ----
@@ -264,8 +277,9 @@
         self.on_taken(ask.cid)
         # Guards rule 1 whatever the module does: half the slack past the deadline the core answers itself.
         job.guard = self.deadlines.at(job.deadline + self.slack / 2, self.overdue, job)
-        self.feed(i.JobArrived(job.number, ask.job_class, ask.budget, ask.tenant, ask.key, ask.work_hint,
-                               ask.slots))
+        self.feed(
+            i.JobArrived(job.number, ask.job_class, ask.budget, ask.tenant, ask.key, ask.work_hint, ask.slots)
+        )
         return job.number
 
     # ---- an upgrade: jobs that move from one process to the next, as plain data ----
@@ -284,12 +298,23 @@
         ask, clock = job.ask, self.deadlines.shared()
         cls = {**asdict(job.cls), "effect": job.cls.effect.value, "scope": job.cls.scope.value}
         state = {
-            "cid": ask.cid, "cls": cls, "tenant": ask.tenant, "key": ask.key, "hint": ask.work_hint,
-            "slots": ask.slots, "sent": job.sent, "clock": clock.plain(),
-            "arrived": clock.written(job.arrived), "deadline": clock.written(job.deadline),
-            "ran": job.may_have_run, "ran_at": clock.written(job.ran_at) if job.may_have_run else None,
-            "unsure": sorted(job.unsure), "back": sorted(job.back), "to_tell": job.to_tell,
-            "attempt": None if a is None else [a.worker, clock.written(a.sent), clock.written(a.ends)]}
+            "cid": ask.cid,
+            "cls": cls,
+            "tenant": ask.tenant,
+            "key": ask.key,
+            "hint": ask.work_hint,
+            "slots": ask.slots,
+            "sent": job.sent,
+            "clock": clock.plain(),
+            "arrived": clock.written(job.arrived),
+            "deadline": clock.written(job.deadline),
+            "ran": job.may_have_run,
+            "ran_at": clock.written(job.ran_at) if job.may_have_run else None,
+            "unsure": sorted(job.unsure),
+            "back": sorted(job.back),
+            "to_tell": job.to_tell,
+            "attempt": None if a is None else [a.worker, clock.written(a.sent), clock.written(a.ends)],
+        }
         job.closed, job.attempt = True, None
         for timer in (job.guard, a.timer if a is not None else None):
             if timer is not None:
@@ -307,11 +332,29 @@
         state = self.with_own_readings(state)
         told = state["cls"]
         cls = i.JobClass(**{**told, "effect": Effect(told["effect"]), "scope": Scope(told["scope"])})
-        ask = Ask(state["cid"], cls.name, state["deadline"] - state["arrived"], parcel, state["tenant"],
-                  state["key"], state["hint"], state["slots"], cls.effect is Effect.SAFE)
-        job = Job(ask, client, cls, state["arrived"], state["deadline"], sent=state["sent"],
-                  may_have_run=state["ran"], unsure=set(state["unsure"]), back=set(state.get("back", ())),
-                  to_tell=state.get("to_tell"))
+        ask = Ask(
+            state["cid"],
+            cls.name,
+            state["deadline"] - state["arrived"],
+            parcel,
+            state["tenant"],
+            state["key"],
+            state["hint"],
+            state["slots"],
+            cls.effect is Effect.SAFE,
+        )
+        job = Job(
+            ask,
+            client,
+            cls,
+            state["arrived"],
+            state["deadline"],
+            sent=state["sent"],
+            may_have_run=state["ran"],
+            unsure=set(state["unsure"]),
+            back=set(state.get("back", ())),
+            to_tell=state.get("to_tell"),
+        )
         if job.may_have_run:  # a process of before this was told says nothing of when: at the earliest
             job.ran_at = state.get("ran_at") or job.arrived
         job.number = self.jobs.add(job)
@@ -322,9 +365,21 @@
         if worker is not None:
             job.attempt = a = Attempt(job, job.sent - 1, worker, sent, ends, taken=True)
             a.timer = self.deadlines.at(ends, self.timed_out, a)
-        self.feed(i.JobInherited(
-            job.number, cls, job.arrived, job.deadline, ask.key, ask.work_hint, ask.slots, job.sent,
-            min(job.unsure, default=None), worker, sent))
+        self.feed(
+            i.JobInherited(
+                job.number,
+                cls,
+                job.arrived,
+                job.deadline,
+                ask.key,
+                ask.work_hint,
+                ask.slots,
+                job.sent,
+                min(job.unsure, default=None),
+                worker,
+                sent,
+            )
+        )
         return job.number
 
     def with_own_readings(self, state: dict[str, Any]) -> dict[str, Any]:
@@ -340,8 +395,13 @@
             budget, deadline = deadline - arrived, now + LEFT_UNKNOWN
             arrived = sent = deadline - budget
             ran_at, ends = None, deadline
-        return {**state, "arrived": arrived, "deadline": deadline, "ran_at": ran_at,
-                "attempt": None if worker is None else [worker, sent, ends]}
+        return {
+            **state,
+            "arrived": arrived,
+            "deadline": deadline,
+            "ran_at": ran_at,
+            "attempt": None if worker is None else [worker, sent, ends],
+        }
 
     def abandon(self, state: dict[str, Any]) -> None:
         """Give up the attempt of a job that moves, as its client is gone."""
@@ -352,8 +412,12 @@
         """Answer a job from another process where no more jobs are taken, and end its attempt."""
         effect, name = Effect(state["cls"]["effect"]), state["cls"]["name"]
         ran = bool(state["ran"]) or state["attempt"] is not None
-        harmless = not ran or effect is Effect.SAFE or effect is Effect.KEYED and \
-            Scope(state["cls"]["scope"]) is Scope.ALL
+        harmless = (
+            not ran
+            or effect is Effect.SAFE
+            or effect is Effect.KEYED
+            and Scope(state["cls"]["scope"]) is Scope.ALL
+        )
         (self.counts.refused if harmless else self.counts.failed)[name] += 1
         self.counts.reasons[name, "no room"] += 1
         client.answered(Refused() if harmless else Failed())
@@ -425,8 +489,11 @@
             if not isinstance(answer, Served):
                 self.counts.reasons[job.cls.name, why or job.ending] += 1
             if isinstance(answer, Failed):
-                self.log.write("failed", f"job {job.ask.cid} of {job.cls.name} after "
-                                         f"{self.deadlines.now() - job.arrived:.0f} ms: {job.last}")
+                self.log.write(
+                    "failed",
+                    f"job {job.ask.cid} of {job.cls.name} after "
+                    f"{self.deadlines.now() - job.arrived:.0f} ms: {job.last}",
+                )
             job.client.answered(answer)
         if job.attempt is not None:
             self.give_up(job.attempt, Ending.CANCELLED)
@@ -513,8 +580,12 @@
         job.attempt = a = Attempt(job, number, action.worker, now, ends)
         a.timer = self.deadlines.at(ends, self.timed_out, a)
         a.sending = self.carrier.send(
-            a.worker, job.ask, ends, lambda share, text: self.noted(a, share, text),
-            lambda: self.barred(job, a.worker))
+            a.worker,
+            job.ask,
+            ends,
+            lambda share, text: self.noted(a, share, text),
+            lambda: self.barred(job, a.worker),
+        )
         a.sending.addCallback(self.carried, a).addErrback(self.broke, a)
 
     def carried(self, outcome: Outcome | None, a: Attempt) -> None:
--- a/elderstall/deadlines.py
+++ b/elderstall/deadlines.py
@@ -37,8 +37,9 @@
 class Deadlines:
     """Milliseconds: Unix time at the start plus monotonic progress. No step of the wall clock moves them."""
 
-    def __init__(self, reactor: Any, seconds: Callable[[], float] = time.monotonic,
-                 unix_ms: float | None = None) -> None:
+    def __init__(
+        self, reactor: Any, seconds: Callable[[], float] = time.monotonic, unix_ms: float | None = None
+    ) -> None:
         self.reactor, self.seconds = reactor, seconds  # an IReactorTime; its own clock may be set back
         self.unix: Callable[[], float] = unix_now  # the wall clock, ms
         self.offset = wall_offset(seconds, unix_now, 0.0) if unix_ms is None else unix_ms - seconds() * 1000
--- a/elderstall/interface.py
+++ b/elderstall/interface.py
@@ -163,8 +163,15 @@
         require(0 < self.cold_share <= 1, "cold_share", "must be above zero and at most one")
         for name in ("ask_within", "push_window", "push_multiple", "drain_within", "tick"):
             require(getattr(self, name) > 0, name, "must be above zero")
-        for name in ("over_share_worth", "cold_for", "cpu_us_per_s", "cpu_us_per_job",
-                     "connect_timeout", "crossing_price", "fetch_price"):
+        for name in (
+            "over_share_worth",
+            "cold_for",
+            "cpu_us_per_s",
+            "cpu_us_per_job",
+            "connect_timeout",
+            "crossing_price",
+            "fetch_price",
+        ):
             require(getattr(self, name) >= 0, name, "must not be negative")
 
 
@@ -309,8 +316,21 @@
     token: int
 
 
-Event = (Begin | Retuned | Learned | WorkerList | WorkersForgotten | JobArrived | JobInherited | AttemptNoted
-         | AnswerBegan | AttemptEnded | Probed | JobLeft | TimerFired)
+Event = (
+    Begin
+    | Retuned
+    | Learned
+    | WorkerList
+    | WorkersForgotten
+    | JobArrived
+    | JobInherited
+    | AttemptNoted
+    | AnswerBegan
+    | AttemptEnded
+    | Probed
+    | JobLeft
+    | TimerFired
+)
 
 
 # ---- actions ----
--- a/elderstall/log.py
+++ b/elderstall/log.py
@@ -58,8 +58,13 @@
 class Log:
     """A token bucket of lines. One line tells what was held back as soon as there is room again."""
 
-    def __init__(self, clock: Callable[[], float], lines_per_s: float = 20.0, burst: float = 100.0,
-                 out: TextIO | StandardError | None = None) -> None:
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        lines_per_s: float = 20.0,
+        burst: float = 100.0,
+        out: TextIO | StandardError | None = None,
+    ) -> None:
         self.clock, self.out = clock, out or StandardError()
         self.rate, self.burst = lines_per_s / 1000, burst
         self.tokens, self.at = burst, clock()
@@ -126,5 +131,7 @@
         frames = traceback.extract_tb(error.__traceback__)[-3:]
         places = " < ".join(f"{f.filename.rsplit('/', 1)[-1]}:{f.lineno}" for f in reversed(frames))
         write = self.write_seldom if isinstance(error, OSError) else self.write
-        write("system" if isinstance(error, OSError) else "bug",
-              f"{where}: {type(error).__name__}: {error} at {places}")
+        write(
+            "system" if isinstance(error, OSError) else "bug",
+            f"{where}: {type(error).__name__}: {error} at {places}",
+        )
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -82,8 +82,14 @@
 class Carrier(Protocol):
     """What takes attempts to workers."""
 
-    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
-             barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
+    def send(
+        self,
+        worker: str,
+        ask: Ask,
+        ends: float,
+        note: Callable[[float, str], None],
+        barred: Callable[[], str | None],
+    ) -> Deferred[Outcome | None]:
         """Start an attempt. Fires with its outcome, or None where the worker took it and will call back.
 
         ``ends`` is the reading of the clock at which the attempt's time is over: the worker hears what is
--- a/elderstall/model.py
+++ b/elderstall/model.py
@@ -56,5 +56,5 @@
     """Cut distinct worths, best first, at their widest ratios; return each tier's least worth."""
     levels = sorted(set(worths), reverse=True)
     gaps = sorted(range(1, len(levels)), key=lambda n: (-round(levels[n - 1] / max(levels[n], 1e-9), 6), n))
-    cuts = sorted(gaps[:len(TIER_WEIGHTS) - 1])
+    cuts = sorted(gaps[: len(TIER_WEIGHTS) - 1])
     return [levels[n - 1] for n in cuts] + levels[-1:]
--- a/elderstall/net/buffer.py
+++ b/elderstall/net/buffer.py
@@ -23,7 +23,7 @@
         if self.start == len(self.data):
             self.clear()
         elif self.start >= COMPACT_AT and self.start * 2 >= len(self.data):
-            del self.data[:self.start]
+            del self.data[: self.start]
             self.seen = max(0, self.seen - self.start)
             self.start = 0
         self.data += data
@@ -43,11 +43,11 @@
 
     def peek(self, n: int) -> bytes:
         """Give up to n bytes and leave them."""
-        return bytes(self.data[self.start:self.start + n])
+        return bytes(self.data[self.start : self.start + n])
 
     def take(self, n: int) -> bytes:
         """Consume n bytes."""
-        out = bytes(self.data[self.start:self.start + n])
+        out = bytes(self.data[self.start : self.start + n])
         self.start += len(out)
         self.seen = self.start
         return out
--- a/elderstall/net/console.py
+++ b/elderstall/net/console.py
@@ -26,18 +26,33 @@
 
 def figures_text(f: Figures) -> bytes:
     """Write the figures, one a line."""
-    lines = [f"handled.{name}.{what}={counts[name]}"
-             for name in f.classes
-             for what, counts in (("passed", f.served), ("dropped", f.refused), ("bad_gateway", f.failed))]
-    lines += [f"handled.{name}.unserved.{why.replace(' ', '_')}={n}"
-              for (name, why), n in sorted(f.reasons.items())]
-    lines += [f"upstream_tries={f.tries}", f"in_progress={f.jobs}", f"known_card_workers={f.listed}",
-              f"skipped_card_workers={f.avoided}", f"loads={f.loads}", f"load_errors={f.load_errors}",
-              f"worker_questions={f.probes}", f"list_calls={f.list_calls}",
-              f"list_calls_failed={f.list_failed}", f"list_age_ms={f.list_age:.0f}",
-              f"workers_listed={f.listed}", f"workers_in_view={f.in_view}", f"workers_widened={f.widened}",
-              f"zones_out_of_reach={f.zones_lost}", f"workers_forgotten={f.forgotten}",
-              f"lists_refused={f.lists_refused}", f"list_entries_odd={f.odd_entries}"]
+    lines = [
+        f"handled.{name}.{what}={counts[name]}"
+        for name in f.classes
+        for what, counts in (("passed", f.served), ("dropped", f.refused), ("bad_gateway", f.failed))
+    ]
+    lines += [
+        f"handled.{name}.unserved.{why.replace(' ', '_')}={n}" for (name, why), n in sorted(f.reasons.items())
+    ]
+    lines += [
+        f"upstream_tries={f.tries}",
+        f"in_progress={f.jobs}",
+        f"known_card_workers={f.listed}",
+        f"skipped_card_workers={f.avoided}",
+        f"loads={f.loads}",
+        f"load_errors={f.load_errors}",
+        f"worker_questions={f.probes}",
+        f"list_calls={f.list_calls}",
+        f"list_calls_failed={f.list_failed}",
+        f"list_age_ms={f.list_age:.0f}",
+        f"workers_listed={f.listed}",
+        f"workers_in_view={f.in_view}",
+        f"workers_widened={f.widened}",
+        f"zones_out_of_reach={f.zones_lost}",
+        f"workers_forgotten={f.forgotten}",
+        f"lists_refused={f.lists_refused}",
+        f"list_entries_odd={f.odd_entries}",
+    ]
     return "".join(f"{PREFIX}.{line}\n" for line in lines).encode()
 
 
@@ -113,8 +128,14 @@
 
     noisy = False
 
-    def __init__(self, deadlines: Deadlines, log: Log, ready: Callable[[], bool],
-                 figures: Callable[[], Figures], calls: dict[str, Call]) -> None:
+    def __init__(
+        self,
+        deadlines: Deadlines,
+        log: Log,
+        ready: Callable[[], bool],
+        figures: Callable[[], Figures],
+        calls: dict[str, Call],
+    ) -> None:
         self.deadlines, self.log = deadlines, log
         self.ready, self.figures, self.calls = ready, figures, calls
         self.callers: Slots[ConsoleConnection] = Slots()
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -21,7 +21,10 @@
 from elderstall.starts import StartTimes
 
 STATES = {
-    "in_service": i.WorkerState.UP, "terminating": i.WorkerState.DRAINING, "terminated": i.WorkerState.GONE}
+    "in_service": i.WorkerState.UP,
+    "terminating": i.WorkerState.DRAINING,
+    "terminated": i.WorkerState.GONE,
+}
 MOST = 1e15  # of any number in a list
 LINE_MOST = 4 * 1024 * 1024  # bytes of one list: 1,024 workers take 160 KB, indented 300 KB
 LIFE_BYTES = 4 * 1024  # of a long list, as a sign of life while it still comes: fewer may drip for ever
@@ -59,9 +62,16 @@
         started, weight = float(e.get("since_ms") or 0), float(e.get("weight") or 0)
         kind, zone = str(e.get("type") or ""), e.get("zone")
         # Of the same few kinds and zones in every entry of a large list one copy is kept.
-        listed = i.Listed(str(name), intern(kind), intern(zone) if isinstance(zone, str) else zone,
-                          int(e.get("group") or 0), started or None, state, (live and weight) or 1.0,
-                          since_ms=started or None)
+        listed = i.Listed(
+            str(name),
+            intern(kind),
+            intern(zone) if isinstance(zone, str) else zone,
+            int(e.get("group") or 0),
+            started or None,
+            state,
+            (live and weight) or 1.0,
+            since_ms=started or None,
+        )
         if not (0 <= started < MOST and 0 <= weight < MOST):  # NaN is neither
             raise ValueError("since_ms or weight out of range")
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
@@ -88,10 +98,24 @@
     def since_ms(e: i.Listed) -> float:
         return (e.started if e.since_ms is None else e.since_ms) or 0
 
-    return {"index": index, "snapshot": True, "endpoints": [
-        {"name": e.worker, "address": addresses[e.worker], "zone": e.zone, "type": e.kind, "group": e.cell,
-         "status": states[e.state], "weight": e.weight, "since_ms": since_ms(e)}
-        for e in entries if e.worker in addresses]}
+    return {
+        "index": index,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": e.worker,
+                "address": addresses[e.worker],
+                "zone": e.zone,
+                "type": e.kind,
+                "group": e.cell,
+                "status": states[e.state],
+                "weight": e.weight,
+                "since_ms": since_ms(e),
+            }
+            for e in entries
+            if e.worker in addresses
+        ],
+    }
 
 
 class WatchConnection(Protocol):
@@ -182,8 +206,16 @@
 
     noisy = False
 
-    def __init__(self, deadlines: Deadlines, log: Log, connect: Connect, pools: Pools, told: Told,
-                 address: str = "", live: bool = False) -> None:
+    def __init__(
+        self,
+        deadlines: Deadlines,
+        log: Log,
+        connect: Connect,
+        pools: Pools,
+        told: Told,
+        address: str = "",
+        live: bool = False,
+    ) -> None:
         self.deadlines, self.log, self.connect, self.pools, self.told = deadlines, log, connect, pools, told
         self.address, self.live = address, live
         self.index = 0
@@ -204,8 +236,11 @@
 
     # ---- the list ----
 
-    def take(self, value: Any, told_by: WatchConnection | None = None,
-             ) -> tuple[i.ListScope, tuple[i.Listed, ...]] | None:
+    def take(
+        self,
+        value: Any,
+        told_by: WatchConnection | None = None,
+    ) -> tuple[i.ListScope, tuple[i.Listed, ...]] | None:
         """Merge a list, unless a newer one is held; addresses first, as the module may send at once.
 
         A whole list that begins a watch is taken in any case: who tells it may have begun to count anew.
@@ -264,8 +299,9 @@
         if value is None or news is not None:
             self.listed_at = self.deadlines.now()
         if news is not None and fresh:
-            self.log.write("watch", f"{self.address} tells {len(news[1])} of {news[0].value}, "
-                                    f"version {self.index}")
+            self.log.write(
+                "watch", f"{self.address} tells {len(news[1])} of {news[0].value}, version {self.index}"
+            )
         if news is not None or fresh:
             self.told(*(news or (i.ListScope.CHANGES, ())))
 
--- a/elderstall/net/http.py
+++ b/elderstall/net/http.py
@@ -19,10 +19,23 @@
 DIGITS = re.compile(r"[0-9]{1,15}\Z")
 HEX = re.compile(rb"[0-9a-fA-F]{1,15}\Z")
 REASONS = {
-    100: "Continue", 200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
-    405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
-    417: "Expectation Failed", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
+    100: "Continue",
+    200: "OK",
+    202: "Accepted",
+    204: "No Content",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
     505: "HTTP Version Not Supported",
 }
 NO_BODY = frozenset({204, 304})
@@ -74,8 +87,13 @@
 
     def plain(self) -> dict[str, Any]:
         """Give a whole request as plain data."""
-        return {"version": self.version, "headers": self.headers.fields, "body": self.body.decode("latin-1"),
-                "method": self.method, "target": self.target}
+        return {
+            "version": self.version,
+            "headers": self.headers.fields,
+            "body": self.body.decode("latin-1"),
+            "method": self.method,
+            "target": self.target,
+        }
 
     @classmethod
     def from_plain(cls, data: dict[str, Any]) -> Message:
@@ -262,8 +280,12 @@
         words = line.split(b" ")
         if len(words) != 3 or not TOKEN.match(words[0]) or not TARGET.match(words[1]):
             raise MessageError(400, "bad request line")
-        return Message(self.version(words[2]), Headers(), method=words[0].decode("ascii"),
-                       target=words[1].decode("ascii"))
+        return Message(
+            self.version(words[2]),
+            Headers(),
+            method=words[0].decode("ascii"),
+            target=words[1].decode("ascii"),
+        )
 
     def response_line(self, line: bytes) -> Message:
         """Read the first line of a response."""
@@ -301,8 +323,12 @@
     return "\r\n".join(lines).encode("latin-1")
 
 
-def response(status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = (), close: bool = False,
-             ) -> bytes:
+def response(
+    status: int,
+    body: bytes = b"",
+    headers: Iterable[tuple[str, str]] = (),
+    close: bool = False,
+) -> bytes:
     """Write a response with a length."""
     fields = list(headers)
     if status not in NO_BODY and status >= 200:
@@ -312,8 +338,13 @@
     return head_of(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", fields) + body
 
 
-def request(method: str, target: str, host: str, headers: Iterable[tuple[str, str]] = (), body: bytes = b"",
-            ) -> bytes:
+def request(
+    method: str,
+    target: str,
+    host: str,
+    headers: Iterable[tuple[str, str]] = (),
+    body: bytes = b"",
+) -> bytes:
     """Write a request."""
     fields = [("Host", host), *headers]
     if body or method == "POST":
--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -112,8 +112,17 @@
     info = info_of(headers.get("X-Call-Info"))
     slots = number_of(info.get("cores_needed") or info.get("slots"), "X-Call-Info") or 1
     repeatable = core.classes[job_class].effect is Effect.SAFE
-    return Ask(cid, job_class, min(budget, BUDGET_MOST), message, tenant, keys[0] if keys else None,
-               cost / 1000 if cost else None, max(1, int(slots)), repeatable)
+    return Ask(
+        cid,
+        job_class,
+        min(budget, BUDGET_MOST),
+        message,
+        tenant,
+        keys[0] if keys else None,
+        cost / 1000 if cost else None,
+        max(1, int(slots)),
+        repeatable,
+    )
 
 
 @implementer(IPushProducer)
@@ -380,8 +389,13 @@
         self.transport.loseConnection()
         return True
 
-    def finish(self, status: int, reason: str, body: bytes, headers: tuple[tuple[str, str], ...] = (),
-               ) -> None:
+    def finish(
+        self,
+        status: int,
+        reason: str,
+        body: bytes,
+        headers: tuple[tuple[str, str], ...] = (),
+    ) -> None:
         """Answer what is no request to serve, and close."""
         self.busy = False
         self.transport.write(http.response(status, body, headers, close=True))
@@ -442,8 +456,9 @@
         if not self.closing and (self.message is not None or not self.parser.idle):
             if self.ask is not None:
                 self.server.core.turned_away(self.ask.job_class)
-            self.transport.write(http.response(
-                503, b"too many connections\n", retry_after(self.server.busy_retry), close=True))
+            self.transport.write(
+                http.response(503, b"too many connections\n", retry_after(self.server.busy_retry), close=True)
+            )
         if self.closing:  # it has its answer; in the next turn, as it may be gone at once
             self.server.move(self, None)
             self.ending()
@@ -533,8 +548,9 @@
         if self.passing is not None:
             self.server.passed(self, isinstance(reason.value, ConnectionDone))  # else it broke first
         else:
-            self.server.log.ended("client" if self.client else "peer", self.number, self.reason,
-                                  f"{self.requests} requests")
+            self.server.log.ended(
+                "client" if self.client else "peer", self.number, self.reason, f"{self.requests} requests"
+            )
         self.server.crowded()
 
 
@@ -543,10 +559,21 @@
 
     noisy = False
 
-    def __init__(self, core: Core, deadlines: Deadlines, log: Log, report_of: ReportOf,
-                 most: int = 600, soft: int = 500, weight_most: int = 8 * 1024 * 1024,
-                 idle_for: float = 75_000.0, request_for: float = 2_500.0, body_for: float = 15_000.0,
-                 write_for: float = 20_000.0, busy_retry: float = 1_000.0) -> None:
+    def __init__(
+        self,
+        core: Core,
+        deadlines: Deadlines,
+        log: Log,
+        report_of: ReportOf,
+        most: int = 600,
+        soft: int = 500,
+        weight_most: int = 8 * 1024 * 1024,
+        idle_for: float = 75_000.0,
+        request_for: float = 2_500.0,
+        body_for: float = 15_000.0,
+        write_for: float = 20_000.0,
+        busy_retry: float = 1_000.0,
+    ) -> None:
         self.core, self.deadlines, self.log, self.report_of = core, deadlines, log, report_of
         # Accepting stops one step before the table is full; the reactor may hand over a few in one go.
         self.connections: Slots[ServerConnection] = Slots()
@@ -751,8 +778,12 @@
         elif state in ENDINGS:
             result = call.get("result", "")
             text = result if isinstance(result, str) else json.dumps(result)
-            self.core.called_back(attempt, Outcome(
-                ENDINGS[state], text.encode("utf-8", "surrogatepass"), self.report_of(call.get("load"))))
+            self.core.called_back(
+                attempt,
+                Outcome(
+                    ENDINGS[state], text.encode("utf-8", "surrogatepass"), self.report_of(call.get("load"))
+                ),
+            )
         else:
             self.log.write("callback", f"{worker}: unknown state {state!r}")
         return True
@@ -795,8 +826,12 @@
             return
         if c.moved is not None:
             self.moving.discard(c.moved["cid"])
-        fields: dict[str, Any] = {"client": c.client, "worker": c.worker, "asked": c.requests,
-                  "age": self.deadlines.now() - c.began}
+        fields: dict[str, Any] = {
+            "client": c.client,
+            "worker": c.worker,
+            "asked": c.requests,
+            "age": self.deadlines.now() - c.began,
+        }
         if c.moved is not None and c.parcel is not None:
             fields |= {"job": c.moved, "parcel": c.parcel.plain(), "last": c.close_after}
         if not whole:  # its client is gone
--- a/elderstall/net/sse.py
+++ b/elderstall/net/sse.py
@@ -143,8 +143,13 @@
 
     answers = Posted.answers | {200}
 
-    def __init__(self, workers: Workers, done: Deferred[Outcome | None], barred: Callable[[], str | None],
-                 note: Callable[[float, str], None]) -> None:
+    def __init__(
+        self,
+        workers: Workers,
+        done: Deferred[Outcome | None],
+        barred: Callable[[], str | None],
+        note: Callable[[float, str], None],
+    ) -> None:
         super().__init__(workers, done, barred)
         self.note = note
         self.events: EventParser | None = None
@@ -202,8 +207,15 @@
 class StreamWorkers(Workers):
     """The carrier that asks workers for streams."""
 
-    def begin(self, pool: Pool, ask: Ask, ends: float, note: Callable[[float, str], None],
-              barred: Callable[[], str | None], done: Deferred[Outcome | None]) -> Carriage:
+    def begin(
+        self,
+        pool: Pool,
+        ask: Ask,
+        ends: float,
+        note: Callable[[float, str], None],
+        barred: Callable[[], str | None],
+        done: Deferred[Outcome | None],
+    ) -> Carriage:
         """Start the exchange of a job; its body is passed on as it comes, so no limit holds for the whole.
 
         A stream may begin with the job's start, so its worker's first word is waited for to the deadline.
--- a/elderstall/net/workers.py
+++ b/elderstall/net/workers.py
@@ -26,9 +26,22 @@
 from elderstall.net.peer import unread
 from elderstall.slots import Slots
 
-HOP_BY_HOP = frozenset({
-    "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer",
-    "transfer-encoding", "upgrade", "host", "content-length", "expect", "x-budget-ms"})
+HOP_BY_HOP = frozenset(
+    {
+        "connection",
+        "keep-alive",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "host",
+        "content-length",
+        "expect",
+        "x-budget-ms",
+    }
+)
 LOAD = "/metrics/load"  # where a worker says how it stands
 PROBE_WAIT = 1.0  # connect time-outs that an answer to that may take
 ANSWER_FOR = 1_000.0  # ms in which an answer that has begun with a 202 has to end
@@ -47,8 +60,9 @@
 BUDGET_MARGIN_PART = 0.05  # of the time left that this takes at most: little time is not made much less
 WRITE_RETRY = 5.0  # ms after which a request is written again of which the system took no byte
 # Of a connection that cannot be opened: a want of this machine, no sign that the worker is out of reach.
-LOCAL_ERRORS = frozenset({
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN})
+LOCAL_ERRORS = frozenset(
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN}
+)
 KEEP_AGAIN = 10_000.0, 60_000.0  # ms after which connections are kept twice as long again: first, and at most
 
 Connect = Callable[[str, Factory], Deferred["WorkerConnection"]]  # to an address, within the time allowed
@@ -83,8 +97,11 @@
 
 def is_local(error: BaseException | None) -> bool:
     """Say whether a connection failed to open for want of something on this machine."""
-    return isinstance(error, ConnectBindError) or getattr(error, "osError", None) in LOCAL_ERRORS or (
-        isinstance(error, OSError) and error.errno in LOCAL_ERRORS)
+    return (
+        isinstance(error, ConnectBindError)
+        or getattr(error, "osError", None) in LOCAL_ERRORS
+        or (isinstance(error, OSError) and error.errno in LOCAL_ERRORS)
+    )
 
 
 class Exchange(Shape):
@@ -349,8 +366,13 @@
             if connection.rested is None or connection.rested <= since:
                 self.retire(connection)
 
-    def begin(self, request: WorkerRequest, exchange: Exchange, max_body: int = http.MAX_BODY,
-              repeatable: bool = True) -> Carriage:
+    def begin(
+        self,
+        request: WorkerRequest,
+        exchange: Exchange,
+        max_body: int = http.MAX_BODY,
+        repeatable: bool = True,
+    ) -> Carriage:
         """Send a request over the newest idle connection, or a new one; gives what calls it off.
 
         No request is ever written twice: a connection that breaks tells the exchange, and that is all.
@@ -439,8 +461,12 @@
     tells = True
     answers = frozenset({202, 500, 503, 504})  # what the protocol knows as answers to a job
 
-    def __init__(self, workers: Workers, done: Deferred[Outcome | None], barred: Callable[[], str | None],
-                 ) -> None:
+    def __init__(
+        self,
+        workers: Workers,
+        done: Deferred[Outcome | None],
+        barred: Callable[[], str | None],
+    ) -> None:
         self.workers, self.fired, self.message = workers, done, http.Message((1, 1), http.Headers())
         self.barred = barred
         self.timer: Deadline | None = None
@@ -616,8 +642,16 @@
 class Workers:
     """The pools of all workers."""
 
-    def __init__(self, deadlines: Deadlines, connect: Connect, log: Log, report_fields: tuple[str, ...] = (),
-                 idle_for: float = 8_000.0, most: int = 300, connect_for: float = 250.0) -> None:
+    def __init__(
+        self,
+        deadlines: Deadlines,
+        connect: Connect,
+        log: Log,
+        report_fields: tuple[str, ...] = (),
+        idle_for: float = 8_000.0,
+        most: int = 300,
+        connect_for: float = 250.0,
+    ) -> None:
         self.deadlines, self.connect, self.log = deadlines, connect, log
         self.report_fields, self.idle_for = report_fields, idle_for
         self.connect_for = connect_for
@@ -650,7 +684,7 @@
     def keep(self) -> float:
         """Say how long free connections are kept, ms: less where some were cut, and then ever longer."""
         doublings = min((self.deadlines.now() - self.cut_at) / self.again, 16.0)
-        return float(min(self.idle_for, self.cut_to * 2 ** doublings))
+        return float(min(self.idle_for, self.cut_to * 2**doublings))
 
     @property
     def new_safer(self) -> bool:
@@ -681,8 +715,11 @@
         elif kept:
             self.again = first if self.keep >= self.idle_for else min(2 * self.again, most)
             self.cut_to, self.cut_at = max(KEEP_LEAST, min(self.keep, connection.unused_for) / 2), now
-            self.log.write("stale", f"{connection.pool.name} cut a connection free for "
-                                    f"{connection.unused_for:.0f} ms; kept {self.cut_to:.0f} ms now")
+            self.log.write(
+                "stale",
+                f"{connection.pool.name} cut a connection free for "
+                f"{connection.unused_for:.0f} ms; kept {self.cut_to:.0f} ms now",
+            )
 
     def listed(self, name: str, address: str, started: float | None) -> None:
         """Take a worker's address; a changed one or a restart drops the pool."""
@@ -739,8 +776,14 @@
             fields = [(n, v) for n, v in fields if n.lower() != "accept"] + [("Accept", accept)]
         return WorkerRequest(parcel.method, parcel.target, address, tuple(fields), parcel.body, ends)
 
-    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
-             barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
+    def send(
+        self,
+        worker: str,
+        ask: Ask,
+        ends: float,
+        note: Callable[[float, str], None],
+        barred: Callable[[], str | None],
+    ) -> Deferred[Outcome | None]:
         """Send a job; see ``messages.Carrier``."""
         pool = self.pool_of(worker)
         under_way: list[Carriage] = []
@@ -759,8 +802,15 @@
         under_way.append(self.begin(pool, ask, ends, note, barred, done))
         return done
 
-    def begin(self, pool: Pool, ask: Ask, ends: float, note: Callable[[float, str], None],
-              barred: Callable[[], str | None], done: Deferred[Outcome | None]) -> Carriage:
+    def begin(
+        self,
+        pool: Pool,
+        ask: Ask,
+        ends: float,
+        note: Callable[[float, str], None],
+        barred: Callable[[], str | None],
+        done: Deferred[Outcome | None],
+    ) -> Carriage:
         """Start the exchange of a job."""
         exchange = Posted(self, done, barred)
         within = self.connect_for * (ACCEPT_SOON if ask.repeatable else ACCEPT_WAIT)
--- a/elderstall/records.py
+++ b/elderstall/records.py
@@ -151,8 +151,11 @@
 
     def learned(self) -> dict[str, Any]:
         """Give what was learned of its process, as plain data."""
-        return {"started": self.started, "pushed": list(self.pushed),
-                **{name: getattr(self, name) for name in LEARNED}}
+        return {
+            "started": self.started,
+            "pushed": list(self.pushed),
+            **{name: getattr(self, name) for name in LEARNED},
+        }
 
     def relearn(self, data: dict[str, Any]) -> None:
         """Take what was learned, if it is of the same process."""
@@ -198,19 +201,28 @@
     started: float | None = None
 
 
-def load_of(seen: Sequence[Sequence[float]], scale: float, cut: Sequence[Worker],
-            common: Sequence[Worker]) -> Load:
+def load_of(
+    seen: Sequence[Sequence[float]], scale: float, cut: Sequence[Worker], common: Sequence[Worker]
+) -> Load:
     """Feed the solver: jobs, slot-work, work and aim by tier, and the workers' power and slots."""
     work, run, aim = (tuple(x[n] / x[0] if x[0] else 0.0 for x in seen) for n in (1, 2, 3))
-    return Load(tuple(x[0] * scale for x in seen), work, run, aim,
-                power=tuple(accumulate((w.power for w in cut), initial=0.0)),
-                slots=tuple(accumulate((w.slots for w in cut), initial=0.0)),
-                shared_power=sum(w.power for w in common), shared_slots=sum(w.slots for w in common))
+    return Load(
+        tuple(x[0] * scale for x in seen),
+        work,
+        run,
+        aim,
+        power=tuple(accumulate((w.power for w in cut), initial=0.0)),
+        slots=tuple(accumulate((w.slots for w in cut), initial=0.0)),
+        shared_power=sum(w.power for w in common),
+        shared_slots=sum(w.slots for w in common),
+    )
 
 
 def ranked(key: str, workers: Sequence[Worker], sizes: Mapping[str, float]) -> list[Worker]:
     """Order workers for a key by weighted rendezvous hash, alike at every dispatcher; sizes are by kind."""
     mark = stable_hash(key)
-    chances = [(math.log(((mark ^ w.order[0]) * 2654435761 % 2**32 + 1) / 2**32) / sizes[w.kind], w.name, w)
-               for w in workers]
+    chances = [
+        (math.log(((mark ^ w.order[0]) * 2654435761 % 2**32 + 1) / 2**32) / sizes[w.kind], w.name, w)
+        for w in workers
+    ]
     return [w for *_, w in sorted(chances, reverse=True)]
--- a/elderstall/rehearsal/audit.py
+++ b/elderstall/rehearsal/audit.py
@@ -122,8 +122,11 @@
         """Note that a cold worker was pushed over; who is to blame hangs on what they knew."""
         if machine.model.blame >= TO_BLAME:
             age = self.loop.now - (machine.model.started or 0.0)
-            self.breaks(4, f"{machine.name} was pushed over {age:.0f} ms after its start; "
-                           f"{machine.model.blame:.0%} of the work came from dispatchers told of it")
+            self.breaks(
+                4,
+                f"{machine.name} was pushed over {age:.0f} ms after its start; "
+                f"{machine.model.blame:.0%} of the work came from dispatchers told of it",
+            )
 
     # ---- a try ----
 
@@ -133,8 +136,11 @@
         self.watched[tried.cid] = Watched(tried.deadline, tried.request)
         station = tried.process.station.name if tried.process is not None else "?"
         load = tried.request.load
-        self.note(tried.request, f"try {tried.number} of {load.cls.name} at {station}, "
-                                        f"{tried.deadline - self.loop.now:.0f} ms left")
+        self.note(
+            tried.request,
+            f"try {tried.number} of {load.cls.name} at {station}, "
+            f"{tried.deadline - self.loop.now:.0f} ms left",
+        )
 
     def sent(self, errand: Errand) -> None:
         """Check a send."""
@@ -151,17 +157,22 @@
             if earlier.proven or cls.effect is i.Effect.SAFE:
                 continue
             if cls.effect is i.Effect.UNSAFE:
-                self.breaks(2, f"{tried.cid} of {cls.name} sent to {worker}, but it may have run at "
-                               f"{earlier.worker}", request)
+                self.breaks(
+                    2,
+                    f"{tried.cid} of {cls.name} sent to {worker}, but it may have run at {earlier.worker}",
+                    request,
+                )
             elif now - earlier.at > cls.memory_span or not self.same_group(cls, earlier, errand.machine):
-                self.breaks(2, f"{tried.cid} of {cls.name} sent to {worker}, where a repeat is not dropped",
-                            request)
+                self.breaks(
+                    2, f"{tried.cid} of {cls.name} sent to {worker}, where a repeat is not dropped", request
+                )
         if len(watched.sent) >= self.rules.max_attempts:
             self.breaks(2, f"attempt {len(watched.sent) + 1} of {tried.cid}", request)
         up, since = self.states.get(id(errand.wire.process), {}).get(worker, (False, -1e18))
         if not up and now - since > self.rules.drain_grace:
-            self.breaks(3, f"{tried.cid} sent to {worker}, told draining or gone {now - since:.0f} ms before",
-                        request)
+            self.breaks(
+                3, f"{tried.cid} sent to {worker}, told draining or gone {now - since:.0f} ms before", request
+            )
         spec = errand.machine.spec
         watched.sent.append(Sent(worker, spec.zone, spec.cell, now, errand.number))
 
@@ -177,11 +188,15 @@
         """Note that an attempt has begun to run: for what must never run twice, the truth."""
         request = errand.job
         request.runs += 1
-        self.note(request, f"attempt {errand.number} of try {errand.tried.number} runs at "
-                                  f"{errand.machine.name}")
+        self.note(
+            request, f"attempt {errand.number} of try {errand.tried.number} runs at {errand.machine.name}"
+        )
         if request.runs > 1 and request.load.cls.effect is i.Effect.UNSAFE:
-            self.breaks(2, f"request {request.number} of {request.load.cls.name} has run {request.runs} "
-                           "times", request)
+            self.breaks(
+                2,
+                f"request {request.number} of {request.load.cls.name} has run {request.runs} times",
+                request,
+            )
 
     def ended(self, errand: Errand, ending: i.Ending) -> None:
         """Note how an attempt ended, as its dispatcher was told."""
@@ -220,10 +235,15 @@
             self.breaks(1, f"{tried.cid} answered {late:.0f} ms past its deadline", request)
         if isinstance(answer, Refused) and request.load.cls.effect is not i.Effect.SAFE:
             unsure = [s.worker for s in watched.sent if s.out or not s.proven]
-            if unsure and not (request.load.cls.effect is i.Effect.KEYED
-                               and request.load.cls.scope is i.Scope.ALL):
-                self.breaks(2, f"{tried.cid} of {request.load.cls.name} refused, but it may have run at "
-                               f"{', '.join(unsure)}", request)
+            if unsure and not (
+                request.load.cls.effect is i.Effect.KEYED and request.load.cls.scope is i.Scope.ALL
+            ):
+                self.breaks(
+                    2,
+                    f"{tried.cid} of {request.load.cls.name} refused, but it may have run at "
+                    f"{', '.join(unsure)}",
+                    request,
+                )
         if isinstance(answer, Served) and tried.served_by is None:
             self.breaks(1, f"{tried.cid} served with what no worker made", request)
 
--- a/elderstall/rehearsal/clients.py
+++ b/elderstall/rehearsal/clients.py
@@ -153,8 +153,9 @@
                 rate = self.night.load.rate * station.weight / total / 1000
                 Arrivals(self, station, rate, "").next()
 
-    def rush(self, stations: list[Station], factor: float, ramp: float, at: float, length: float,
-             name: str) -> None:
+    def rush(
+        self, stations: list[Station], factor: float, ramp: float, at: float, length: float, name: str
+    ) -> None:
         """Have further requests come for a while: the others stay as they are."""
         total = sum(station.weight for station in stations)
         for station in stations:
@@ -185,8 +186,11 @@
             request.tenant = self.night.tenants[source.tenant()].name
             request.in_share = self.meter(request.tenant)
         rules = self.night.rules
-        request.worth = load.cls.worth * (request.work * request.slots if rules.worth_by_work else 1.0) * (
-            1.0 if request.in_share else rules.over_share_worth)
+        request.worth = (
+            load.cls.worth
+            * (request.work * request.slots if rules.worth_by_work else 1.0)
+            * (1.0 if request.in_share else rules.over_share_worth)
+        )
         habits = self.spec
         request.heeds = next(source.habits) < habits.honour
         request.retries = int(habits.retries) + (next(source.habits) < habits.retries % 1)
@@ -333,8 +337,13 @@
         cls, station = request.load.cls, request.station
         assert station is not None
         call = self.calls[request.number] = Call(
-            Rule(cls.name, cls.deadline, request.safe), self.habits, self.budgets[station.rank],
-            self.world.loop.now, lambda: "", self.clients.waits)
+            Rule(cls.name, cls.deadline, request.safe),
+            self.habits,
+            self.budgets[station.rank],
+            self.world.loop.now,
+            lambda: "",
+            self.clients.waits,
+        )
         self.follow(request, call.begin(self.world.loop.now))
 
     def answered(self, request: Request, answer: Answer, now: float) -> None:
@@ -373,8 +382,16 @@
 class Arrivals:
     """The requests of one source at one dispatcher: a Poisson process whose rate moves, by thinning."""
 
-    def __init__(self, clients: Clients, station: Station, rate: float, name: str, at: float = 0.0,
-                 length: float | None = None, ramp: float = 0.0) -> None:
+    def __init__(
+        self,
+        clients: Clients,
+        station: Station,
+        rate: float,
+        name: str,
+        at: float = 0.0,
+        length: float | None = None,
+        ramp: float = 0.0,
+    ) -> None:
         self.clients, self.station, self.rate, self.ramp = clients, station, rate, ramp
         world, night = clients.world, clients.night
         self.loop, self.load = world.loop, night.load
@@ -384,7 +401,8 @@
         self.keep = draws.uniform("arrivals", "kept", *words)
         self.choose = Choice(clients.shares, draws.uniform("class", *words))
         self.works: list[Iterator[float]] = [
-            draws.work(c.distribution, c.work, c.spread, "work", c.cls.name, *words) for c in night.classes]
+            draws.work(c.distribution, c.work, c.spread, "work", c.cls.name, *words) for c in night.classes
+        ]
         self.hints = [draws.spread(c.hint_spread or 0.0, "hints", c.cls.name, *words) for c in night.classes]
         self.slots = [Choice(c.slots, draws.uniform("slots", c.cls.name, *words)) for c in night.classes]
         self.tail = draws.uniform("tail", *words)
--- a/elderstall/rehearsal/compare.py
+++ b/elderstall/rehearsal/compare.py
@@ -13,9 +13,38 @@
 from elderstall.rehearsal.world import play
 
 # Quantiles of Student's t at 97.5% by degrees of freedom, 1 to 30; beyond, the normal one is close.
-T975 = (12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
-        2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086,
-        2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042)
+T975 = (
+    12.706,
+    4.303,
+    3.182,
+    2.776,
+    2.571,
+    2.447,
+    2.365,
+    2.306,
+    2.262,
+    2.228,
+    2.201,
+    2.179,
+    2.160,
+    2.145,
+    2.131,
+    2.120,
+    2.110,
+    2.101,
+    2.093,
+    2.086,
+    2.080,
+    2.074,
+    2.069,
+    2.064,
+    2.060,
+    2.056,
+    2.052,
+    2.048,
+    2.045,
+    2.042,
+)
 NORMAL = 1.960
 
 
@@ -50,8 +79,10 @@
     service = figures["service"]
     tries = max(1, figures["requests"])
     return {
-        "figure": figures["figure"], "service, whole": service["whole"],
-        "service, worst 10 s": service["worst_10_s"], "worst class": service["worst_class"],
+        "figure": figures["figure"],
+        "service, whole": service["whole"],
+        "service, worst 10 s": service["worst_10_s"],
+        "worst class": service["worst_class"],
         "worst tenant": service["worst_tenant"],
         **{f"class {name}": c["service"] for name, c in figures["classes"].items()},
         "refused": figures["endings"].get("refused", 0) / tries,
@@ -61,14 +92,18 @@
     }
 
 
-def compare(nights: tuple[Night, Night], seeds: Sequence[int],
-            done: Callable[[], None] = lambda: None, processes: int | None = None,
-            ) -> tuple[list[Difference], list[tuple[dict[str, Any], dict[str, Any]]]]:
+def compare(
+    nights: tuple[Night, Night],
+    seeds: Sequence[int],
+    done: Callable[[], None] = lambda: None,
+    processes: int | None = None,
+) -> tuple[list[Difference], list[tuple[dict[str, Any], dict[str, Any]]]]:
     """Play both nights under each seed, side by side, and compare. ``done`` is called after each play."""
     results: dict[tuple[int, int], dict[str, Any]] = {}
     with ProcessPoolExecutor(processes) as pool:
-        plays = {pool.submit(play, night, seed): (n, seed)
-                 for seed in seeds for n, night in enumerate(nights)}
+        plays = {
+            pool.submit(play, night, seed): (n, seed) for seed in seeds for n, night in enumerate(nights)
+        }
         for one in as_completed(plays):
             results[plays[one]] = one.result()
             done()
--- a/elderstall/rehearsal/draws.py
+++ b/elderstall/rehearsal/draws.py
@@ -33,8 +33,9 @@
         """Give one whole number below 2**63, as a seed for what draws by itself."""
         return int(self.generator(*purpose).integers(2**63))
 
-    def stream(self, block: Callable[[np.random.Generator, int], np.ndarray],
-               *purpose: str) -> Iterator[float]:
+    def stream(
+        self, block: Callable[[np.random.Generator, int], np.ndarray], *purpose: str
+    ) -> Iterator[float]:
         """Give numbers without end, drawn in blocks."""
         generator = self.generator(*purpose)
         size = FIRST_BLOCK
--- a/elderstall/rehearsal/figures.py
+++ b/elderstall/rehearsal/figures.py
@@ -123,7 +123,7 @@
     """Find the worst service of so many seconds together, and where it begins."""
     worst, at = None, 0
     for n in range(max(1, len(bins) - length + 1)):
-        part = bins[n:n + length]
+        part = bins[n : n + length]
         asked = sum(b.worth.asked for b in part)
         if asked > 0:
             service = sum(b.worth.earned for b in part) / asked
@@ -151,56 +151,106 @@
     first_tries = max(1, tally.requests)
     # Work at the fleet's mean speed, so that it compares with the work asked for.
     speed = sum(m.model.speed * m.kind.cores for m in world.machines.values()) / sum(
-        m.kind.cores for m in world.machines.values())
+        m.kind.cores for m in world.machines.values()
+    )
     prices = {
         "waste": goal.price_waste * wasted * speed / max(1e-9, tally.work_asked),
         "connections": goal.price_connection * tally.connections / first_tries,
-        "late failures": goal.price_late_failure * tally.late_worth / max(1e-9, asked)}
+        "late failures": goal.price_late_failure * tally.late_worth / max(1e-9, asked),
+    }
     figure = None
     if whole is not None and worst is not None:
-        figure = (goal.whole * whole + goal.worst_window * worst
-                  + goal.worst_class * min(by_class, default=whole)
-                  + goal.worst_tenant * min(by_tenant, default=whole) - sum(prices.values()))
+        figure = (
+            goal.whole * whole
+            + goal.worst_window * worst
+            + goal.worst_class * min(by_class, default=whole)
+            + goal.worst_tenant * min(by_tenant, default=whole)
+            - sum(prices.values())
+        )
     endings: Counter[str] = Counter()
     for counts in tally.endings.values():
         endings.update(counts)
     cores = sum(m.model.ledger.total for m in world.machines.values())
-    book = {name: sum(getattr(m.model.ledger, name) for m in world.machines.values())
-            for name in ("busy", "overhead", "idle", "paused", "down")}
+    book = {
+        name: sum(getattr(m.model.ledger, name) for m in world.machines.values())
+        for name in ("busy", "overhead", "idle", "paused", "down")
+    }
     return {
-        "night": night.name, "seed": world.seed, "length_s": night.length / 1000,
-        "workers": len(night.workers), "dispatchers": len(night.dispatchers.weights),
+        "night": night.name,
+        "seed": world.seed,
+        "length_s": night.length / 1000,
+        "workers": len(night.workers),
+        "dispatchers": len(night.dispatchers.weights),
         "figure": rounded(figure),
-        "service": {"whole": rounded(whole), "worst_10_s": rounded(worst), "worst_10_s_from": worst_at,
-                    "worst_class": rounded(min(by_class, default=None)),
-                    "worst_tenant": rounded(min(by_tenant, default=None))},
+        "service": {
+            "whole": rounded(whole),
+            "worst_10_s": rounded(worst),
+            "worst_10_s_from": worst_at,
+            "worst_class": rounded(min(by_class, default=None)),
+            "worst_tenant": rounded(min(by_tenant, default=None)),
+        },
         "prices": {name: rounded(value) for name, value in prices.items()},
-        "requests": tally.requests, "tries": tally.tries, "retries": tally.retries,
-        "attempts": tally.attempts, "connections": tally.connections, "probes": tally.probes,
+        "requests": tally.requests,
+        "tries": tally.tries,
+        "retries": tally.retries,
+        "attempts": tally.attempts,
+        "connections": tally.connections,
+        "probes": tally.probes,
         "endings": {name: endings[name] for name in ENDINGS if endings[name]},
         "core_time": {name: rounded(value / cores if cores else 0.0) for name, value in book.items()},
-        "work": {"core_s": rounded(tally.core_ms / 1000), "useful_s": rounded(tally.useful_ms / 1000),
-                 "wasted_s": rounded(wasted / 1000)},
-        "classes": {name: {
-            "service": rounded(worth.service), "worth_asked": rounded(worth.asked, 3),
-            "endings": {e: tally.endings[name][e] for e in ENDINGS if tally.endings[name][e]},
-            "latency_ms": {f"p{q:g}": tally.latencies[name].get_value_at_percentile(q) / 1000
-                           for q in QUANTILES} if tally.latencies[name].get_total_count() else {},
-        } for name, worth in tally.classes.items()},
-        "tenants": {name: {"service": rounded(worth.service), "worth_asked": rounded(worth.asked, 3)}
-                    for name, worth in tally.tenants.items()},
-        "windows": [window(tally.bins[n:n + WINDOW], n, night.workers)
-                    for n in range(0, len(tally.bins), WINDOW)],
+        "work": {
+            "core_s": rounded(tally.core_ms / 1000),
+            "useful_s": rounded(tally.useful_ms / 1000),
+            "wasted_s": rounded(wasted / 1000),
+        },
+        "classes": {
+            name: {
+                "service": rounded(worth.service),
+                "worth_asked": rounded(worth.asked, 3),
+                "endings": {e: tally.endings[name][e] for e in ENDINGS if tally.endings[name][e]},
+                "latency_ms": {
+                    f"p{q:g}": tally.latencies[name].get_value_at_percentile(q) / 1000 for q in QUANTILES
+                }
+                if tally.latencies[name].get_total_count()
+                else {},
+            }
+            for name, worth in tally.classes.items()
+        },
+        "tenants": {
+            name: {"service": rounded(worth.service), "worth_asked": rounded(worth.asked, 3)}
+            for name, worth in tally.tenants.items()
+        },
+        "windows": [
+            window(tally.bins[n : n + WINDOW], n, night.workers) for n in range(0, len(tally.bins), WINDOW)
+        ],
         "most_lost": [
-            {"request": number, "class": name, "ending": ending, "at_s": rounded(at / 1000, 3),
-             "share_of_worth": rounded(worth / asked)}
-            for worth, number, name, ending, at in sorted(tally.lost, key=lambda row: (-row[0], row[1]))],
-        "troubles": [{"kind": t.kind, "at_s": t.at / 1000, "for_s": t.length / 1000,
-                      "struck": world.struck.get(n, [])} for n, t in enumerate(night.troubles)],
+            {
+                "request": number,
+                "class": name,
+                "ending": ending,
+                "at_s": rounded(at / 1000, 3),
+                "share_of_worth": rounded(worth / asked),
+            }
+            for worth, number, name, ending, at in sorted(tally.lost, key=lambda row: (-row[0], row[1]))
+        ],
+        "troubles": [
+            {"kind": t.kind, "at_s": t.at / 1000, "for_s": t.length / 1000, "struck": world.struck.get(n, [])}
+            for n, t in enumerate(night.troubles)
+        ],
         "log": {code: world.log.codes[code] for code in sorted(world.log.codes)},
-        "rules": {"broken": audit.count, "first": [
-            {"rule": b.rule, "at_s": rounded(b.at / 1000), "what": b.what, "request": b.request,
-             "history": list(b.history)} for b in audit.broken[:20]]},
+        "rules": {
+            "broken": audit.count,
+            "first": [
+                {
+                    "rule": b.rule,
+                    "at_s": rounded(b.at / 1000),
+                    "what": b.what,
+                    "request": b.request,
+                    "history": list(b.history),
+                }
+                for b in audit.broken[:20]
+            ],
+        },
     }
 
 
@@ -219,8 +269,11 @@
     kinds: dict[str, list[float]] = {}
     for w, row in zip(workers, zip(*busy, strict=True), strict=False):
         kinds.setdefault(w.kind, []).append(sum(row) / len(row))
-    return {"from_s": at, "requests": sum(b.requests for b in bins),
-            "service": rounded(earned / asked) if asked else None,
-            "classes": {name: rounded(classes[name].service) for name in sorted(classes)},
-            "endings": {name: endings[name] for name in ENDINGS if endings[name]},
-            "busy": {kind: rounded(sum(rows) / len(rows), 4) for kind, rows in sorted(kinds.items())}}
+    return {
+        "from_s": at,
+        "requests": sum(b.requests for b in bins),
+        "service": rounded(earned / asked) if asked else None,
+        "classes": {name: rounded(classes[name].service) for name in sorted(classes)},
+        "endings": {name: endings[name] for name in ENDINGS if endings[name]},
+        "busy": {kind: rounded(sum(rows) / len(rows), 4) for kind, rows in sorted(kinds.items())},
+    }
--- a/elderstall/rehearsal/loop.py
+++ b/elderstall/rehearsal/loop.py
@@ -23,8 +23,14 @@
 
     __slots__ = ("args", "called", "function", "kw", "loop", "serial", "when")
 
-    def __init__(self, loop: VirtualTime, when: float, function: Callable[..., object], args: tuple[Any, ...],
-                 kw: dict[str, Any] | None) -> None:
+    def __init__(
+        self,
+        loop: VirtualTime,
+        when: float,
+        function: Callable[..., object],
+        args: tuple[Any, ...],
+        kw: dict[str, Any] | None,
+    ) -> None:
         self.loop, self.when = loop, when
         self.function: Callable[..., object] | None = function
         self.args, self.kw, self.called, self.serial = args, kw, False, 0
@@ -84,7 +90,8 @@
         return self.now / 1000
 
     def callLater(  # noqa: N802
-            self, delay: float, function: Callable[..., object], *args: Any, **kw: Any) -> Call:
+        self, delay: float, function: Callable[..., object], *args: Any, **kw: Any
+    ) -> Call:
         """Call after so many seconds. Raises ValueError where they are below zero."""
         if not delay >= 0:
             raise ValueError(f"{delay!r} seconds from now is in the past")
@@ -104,8 +111,9 @@
         """Call at a reading of ``now``; one that has passed counts as now."""
         return self._add(max(self.now, when), function, args, None)
 
-    def _add(self, when: float, function: Callable[..., object], args: tuple[Any, ...],
-             kw: dict[str, Any] | None) -> Call:
+    def _add(
+        self, when: float, function: Callable[..., object], args: tuple[Any, ...], kw: dict[str, Any] | None
+    ) -> Call:
         call = Call(self, when, function, args, kw)
         self.live += 1
         self.push(call)
--- a/elderstall/rehearsal/machine.py
+++ b/elderstall/rehearsal/machine.py
@@ -19,8 +19,12 @@
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
 LOST_NOTICE = 50.0  # ms until the machine's agent tells of a process that died
-ENDINGS = {What.DONE: i.Ending.SERVED, What.FAILED: i.Ending.ERROR, What.RETURNED: i.Ending.FULL,
-           What.LOST: i.Ending.BROKEN}
+ENDINGS = {
+    What.DONE: i.Ending.SERVED,
+    What.FAILED: i.Ending.ERROR,
+    What.RETURNED: i.Ending.FULL,
+    What.LOST: i.Ending.BROKEN,
+}
 
 
 class Machine:
@@ -29,8 +33,14 @@
     def __init__(self, world: World, spec: Worker, kind: Kind, speed: float) -> None:
         self.world, self.spec, self.kind = world, spec, kind
         rules, reports = world.night.rules, world.night.reports
-        self.model = CardWorker(kind, speed, world.loop.now, Push(rules.push_multiple, rules.push_window),
-                                reports.checkpoint, reports.progress)
+        self.model = CardWorker(
+            kind,
+            speed,
+            world.loop.now,
+            Push(rules.push_multiple, rules.push_window),
+            reports.checkpoint,
+            reports.progress,
+        )
         self.timer: Call | None = None
         self.links: set[Link] = set()
         self.silent = 0  # troubles that keep it from being heard
@@ -40,8 +50,9 @@
         self.resetting: list[float] = []
         self.frozen: list[Callable[[], None]] = []  # handshakes that wait for the process to go on
         draws = world.draws
-        self.noise = {c.cls.name: draws.spread(c.noise, "noise", spec.name, c.cls.name)
-                      for c in world.night.classes}
+        self.noise = {
+            c.cls.name: draws.spread(c.noise, "noise", spec.name, c.cls.name) for c in world.night.classes
+        }
         self.luck = draws.uniform("luck", spec.name)
         self.hop = draws.spread(world.night.network.jitter, "hops", spec.name)
         self.report_noise = draws.spread(reports.noise, "reports", spec.name)
@@ -109,8 +120,9 @@
         """Tell of a task that died with its process, where the machine itself lives on."""
         if not self.silent:
             outcome = Outcome(i.Ending.BROKEN)
-            self.world.loop.after(LOST_NOTICE, self.call_back, errand,
-                                  lambda e: e.wire.called_back(e, outcome))
+            self.world.loop.after(
+                LOST_NOTICE, self.call_back, errand, lambda e: e.wire.called_back(e, outcome)
+            )
 
     def reply(self, errand: Errand, outcome: Outcome | None) -> None:
         """Answer on the connection: taken, or not."""
@@ -171,8 +183,17 @@
             chance, after = max(chance, part), share if part > chance else after
         fails = after if chance > 0 and next(self.luck) < chance else None
         work = job.work * next(self.noise[job.load.cls.name])
-        task = Task(errand, work, job.slots, errand.ends, job.safe, fails, min(0.99, job.saved),
-                    world.audit.informed(errand.wire.process, self), errand)
+        task = Task(
+            errand,
+            work,
+            job.slots,
+            errand.ends,
+            job.safe,
+            fails,
+            min(0.99, job.saved),
+            world.audit.informed(errand.wire.process, self),
+            errand,
+        )
         errand.task = task
         self.poke(self.model.offer(world.loop.now, task))
         if self.model.fallen:
@@ -192,12 +213,20 @@
         self.poke(self.model.advance(world.loop.now))
         busy = book.busy + book.overhead
         util = (busy - self.busy_seen) / (self.kind.cores * reports.period)
-        values = {"qps": self.finished * 1000 / reports.period, "util": util,
-                  "x0": float(self.model.free_slots), "inflight": float(self.model.held),
-                  "queue": float(self.model.held - len(self.model.running))}
+        values = {
+            "qps": self.finished * 1000 / reports.period,
+            "util": util,
+            "x0": float(self.model.free_slots),
+            "inflight": float(self.model.held),
+            "queue": float(self.model.held - len(self.model.running)),
+        }
         self.finished, self.busy_seen = 0, busy
-        self.snapshots.append((world.loop.now + reports.delay, tuple(
-            values.get(name, 0.0) * next(self.report_noise) for name in reports.fields)))
+        self.snapshots.append(
+            (
+                world.loop.now + reports.delay,
+                tuple(values.get(name, 0.0) * next(self.report_noise) for name in reports.fields),
+            )
+        )
         if len(self.snapshots) > 2 + reports.delay / reports.period:
             self.snapshots.popleft()
         world.loop.after(reports.period, self.snapshot)
--- a/elderstall/rehearsal/reading.py
+++ b/elderstall/rehearsal/reading.py
@@ -140,8 +140,13 @@
         if section is None:
             return kind()
         names = kind.__dataclass_fields__
-        return kind(**{name: getattr(section, renamed.get(name, name)) for name in names
-                       if hasattr(section, renamed.get(name, name))})
+        return kind(
+            **{
+                name: getattr(section, renamed.get(name, name))
+                for name in names
+                if hasattr(section, renamed.get(name, name))
+            }
+        )
 
     def kinds(self) -> dict[str, s.Kind]:
         """Read the kinds of worker."""
@@ -151,10 +156,25 @@
             if k.slots < k.cores:
                 self.odd(k, "slots", f"{k.slots} slots leave some of {k.cores} cores without work")
             found[name] = s.Kind(
-                name, k.cores, k.slots, k.speed, k.speed_spread, k.queue, k.cold_share, k.cold_for,
-                k.warm_by == "work", k.cancel, k.drops_expired, k.hands_back, k.connections,
-                k.connection_work, self.fraction(k, "connection-tax"), k.crowd_at, k.crowd_cost,
-                self.fraction(k, "errors"))
+                name,
+                k.cores,
+                k.slots,
+                k.speed,
+                k.speed_spread,
+                k.queue,
+                k.cold_share,
+                k.cold_for,
+                k.warm_by == "work",
+                k.cancel,
+                k.drops_expired,
+                k.hands_back,
+                k.connections,
+                k.connection_work,
+                self.fraction(k, "connection-tax"),
+                k.crowd_at,
+                k.crowd_cost,
+                self.fraction(k, "errors"),
+            )
         return found
 
     def fraction(self, section: Any, key: str, name: str = "") -> Any:
@@ -171,16 +191,26 @@
             if group.kind not in kinds:
                 self.wrong(group, "kind", f"there is no kind {group.kind!r}; known: {', '.join(kinds)}")
             if len(found) + group.count > MOST_WORKERS:
-                self.wrong(group, "count", f"{len(found) + group.count} workers in all; "
-                                           f"at most {MOST_WORKERS} are played")
+                self.wrong(
+                    group,
+                    "count",
+                    f"{len(found) + group.count} workers in all; at most {MOST_WORKERS} are played",
+                )
             if group.speeds and len(group.speeds) != group.count:
                 self.wrong(group, "speeds", f"{len(group.speeds)} speeds for {group.count} workers")
             if any(speed <= 0 for speed in group.speeds):
                 self.wrong(group, "speeds", "a speed must be above zero")
             for n in range(group.count):
                 cell = sum(w.zone == group.zone for w in found) // group.cell_size
-                found.append(s.Worker(f"{group.getSectionName()}-{n + 1}", group.kind, group.zone, cell,
-                                      group.speeds[n] if group.speeds else None))
+                found.append(
+                    s.Worker(
+                        f"{group.getSectionName()}-{n + 1}",
+                        group.kind,
+                        group.zone,
+                        cell,
+                        group.speeds[n] if group.speeds else None,
+                    )
+                )
         return tuple(found)
 
     def classes(self) -> tuple[s.ClassLoad, ...]:
@@ -191,11 +221,22 @@
                 self.odd(c, "aim", "is past the deadline, so that no answer earns anything late")
             if not sum(c.slots):
                 self.wrong(c, "slots", "the shares sum to nothing")
-            cls = i.JobClass(c.getSectionName(), c.worth, c.aim, c.deadline, i.Effect(c.effect),
-                             stretch=c.stretch)
-            found.append(s.ClassLoad(cls, c.share, c.work, c.spread, c.distribution, c.noise,
-                                     c.hint_spread if c.hints else None, c.slots,
-                                     math.inf if c.longest is None else c.longest))
+            cls = i.JobClass(
+                c.getSectionName(), c.worth, c.aim, c.deadline, i.Effect(c.effect), stretch=c.stretch
+            )
+            found.append(
+                s.ClassLoad(
+                    cls,
+                    c.share,
+                    c.work,
+                    c.spread,
+                    c.distribution,
+                    c.noise,
+                    c.hint_spread if c.hints else None,
+                    c.slots,
+                    math.inf if c.longest is None else c.longest,
+                )
+            )
         if not sum(c.share for c in found):
             self.wrong(self.root.classes[0], "share", "the classes' shares sum to nothing")
         return tuple(found)
@@ -230,8 +271,9 @@
         """Read the troubles, and check whom they strike and when."""
         names = [w.name for w in night.workers]
         posts = [f"n{n + 1}" for n in range(len(night.dispatchers.weights))]
-        return tuple(sorted((self.trouble(t, night, names, posts) for t in self.root.troubles),
-                            key=lambda t: t.at))
+        return tuple(
+            sorted((self.trouble(t, night, names, posts) for t in self.root.troubles), key=lambda t: t.at)
+        )
 
     def trouble(self, t: Any, night: s.Night, names: list[str], posts: list[str]) -> s.Trouble:
         """Read one."""
@@ -242,8 +284,11 @@
             end = night.length / 1000
             self.wrong(t, "at", f"{trouble.at / 1000:g} s is past the night's end at {end:g} s")
         if trouble.ends > night.length:
-            self.odd(t, "for", f"lasts to {trouble.ends / 1000:g} s, past the last arrival at "
-                               f"{night.length / 1000:g} s")
+            self.odd(
+                t,
+                "for",
+                f"lasts to {trouble.ends / 1000:g} s, past the last arrival at {night.length / 1000:g} s",
+            )
         if trouble.ramp * 2 > trouble.length:
             self.wrong(t, "ramp", "rise and fall take longer than the trouble itself")
         if kind == "burst" and trouble.factor <= 1:
@@ -261,10 +306,15 @@
         for key, known in (("workers", names), ("dispatchers", posts)):
             for name in getattr(trouble, key):
                 if not select(name, known):
-                    self.wrong(t, key, f"there is no {name!r}; known: {', '.join(known[:4])}"
-                                       f"{' ...' if len(known) > 4 else ''}")
-        if trouble.share is not None and (trouble.workers or (
-                trouble.kind == "dispatcher-restart" and trouble.dispatchers)):
+                    self.wrong(
+                        t,
+                        key,
+                        f"there is no {name!r}; known: {', '.join(known[:4])}"
+                        f"{' ...' if len(known) > 4 else ''}",
+                    )
+        if trouble.share is not None and (
+            trouble.workers or (trouble.kind == "dispatcher-restart" and trouble.dispatchers)
+        ):
             self.wrong(t, "share", "give a share or names, not both")
 
     def tenants(self) -> tuple[s.TenantLoad, ...]:
@@ -285,11 +335,25 @@
             if root.clients is not None:
                 self.fraction(root.clients, key)
         night = s.Night(
-            root.name, root.length, s.Traffic(1.0), tuple(kinds.values()), self.workers(kinds),
-            self.classes(), root.describe, root.seed, root.tail, self.tenants(), (),
-            self.part(root.network, s.Network), self.part(root.rules, s.Rules),
-            self.part(root.list, s.Listing), self.part(root.reports, s.Reports), clients,
-            self.dispatchers(), self.part(root.goal, s.Goal))
+            root.name,
+            root.length,
+            s.Traffic(1.0),
+            tuple(kinds.values()),
+            self.workers(kinds),
+            self.classes(),
+            root.describe,
+            root.seed,
+            root.tail,
+            self.tenants(),
+            (),
+            self.part(root.network, s.Network),
+            self.part(root.rules, s.Rules),
+            self.part(root.list, s.Listing),
+            self.part(root.reports, s.Reports),
+            clients,
+            self.dispatchers(),
+            self.part(root.goal, s.Goal),
+        )
         night = with_parts(night, load=self.load(night))
         return with_parts(night, troubles=self.troubles(night))
 
@@ -342,8 +406,12 @@
         raise
 
 
-def read_with(path: Path, where: str, changes: Sequence[str], empty: Sequence[str],
-              ) -> tuple[s.Night, list[str]]:
+def read_with(
+    path: Path,
+    where: str,
+    changes: Sequence[str],
+    empty: Sequence[str],
+) -> tuple[s.Night, list[str]]:
     """Read a script as if empty sections stood at its end."""
     loader = Loader(ZConfig.loadSchema(str(SCHEMA)))
     try:
--- a/elderstall/rehearsal/report.py
+++ b/elderstall/rehearsal/report.py
@@ -29,7 +29,7 @@
     with mpl.rc_context({"svg.hashsalt": "elderstall", "svg.fonttype": "none"}):
         figure.savefig(out, format="svg", metadata={"Date": None, "Creator": None})
     text = out.getvalue()
-    return text[text.index("<svg"):]
+    return text[text.index("<svg") :]
 
 
 def shade(axes: Axes, figures: dict[str, Any]) -> None:
@@ -37,8 +37,15 @@
     for n, t in enumerate(figures["troubles"]):
         color = SHADES[n % len(SHADES)]
         axes.axvspan(t["at_s"], t["at_s"] + max(t["for_s"], 0.3), color=color, alpha=0.18, linewidth=0)
-        axes.annotate(t["kind"], (t["at_s"], 1.0), xycoords=("data", "axes fraction"), fontsize=7,
-                      rotation=90, va="top", color="#555")
+        axes.annotate(
+            t["kind"],
+            (t["at_s"], 1.0),
+            xycoords=("data", "axes fraction"),
+            fontsize=7,
+            rotation=90,
+            va="top",
+            color="#555",
+        )
 
 
 def service_plot(figures: dict[str, Any]) -> str:
@@ -49,17 +56,33 @@
     upper, lower = figure.subplots(2, 1, sharex=True, height_ratios=(2, 1))
     for name in figures["classes"]:
         values = [w["classes"].get(name) for w in windows]
-        upper.plot(middle, [np.nan if v is None else v for v in values], linewidth=1, label=name, marker=".",
-                   markersize=3)
-    upper.plot(middle, [np.nan if w["service"] is None else w["service"] for w in windows], color="black",
-               linewidth=2, label="all, by worth")
+        upper.plot(
+            middle,
+            [np.nan if v is None else v for v in values],
+            linewidth=1,
+            label=name,
+            marker=".",
+            markersize=3,
+        )
+    upper.plot(
+        middle,
+        [np.nan if w["service"] is None else w["service"] for w in windows],
+        color="black",
+        linewidth=2,
+        label="all, by worth",
+    )
     upper.set_ylim(0, 1.03)
     upper.yaxis.set_major_formatter(PercentFormatter(1.0))
     upper.set_ylabel("service")
     upper.legend(fontsize=7, loc="lower left")
     lower.bar(middle, [w["requests"] / 5 for w in windows], width=4.6, color="#9aa5b1")
-    lower.bar(middle, [w["endings"].get("refused", 0) / 5 for w in windows], width=4.6, color="#c97064",
-              label="refused")
+    lower.bar(
+        middle,
+        [w["endings"].get("refused", 0) / 5 for w in windows],
+        width=4.6,
+        color="#c97064",
+        label="refused",
+    )
     lower.set_ylabel("requests a second")
     lower.set_xlabel("seconds of the night")
     lower.legend(fontsize=7, loc="upper left")
@@ -77,8 +100,15 @@
     names = list(world.machines)[::step]
     figure = Figure(figsize=(9, min(9.0, 1.2 + 0.16 * len(names))), layout="constrained")
     axes = figure.subplots()
-    image = axes.imshow(rows[::step], aspect="auto", interpolation="nearest", cmap="viridis", vmin=0, vmax=1,
-                        extent=(0, rows.shape[1], len(names), 0))
+    image = axes.imshow(
+        rows[::step],
+        aspect="auto",
+        interpolation="nearest",
+        cmap="viridis",
+        vmin=0,
+        vmax=1,
+        extent=(0, rows.shape[1], len(names), 0),
+    )
     if len(names) <= 40:
         axes.set_yticks([n + 0.5 for n in range(len(names))], names, fontsize=7)
     axes.set_xlabel("seconds of the night")
@@ -90,9 +120,18 @@
 
 def write(world: World, figures: dict[str, Any], path: Path, cpu: float) -> None:
     """Write the report. ``cpu`` is the CPU seconds that the play took on this machine."""
-    env = Environment(loader=FileSystemLoader(Path(__file__).parent), autoescape=True,
-                      undefined=StrictUndefined, trim_blocks=True, lstrip_blocks=True)
+    env = Environment(
+        loader=FileSystemLoader(Path(__file__).parent),
+        autoescape=True,
+        undefined=StrictUndefined,
+        trim_blocks=True,
+        lstrip_blocks=True,
+    )
     page = env.get_template(TEMPLATE).render(
-        f=figures, night=world.night, cpu_us=1e6 * cpu / max(1, figures["requests"]),
-        service_plot=service_plot(figures), heat_map=heat_map(world, figures))
+        f=figures,
+        night=world.night,
+        cpu_us=1e6 * cpu / max(1, figures["requests"]),
+        service_plot=service_plot(figures),
+        heat_map=heat_map(world, figures),
+    )
     write_text_atomically(path, page)
--- a/elderstall/rehearsal/script.py
+++ b/elderstall/rehearsal/script.py
@@ -250,13 +250,26 @@
         return i.Settings(
             classes=tuple(c.cls for c in self.classes),
             tenants=tuple(i.Tenant(t.name, t.quota) for t in self.tenants),
-            dispatchers=len(self.dispatchers.weights), rank=rank, zone=zones[rank % len(zones)],
-            over_share_worth=r.over_share_worth, by_work=r.worth_by_work, must_follow=self.listing.must_ask,
-            ask_within=r.ask_within, cold_share=r.cold_share, cold_for=r.cold_for,
-            push_multiple=r.push_multiple, push_window=r.push_window, max_attempts=r.max_attempts,
-            cpu_us_per_s=r.cpu_per_second, cpu_us_per_job=r.cpu_per_job,
-            connect_timeout=self.network.connect_timeout, tells_start=reports.starts_told,
-            report_free_slots=free, tick=r.tick, probes=reports.asked)
+            dispatchers=len(self.dispatchers.weights),
+            rank=rank,
+            zone=zones[rank % len(zones)],
+            over_share_worth=r.over_share_worth,
+            by_work=r.worth_by_work,
+            must_follow=self.listing.must_ask,
+            ask_within=r.ask_within,
+            cold_share=r.cold_share,
+            cold_for=r.cold_for,
+            push_multiple=r.push_multiple,
+            push_window=r.push_window,
+            max_attempts=r.max_attempts,
+            cpu_us_per_s=r.cpu_per_second,
+            cpu_us_per_job=r.cpu_per_job,
+            connect_timeout=self.network.connect_timeout,
+            tells_start=reports.starts_told,
+            report_free_slots=free,
+            tick=r.tick,
+            probes=reports.asked,
+        )
 
 
 def mean_slots(shares: tuple[float, ...]) -> float:
--- a/elderstall/rehearsal/serve.py
+++ b/elderstall/rehearsal/serve.py
@@ -120,8 +120,15 @@
 class Stage:
     """Everything but dispatchers and clients; what machines, troubles and the list ask of their world."""
 
-    def __init__(self, night: Night, reactor: Any, seconds: Callable[[], float], unix_ms: float,
-                 dispatchers: list[tuple[str, int]], seed: int | None = None) -> None:
+    def __init__(
+        self,
+        night: Night,
+        reactor: Any,
+        seconds: Callable[[], float],
+        unix_ms: float,
+        dispatchers: list[tuple[str, int]],
+        seed: int | None = None,
+    ) -> None:
         self.night, self.reactor = night, reactor
         self.seed = night.seed if seed is None else seed
         self.loop, self.draws, self.epoch = RealTime(reactor, seconds), Draws(self.seed), unix_ms
@@ -131,8 +138,10 @@
         self.absent: set[str] = set()
         self.links = 0
         self.classes = {c.cls.name: c for c in night.classes}
-        self.works = {c.cls.name: self.draws.work(c.distribution, c.work, c.spread, "work", c.cls.name)
-                      for c in night.classes}
+        self.works = {
+            c.cls.name: self.draws.work(c.distribution, c.work, c.spread, "work", c.cls.name)
+            for c in night.classes
+        }
         self.callers = [Caller(self, rank, host, port) for rank, (host, port) in enumerate(dispatchers)]
         self.stations: list[Any] = []
         kinds = {kind.name: kind for kind in night.kinds}
@@ -194,8 +203,11 @@
         """Work out what a job costs: by its hint, or drawn. Raises ValueError where the hint is no number."""
         cost = message.headers.get("X-Call-Cost")
         work = float(cost) / 1000 if cost else next(self.works[load.cls.name])
-        pairs = dict(part.strip().partition("=")[::2] for part in (
-            message.headers.get("X-Call-Info") or "").split(",") if part.strip())
+        pairs = dict(
+            part.strip().partition("=")[::2]
+            for part in (message.headers.get("X-Call-Info") or "").split(",")
+            if part.strip()
+        )
         slots = next((int(float(pairs[name])) for name in INFO_SLOTS if name in pairs), 1)
         if not 0 <= work < 1e9 or not 1 <= slots < 1_000:
             raise ValueError("out of range")
@@ -213,28 +225,59 @@
         night, rules, reports = self.night, self.night.rules, self.night.reports
         free = {f"report_{reports.free_slots}": "free slots"}
         settings = {
-            "classes": [{"name": c.cls.name, "points": c.cls.worth, "aim": c.cls.aim,
-                         "deadline": c.cls.deadline, "effect": c.cls.effect.value} for c in night.classes],
-            "balancers": len(self.callers), "rank": caller.rank, "locality": night.workers[0].zone,
+            "classes": [
+                {
+                    "name": c.cls.name,
+                    "points": c.cls.worth,
+                    "aim": c.cls.aim,
+                    "deadline": c.cls.deadline,
+                    "effect": c.cls.effect.value,
+                }
+                for c in night.classes
+            ],
+            "balancers": len(self.callers),
+            "rank": caller.rank,
+            "locality": night.workers[0].zone,
             "projects": [{"name": t.name, "portion": t.share, "quota_per_s": t.quota} for t in night.tenants],
             "discovery": "subscribe" if night.listing.must_ask else "automatic",
             "counted_by": "work" if rules.worth_by_work else "request",
-            "over_share_worth": rules.over_share_worth, "tick": rules.tick,
+            "over_share_worth": rules.over_share_worth,
+            "tick": rules.tick,
             "skus": [kind.name for kind in night.kinds],
             "load_report": {"fields": list(reports.fields), "source": "piggyback"},
-            "specifics": {"class_stretch": [c.cls.stretch for c in night.classes],
-                          "tells_start": reports.starts_told, **free},
-            "rules": {"answer_slack": rules.slack, "stop_sending_within": rules.drain_grace,
-                      "ask_within": rules.ask_within, "cold_share": rules.cold_share, "cold": rules.cold_for,
-                      "fall_multiple": rules.push_multiple, "overload_for": rules.push_window},
-            "limits": {"conn_idle": night.network.idle_close, "max_attempts": rules.max_attempts,
-                       "connect_timeout": night.network.connect_timeout, "max_open": rules.max_open,
-                       "cpu_us_per_s": rules.cpu_per_second, "cpu_us_per_request": rules.cpu_per_job}}
+            "specifics": {
+                "class_stretch": [c.cls.stretch for c in night.classes],
+                "tells_start": reports.starts_told,
+                **free,
+            },
+            "rules": {
+                "answer_slack": rules.slack,
+                "stop_sending_within": rules.drain_grace,
+                "ask_within": rules.ask_within,
+                "cold_share": rules.cold_share,
+                "cold": rules.cold_for,
+                "fall_multiple": rules.push_multiple,
+                "overload_for": rules.push_window,
+            },
+            "limits": {
+                "conn_idle": night.network.idle_close,
+                "max_attempts": rules.max_attempts,
+                "connect_timeout": night.network.connect_timeout,
+                "max_open": rules.max_open,
+                "cpu_us_per_s": rules.cpu_per_second,
+                "cpu_us_per_request": rules.cpu_per_job,
+            },
+        }
         entries = tuple(self.listing.entries.values())
         port = self.lists[caller].getHost().port
-        return {"name": f"n{caller.rank + 1}", "listen": f"{caller.host}:{caller.port}",
-                "discovery": f"{HOST}:{port}", "seed": f"{self.draws.number('module', str(caller.rank)):x}",
-                "known": told_as(self.listing.version, entries, self.addresses(caller)), "settings": settings}
+        return {
+            "name": f"n{caller.rank + 1}",
+            "listen": f"{caller.host}:{caller.port}",
+            "discovery": f"{HOST}:{port}",
+            "seed": f"{self.draws.number('module', str(caller.rank)):x}",
+            "known": told_as(self.listing.version, entries, self.addresses(caller)),
+            "settings": settings,
+        }
 
     def write(self, folder: Path) -> list[Path]:
         """Write a configuration for each dispatcher; gives the files."""
@@ -250,9 +293,15 @@
         """Say what ran."""
         runs, unsafe = self.books.runs, self.books.unsafe
         repeated = sorted(cid for cid, n in runs.items() if n > 1)
-        return {"jobs": len(runs), "runs": sum(runs.values()), "repeated": len(repeated),
-                "broken": [cid for cid in repeated if cid in unsafe], "fallen": self.books.fallen,
-                "core_s": round(self.books.core_ms / 1000, 3),
-                "call_backs": {f"n{c.rank + 1}": {"delivered": c.delivered, "failed": c.failed,
-                                                  "dropped": c.dropped} for c in self.callers}}
-
+        return {
+            "jobs": len(runs),
+            "runs": sum(runs.values()),
+            "repeated": len(repeated),
+            "broken": [cid for cid in repeated if cid in unsafe],
+            "fallen": self.books.fallen,
+            "core_s": round(self.books.core_ms / 1000, 3),
+            "call_backs": {
+                f"n{c.rank + 1}": {"delivered": c.delivered, "failed": c.failed, "dropped": c.dropped}
+                for c in self.callers
+            },
+        }
--- a/elderstall/rehearsal/sockets.py
+++ b/elderstall/rehearsal/sockets.py
@@ -30,8 +30,12 @@
 HEARTBEAT = 2_000.0  # ms between the empty lines of a watch
 CALL_WAIT = 2_000.0  # ms that a dispatcher may take over a call-back
 CALLS_MOST = 10_000  # call-backs that wait for one dispatcher; of more the oldest are dropped, and counted
-STATES = {i.Ending.SERVED: "done", i.Ending.ERROR: "failed", i.Ending.FULL: "returned",
-          i.Ending.BROKEN: "lost"}
+STATES = {
+    i.Ending.SERVED: "done",
+    i.Ending.ERROR: "failed",
+    i.Ending.FULL: "returned",
+    i.Ending.BROKEN: "lost",
+}
 
 
 class RealCall:
@@ -230,8 +234,11 @@
 
     def called_back(self, errand: SocketErrand, outcome: Outcome) -> None:
         """Tell how a job ended."""
-        call: dict[str, Any] = {"id": errand.cid, "from": errand.machine.name,
-                                "state": STATES[outcome.ending]}
+        call: dict[str, Any] = {
+            "id": errand.cid,
+            "from": errand.machine.name,
+            "state": STATES[outcome.ending],
+        }
         if outcome.ending is i.Ending.SERVED:
             call["result"] = f"{errand.job.load.cls.name} {errand.cid} by {errand.machine.name}"
         load = errand.machine.load_json(outcome.report)  # type: ignore[attr-defined]
@@ -308,8 +315,11 @@
     def send(self, call: dict[str, Any], tries: int) -> None:
         """Write one call."""
         self.call = call, tries
-        self.transport.write(http.request("POST", "/callback", f"{self.caller.host}:{self.caller.port}", (),
-                                          json.dumps(call).encode()))
+        self.transport.write(
+            http.request(
+                "POST", "/callback", f"{self.caller.host}:{self.caller.port}", (), json.dumps(call).encode()
+            )
+        )
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
         self.parser.feed(data)
--- a/elderstall/rehearsal/station.py
+++ b/elderstall/rehearsal/station.py
@@ -46,8 +46,15 @@
         self.alive, self.leaving = True, False
         self.wire = Wire(self)
         rules = world.night.rules
-        self.core = Core(world.night.settings(station.rank), seed, self.deadlines, self.wire, world.log,
-                         rules.slack, rules.max_open)
+        self.core = Core(
+            world.night.settings(station.rank),
+            seed,
+            self.deadlines,
+            self.wire,
+            world.log,
+            rules.slack,
+            rules.max_open,
+        )
         self.core.follow = lambda: world.listing.follow(self)
         self.version = 0  # of the list as it was last told
         self.tries: dict[str, Try] = {}
@@ -78,8 +85,17 @@
             self.tries.pop(cid, None)
         request = tried.request
         load = request.load
-        ask = Ask(tried.cid, load.cls.name, budget, tried, request.tenant, None, request.hint, request.slots,
-                  request.safe)
+        ask = Ask(
+            tried.cid,
+            load.cls.name,
+            budget,
+            tried,
+            request.tenant,
+            None,
+            request.hint,
+            request.slots,
+            request.safe,
+        )
         self.tries[tried.cid] = tried
         try:
             tried.job = self.core.take(ask, tried)
@@ -144,6 +160,7 @@
         """Take nothing new."""
         if process.alive:
             process.leaving = True
+
             def empty() -> None:
                 self.world.loop.after(0.0, self.kill, process, back_in)
 
--- a/elderstall/rehearsal/troubles.py
+++ b/elderstall/rehearsal/troubles.py
@@ -22,10 +22,20 @@
     def __init__(self, world: World) -> None:
         self.world, self.loop = world, world.loop
         self.acts: dict[str, Callable[[Trouble, int], None]] = {
-            "slow": self.slow, "pause": self.pause, "fail": self.fail, "vanish": self.vanish,
-            "reset": self.reset, "restart": self.restart, "drain": self.drain, "cold": self.cold,
-            "burst": self.burst, "heavy-tail": self.heavy_tail, "list-down": self.list_down,
-            "cut-off": self.cut_off, "dispatcher-restart": self.dispatcher_restart}
+            "slow": self.slow,
+            "pause": self.pause,
+            "fail": self.fail,
+            "vanish": self.vanish,
+            "reset": self.reset,
+            "restart": self.restart,
+            "drain": self.drain,
+            "cold": self.cold,
+            "burst": self.burst,
+            "heavy-tail": self.heavy_tail,
+            "list-down": self.list_down,
+            "cut-off": self.cut_off,
+            "dispatcher-restart": self.dispatcher_restart,
+        }
 
     def begin(self) -> None:
         """Plan all of them."""
@@ -48,7 +58,7 @@
     def drawn(self, names: list[str], share: float, n: int) -> list[str]:
         """Draw a share of them, one at least, in an order of its own; alike for the same seed."""
         order = self.world.draws.generator("trouble", str(n)).permutation(len(names))
-        return [names[k] for k in order[:max(1, round(share * len(names)))]] if share > 0 else []
+        return [names[k] for k in order[: max(1, round(share * len(names)))]] if share > 0 else []
 
     def posts(self, t: Trouble, n: int) -> list[Station]:
         """Choose the dispatchers."""
@@ -60,8 +70,13 @@
         self.world.struck.setdefault(n, []).extend(chosen)
         return [stations[name] for name in chosen]
 
-    def each(self, t: Trouble, n: int, act: Callable[[Machine], None],
-             undo: Callable[[Machine], None] | None = None) -> None:
+    def each(
+        self,
+        t: Trouble,
+        n: int,
+        act: Callable[[Machine], None],
+        undo: Callable[[Machine], None] | None = None,
+    ) -> None:
         """Strike one after the other, and let each go after the trouble's length."""
         for k, machine in enumerate(self.struck(t, n)):
             at = t.at + k * t.apart
@@ -115,6 +130,7 @@
 
     def restart(self, t: Trouble, n: int) -> None:
         """Lose the process, and start it anew, cold."""
+
         def go(m: Machine) -> None:
             m.die()
             self.world.listing.changed(m, self.world.night.listing.notice)
@@ -128,6 +144,7 @@
 
     def drain(self, t: Trouble, n: int) -> None:
         """Drain, end once nothing is left or the time is up, and come back as a new process."""
+
         def back(m: Machine) -> None:
             if m.model.draining:
                 m.die()
--- a/elderstall/rehearsal/values.py
+++ b/elderstall/rehearsal/values.py
@@ -109,11 +109,13 @@
 
 def one_of(*known: str) -> Callable[[str], str]:
     """Read one of some words."""
+
     def read(text: str) -> str:
         value = word(text)
         if value not in known:
             raise ValueError(f"{text!r} is none of {', '.join(known)}")
         return value
+
     return read
 
 
--- a/elderstall/rehearsal/wire.py
+++ b/elderstall/rehearsal/wire.py
@@ -54,10 +54,23 @@
 class Errand:
     """One attempt on its way: what the core sent, and how it goes."""
 
-    def __init__(self, wire: Wire, machine: Machine, ask: Ask, number: int, ends: float,
-                 note: Callable[[float, str], None]) -> None:
+    def __init__(
+        self,
+        wire: Wire,
+        machine: Machine,
+        ask: Ask,
+        number: int,
+        ends: float,
+        note: Callable[[float, str], None],
+    ) -> None:
         self.wire, self.machine, self.ask, self.number, self.ends, self.note = (
-            wire, machine, ask, number, ends, note)
+            wire,
+            machine,
+            ask,
+            number,
+            ends,
+            note,
+        )
         self.done: Deferred[Outcome | None] = Deferred(self.give_up)
         self.link: Link | None = None
         self.written = self.over = False
@@ -215,8 +228,14 @@
 
     # ---- messages.Carrier ----
 
-    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
-             barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
+    def send(
+        self,
+        worker: str,
+        ask: Ask,
+        ends: float,
+        note: Callable[[float, str], None],
+        barred: Callable[[], str | None],
+    ) -> Deferred[Outcome | None]:
         """Start an attempt; here connections are up at once, and none is barred meanwhile."""
         pool = self.pools.get(worker)
         tried: Try = ask.parcel  # type: ignore[assignment]
--- a/elderstall/rehearsal/worker.py
+++ b/elderstall/rehearsal/worker.py
@@ -100,8 +100,15 @@
 class CardWorker:
     """One worker process on its machine."""
 
-    def __init__(self, kind: Kind, speed: float, now: float = 0.0, push: Push | None = None,
-                 checkpoint: float = 1_000.0, progress_every: float = 0.0) -> None:
+    def __init__(
+        self,
+        kind: Kind,
+        speed: float,
+        now: float = 0.0,
+        push: Push | None = None,
+        checkpoint: float = 1_000.0,
+        progress_every: float = 0.0,
+    ) -> None:
         self.kind, self.speed, self.push = kind, speed, push or Push()
         self.checkpoint, self.progress_every = checkpoint, progress_every
         self.at = now
@@ -351,8 +358,12 @@
 
     def _offered(self, task: Task) -> None:
         fits = self.used + task.slots <= self.kind.slots and not self._queue()
-        full = not self.up or self.draining or task.slots > self.kind.slots or (
-            not fits and self._queue() >= self.kind.queue)
+        full = (
+            not self.up
+            or self.draining
+            or task.slots > self.kind.slots
+            or (not fits and self._queue() >= self.kind.queue)
+        )
         if self._falls(task):
             return
         if full:
--- a/elderstall/rehearsal/world.py
+++ b/elderstall/rehearsal/world.py
@@ -48,8 +48,7 @@
             self.machines[spec.name] = Machine(self, spec, kind, spec.speed or drawn)
         self.listing = ListService(self, night.listing, self.draws.uniform("list"))
         self.clients = Clients(self)
-        self.stations = [Station(self, rank, weight)
-                         for rank, weight in enumerate(night.dispatchers.weights)]
+        self.stations = [Station(self, rank, weight) for rank, weight in enumerate(night.dispatchers.weights)]
 
     def reaches(self, wire: Wire, machine: Machine) -> bool:
         """Say whether anything said between a dispatcher and a machine arrives now."""
@@ -71,8 +70,9 @@
             station.start()
             if not self.night.listing.must_ask and station.process is not None:
                 # Told unasked: after a moment of its own, as processes do not start in step.
-                self.loop.after(next(starts) * self.night.dispatchers.start_spread, self.listing.follow,
-                                station.process)
+                self.loop.after(
+                    next(starts) * self.night.dispatchers.start_spread, self.listing.follow, station.process
+                )
         self.clients.begin(self.stations)
         self.loop.at(BIN, self.sample, dict.fromkeys(self.machines, 0.0))
 
@@ -128,4 +128,3 @@
 def play(night: Night, seed: int | None = None) -> dict[str, Any]:
     """Play a night and give its figures."""
     return World(night, seed).play()
-
--- a/elderstall/routing/reach.py
+++ b/elderstall/routing/reach.py
@@ -26,8 +26,7 @@
         self.lost: Zones = frozenset()
         self.answering: Zones = frozenset()  # have answered since the first of them was lost
 
-    def ended(self, worker: str, zone: str | None, ending: Ending, unreached: bool,
-              now: float) -> bool:
+    def ended(self, worker: str, zone: str | None, ending: Ending, unreached: bool, now: float) -> bool:
         """Take the end of an attempt or a question; say whether it has changed what is in reach."""
         before = self.lost, self.answering
         if unreached:
--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -76,8 +76,12 @@
 class FleetView:
     """What is listed, banned, draining and gone, and which of it the module knows."""
 
-    def __init__(self, settings: i.Settings, entries_most: int = ENTRIES_MOST,
-                 log: Callable[[str, str], None] = lambda code, text: None) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        entries_most: int = ENTRIES_MOST,
+        log: Callable[[str, str], None] = lambda code, text: None,
+    ) -> None:
         self.settings, self.entries_most, self.log = settings, entries_most, log
         self.entries: dict[str, i.Listed] = {}  # as discovery tells them; none that are gone
         self.unavailable: dict[str, float] = {}  # listed, but draining or banned; since when
@@ -159,8 +163,9 @@
         missing = self.missing_from(entries) if scope is ListScope.WHOLE else []
         for worker in missing:
             self.lose(worker, now)
-        changed = [entry.worker for entry, seen in zip(entries, shown, strict=True)
-                   if self.note(entry, seen, now)]
+        changed = [
+            entry.worker for entry, seen in zip(entries, shown, strict=True) if self.note(entry, seen, now)
+        ]
         events = self.tell(now, scope, shown, missing + changed)
         return events + self.forget(now)
 
@@ -230,8 +235,13 @@
         """Whether so many are up that a dispatcher that knows all begins with a part of them."""
         return self.up > LARGE
 
-    def tell(self, now: float, scope: ListScope, shown: tuple[i.Listed, ...], changed: list[str],
-             ) -> list[i.Event]:
+    def tell(
+        self,
+        now: float,
+        scope: ListScope,
+        shown: tuple[i.Listed, ...],
+        changed: list[str],
+    ) -> list[i.Event]:
         """Give the module's part of a list that has been taken."""
         size = subset_size(self.up, self.settings.dispatchers)
         if self.subset is None and self.up <= size * (1 + SLACK):
@@ -367,8 +377,10 @@
     def retune(self, settings: i.Settings, now: float) -> list[i.Event]:
         """Take new settings; gives what the module is to be told where they make the subset another one."""
         old, self.settings = self.settings, settings
-        same = all(getattr(old, name) == getattr(settings, name)
-                   for name in ("rank", "dispatchers", "zone", "crossing_price"))
+        same = all(
+            getattr(old, name) == getattr(settings, name)
+            for name in ("rank", "dispatchers", "zone", "crossing_price")
+        )
         size = subset_size(self.up, settings.dispatchers)
         if same or (self.subset is None and self.up <= size * (1 + SLACK)):
             return []
--- a/elderstall/search.py
+++ b/elderstall/search.py
@@ -14,7 +14,7 @@
     """Yield the legal policies one step away."""
     for n in range(len(policy.f)):
         for d in (step, -step):
-            f = policy.f[:n] + (policy.f[n] + d,) + policy.f[n + 1:]
+            f = policy.f[:n] + (policy.f[n] + d,) + policy.f[n + 1 :]
             if legal(near := Policy(f, policy.sizes), tiers) and not (resize and f[n] < 0):
                 yield near
     if resize:
@@ -39,8 +39,9 @@
             return policy
 
 
-def climb(start: Policy, worth: Callable[[Policy], float], tiers: int, budget: int, rng: random.Random,
-          resize: bool) -> Policy:
+def climb(
+    start: Policy, worth: Callable[[Policy], float], tiers: int, budget: int, rng: random.Random, resize: bool
+) -> Policy:
     """Steepest ascent from the current policy, with step cuts and random restarts, within a budget.
 
     ``worth`` is asked at most ``budget`` times, once for a policy.
--- a/elderstall/settings.py
+++ b/elderstall/settings.py
@@ -35,26 +35,47 @@
     for n, c in enumerate(conf["classes"]):
         kind = bound[n] if n < len(bound) else -1
         stretch = stretches[n] if n < len(stretches) else c.get("aim_stretch") or 0.0
-        classes.append(i.JobClass(
-            name=c["name"], worth=c["points"], aim=c["aim"], deadline=positive(c["deadline"], "deadline"),
-            effect=i.Effect(c["effect"]), scope=i.Scope(c.get("key_scope") or "all"),
-            memory_span=c.get("memory_span") or 0.0, stretch=stretch, late_share=c.get("late_share") or 0.0,
-            kind=kinds[kind] if 0 <= kind < len(kinds) else None, streamed=flag(c, "streamed")))
+        classes.append(
+            i.JobClass(
+                name=c["name"],
+                worth=c["points"],
+                aim=c["aim"],
+                deadline=positive(c["deadline"], "deadline"),
+                effect=i.Effect(c["effect"]),
+                scope=i.Scope(c.get("key_scope") or "all"),
+                memory_span=c.get("memory_span") or 0.0,
+                stretch=stretch,
+                late_share=c.get("late_share") or 0.0,
+                kind=kinds[kind] if 0 <= kind < len(kinds) else None,
+                streamed=flag(c, "streamed"),
+            )
+        )
     free = next((f for f in ("x0", "x1") if f in fields and extras.get(f"report_{f}") == "free slots"), None)
     return i.Settings(
         classes=tuple(classes),
         tenants=tuple(i.Tenant(p["name"], p["quota_per_s"]) for p in conf.get("projects") or ()),
-        dispatchers=conf["balancers"], rank=conf.get("rank") or 0, zone=conf.get("locality"),
-        over_share_worth=conf.get("over_share_worth", 1.0), by_work=conf.get("counted_by") == "work",
-        must_follow=conf.get("discovery") == "subscribe", ask_within=rules.get("ask_within") or 10_000.0,
-        cold_share=rules.get("cold_share") or 1.0, cold_for=rules.get("cold") or 0.0,
-        push_multiple=rules.get("fall_multiple") or 3.0, push_window=rules.get("overload_for") or 2_000.0,
+        dispatchers=conf["balancers"],
+        rank=conf.get("rank") or 0,
+        zone=conf.get("locality"),
+        over_share_worth=conf.get("over_share_worth", 1.0),
+        by_work=conf.get("counted_by") == "work",
+        must_follow=conf.get("discovery") == "subscribe",
+        ask_within=rules.get("ask_within") or 10_000.0,
+        cold_share=rules.get("cold_share") or 1.0,
+        cold_for=rules.get("cold") or 0.0,
+        push_multiple=rules.get("fall_multiple") or 3.0,
+        push_window=rules.get("overload_for") or 2_000.0,
         drain_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,  # none told: at once
         max_attempts=positive(limits.get("max_attempts", 1), "max_attempts"),
         cpu_us_per_s=limits.get("cpu_us_per_s") or 0.0,
         cpu_us_per_job=limits.get("cpu_us_per_request") or 0.0,
-        connect_timeout=limits.get("connect_timeout") or 0.0, tells_start=flag(extras, "tells_start"),
-        report_free_slots=fields.index(free) if free else None, tick=conf.get("tick") or 1.0,
-        crossing_price=fees.get("cross_zone") or 0.0, fetch_price=fees.get("origin") or 0.0,
-        probes=flag(limits, "probes"), cancels=flag(limits, "cancel", True),
-        pulled=(conf.get("load_report") or {}).get("source") == "pull")
+        connect_timeout=limits.get("connect_timeout") or 0.0,
+        tells_start=flag(extras, "tells_start"),
+        report_free_slots=fields.index(free) if free else None,
+        tick=conf.get("tick") or 1.0,
+        crossing_price=fees.get("cross_zone") or 0.0,
+        fetch_price=fees.get("origin") or 0.0,
+        probes=flag(limits, "probes"),
+        cancels=flag(limits, "cancel", True),
+        pulled=(conf.get("load_report") or {}).get("source") == "pull",
+    )
--- a/elderstall/succession.py
+++ b/elderstall/succession.py
@@ -17,9 +17,16 @@
 
 def learned(d: Dispatcher) -> dict[str, Any]:
     """Give what was learned, as plain data, for the process that takes over."""
-    return {"workers": {w.name: w.learned() for w in d.workers.values()}, "kinds": d.kinds,
-            "mean": d.mean, "ended": d.ended, "claim": d.claim, "turn": d.turn,
-            "load": d.load_seen, "policy": (d.policy.f, d.policy.sizes)}
+    return {
+        "workers": {w.name: w.learned() for w in d.workers.values()},
+        "kinds": d.kinds,
+        "mean": d.mean,
+        "ended": d.ended,
+        "claim": d.claim,
+        "turn": d.turn,
+        "load": d.load_seen,
+        "policy": (d.policy.f, d.policy.sizes),
+    }
 
 
 def write_learned(data: dict[str, Any], view: FleetView, clock: SharedClock) -> dict[str, Any]:
@@ -35,8 +42,13 @@
     return data
 
 
-def read_learned(data: dict[str, Any], entries: Iterable[i.Listed], put_back: Mapping[str, Sequence[float]],
-                 view: FleetView, clock: SharedClock) -> None:
+def read_learned(
+    data: dict[str, Any],
+    entries: Iterable[i.Listed],
+    put_back: Mapping[str, Sequence[float]],
+    view: FleetView,
+    clock: SharedClock,
+) -> None:
     """Read what another process has written: its workers' starts become those that the view shows here.
 
     ``put_back`` has the times of those that were put back by hand, as they were sent. What was learned of
@@ -74,8 +86,9 @@
 def inherited(d: Dispatcher, e: i.JobInherited) -> None:
     """Take a job over from the process before this one, and go on with its attempt if one is out."""
     work = e.work_hint if e.work_hint else d.mean.setdefault(e.cls.name, max(1.0, e.cls.aim / 2))
-    job = Job(e.job, e.cls, e.cls.worth, d.tier_of(e.cls.worth), e.slots, work, e.key, e.arrived,
-              e.deadline, e.sent)
+    job = Job(
+        e.job, e.cls, e.cls.worth, d.tier_of(e.cls.worth), e.slots, work, e.key, e.arrived, e.deadline, e.sent
+    )
     d.jobs[e.job] = job
     if e.ran_on is not None:
         job.ran_on = d.workers.get(e.ran_on, Worker(e.ran_on, "", None, 0, None))
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -17,9 +17,17 @@
 
 def settings(**changes: object) -> i.Settings:
     values: dict[str, object] = {
-        "classes": CLASSES, "dispatchers": 2, "zone": "a", "max_attempts": 4,
-        "tells_start": True, "cold_share": 0.3, "cold_for": 5_000.0,
-        "connect_timeout": 100.0, "push_window": 1_000.0, "tenants": (), "over_share_worth": 0.2,
+        "classes": CLASSES,
+        "dispatchers": 2,
+        "zone": "a",
+        "max_attempts": 4,
+        "tells_start": True,
+        "cold_share": 0.3,
+        "cold_for": 5_000.0,
+        "connect_timeout": 100.0,
+        "push_window": 1_000.0,
+        "tenants": (),
+        "over_share_worth": 0.2,
     }
     values.update(changes)
     return i.Settings(**values)  # type: ignore[arg-type]
@@ -103,7 +111,8 @@
             assert not job.ended, "rule 1: two answers"
             if isinstance(a, i.Refuse) and (job.ran or job.out):
                 harmless = job.cls.effect is i.Effect.SAFE or (
-                    job.cls.effect is i.Effect.KEYED and job.cls.scope is i.Scope.ALL)
+                    job.cls.effect is i.Effect.KEYED and job.cls.scope is i.Scope.ALL
+                )
                 assert harmless, "rule 2: refused what may have run"
             job.ended, job.answers = True, job.answers + 1
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -60,7 +60,7 @@
 
     def send(self, data: bytes) -> None:
         while data:  # what the system does not take at once is more than any test here means to send
-            data = data[self.sock.send(data):]
+            data = data[self.sock.send(data) :]
 
 
 class Loop:
@@ -102,8 +102,9 @@
         self.listeners = [self.listener() for _ in range(workers)]
         self.lists = self.listener()
         raw = platform(workers, **more)
-        raw["known"]["endpoints"] = [entry(f"w{n + 1}", address=address_of(sock))
-                                     for n, sock in enumerate(self.listeners)]
+        raw["known"]["endpoints"] = [
+            entry(f"w{n + 1}", address=address_of(sock)) for n, sock in enumerate(self.listeners)
+        ]
         raw["discovery"] = address_of(self.lists)
         self.raw = raw
         config = config_of(raw, {"TMPDIR": folder})
@@ -178,8 +179,14 @@
         return side
 
     def job(self, cid: str, job_class: str = "deck-fetch", budget: int = 5_000, accept: str = "*/*") -> bytes:
-        fields = {"X-Call-Id": cid, "X-Call-Class": job_class, "X-Caller": "norte",
-                  "X-Budget-Ms": str(budget), "X-Call-Cost": "100000", "Accept": accept}
+        fields = {
+            "X-Call-Id": cid,
+            "X-Call-Class": job_class,
+            "X-Caller": "norte",
+            "X-Budget-Ms": str(budget),
+            "X-Call-Cost": "100000",
+            "Accept": accept,
+        }
         return http.request("POST", f"/{job_class}?obj=7f", "api.internal", fields.items(), b"body")
 
     def answer(self, side: Side) -> http.Message:
@@ -212,8 +219,11 @@
             self.accept(sock, self.sides)
         for side in self.sides:
             side.read()
-        return [(f"{m.method} {m.headers.get('X-Call-Id') or m.target}", side)
-                for side in self.sides for m in side.messages]
+        return [
+            (f"{m.method} {m.headers.get('X-Call-Id') or m.target}", side)
+            for side in self.sides
+            for m in side.messages
+        ]
 
     def accept(self, sock: socket.socket, sides: list[Side]) -> None:
         while True:
@@ -255,8 +265,10 @@
         side = self.watches[-1]
         head = b"" if side.message.status else http.head_of("HTTP/1.1 200 OK", CHUNKED)
         side.message.status = 200  # its head has been sent
-        entries = [entry(name, state, address_of(self.listeners[int(name[1:]) - 1]))
-                   for name, state in states.items()]
+        entries = [
+            entry(name, state, address_of(self.listeners[int(name[1:]) - 1]))
+            for name, state in states.items()
+        ]
         line = json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode()
         side.send(head + http.chunk(line + b"\n"))
         self.turn()
--- a/tests/nights.py
+++ b/tests/nights.py
@@ -10,10 +10,17 @@
 from elderstall.rehearsal.script import Trouble
 
 SAFE = s.ClassLoad(i.JobClass("fetch", 2.0, 250.0, 3_000.0, stretch=2.0), 0.6, 120.0, 1.0, noise=0.2)
-UNSAFE = s.ClassLoad(i.JobClass("purchase", 10.0, 300.0, 4_000.0, i.Effect.UNSAFE, stretch=2.0), 0.4, 150.0,
-                     1.0, slots=(0.8, 0.2))
-KINDS = (s.Kind("fast", speed=1.8, slots=3, queue=6, cold_for=2_000.0),
-         s.Kind("slow", speed=0.9, queue=10, cold_for=2_000.0, cancel="all", connection_work=2.0))
+UNSAFE = s.ClassLoad(
+    i.JobClass("purchase", 10.0, 300.0, 4_000.0, i.Effect.UNSAFE, stretch=2.0),
+    0.4,
+    150.0,
+    1.0,
+    slots=(0.8, 0.2),
+)
+KINDS = (
+    s.Kind("fast", speed=1.8, slots=3, queue=6, cold_for=2_000.0),
+    s.Kind("slow", speed=0.9, queue=10, cold_for=2_000.0, cancel="all", connection_work=2.0),
+)
 RULES = s.Rules(cold_for=2_000.0)
 QUICK_LIST = s.Listing(notice=200.0, silent_notice=600.0, add=200.0, period=100.0, spread=20.0)
 
@@ -22,17 +29,30 @@
     """Describe a short night."""
     workers = tuple(s.Worker(f"w-{n}", "fast" if n % 2 else "slow", "a", n // 2) for n in range(6))
     values: dict[str, Any] = {
-        "name": "small", "length": 12_000.0, "tail": 6_000.0, "load": s.Traffic(55.0, swing=0.2,
-                                                                              swing_period=5_000.0),
-        "kinds": KINDS, "workers": workers, "classes": (SAFE, UNSAFE), "rules": RULES, "listing": QUICK_LIST,
+        "name": "small",
+        "length": 12_000.0,
+        "tail": 6_000.0,
+        "load": s.Traffic(55.0, swing=0.2, swing_period=5_000.0),
+        "kinds": KINDS,
+        "workers": workers,
+        "classes": (SAFE, UNSAFE),
+        "rules": RULES,
+        "listing": QUICK_LIST,
         "tenants": (s.TenantLoad("north", 0.7, 34.0), s.TenantLoad("south", 0.3, 18.0)),
-        "dispatchers": s.Dispatchers((2.0, 1.0, 0.5)), "troubles": tuple(troubles)}
+        "dispatchers": s.Dispatchers((2.0, 1.0, 0.5)),
+        "troubles": tuple(troubles),
+    }
     return s.Night(**{**values, **changes})
 
 
 def shorter(base: s.Night, length: float) -> s.Night:
     """Cut a night short, and its troubles with it."""
     part = length / base.length
-    return replace(base, length=length, troubles=tuple(
-        replace(t, at=t.at * part, length=t.length * part, ramp=t.ramp * part, apart=t.apart * part)
-        for t in base.troubles))
+    return replace(
+        base,
+        length=length,
+        troubles=tuple(
+            replace(t, at=t.at * part, length=t.length * part, ramp=t.ramp * part, apart=t.apart * part)
+            for t in base.troubles
+        ),
+    )
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -44,27 +44,57 @@
     {"name": "deck-fetch", "points": 2, "aim": 250, "deadline": 5000, "effect": "safe"},
     {"name": "deck-build", "points": 5, "aim": 600, "deadline": 15000, "effect": "unsafe"},
 ]
-RULES = {"answer_slack": 8, "stop_sending_within": 2000, "ask_within": 10000, "cold_share": 0.42,
-         "cold": 9000, "fall_multiple": 4, "overload_for": 2000}
+RULES = {
+    "answer_slack": 8,
+    "stop_sending_within": 2000,
+    "ask_within": 10000,
+    "cold_share": 0.42,
+    "cold": 9000,
+    "fall_multiple": 4,
+    "overload_for": 2000,
+}
 CLOSED = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
 STATES = {"up": "in_service", "draining": "terminating", "gone": "terminated"}
 
 
 def entry(name: str, state: str = "up", address: str = "", since: float = 0) -> dict[str, Any]:
-    return {"name": name, "address": address or f"127.0.0.{name[1:]}:80", "zone": "z", "type": "k",
-            "group": 0, "status": STATES[state], "weight": 1.0, "since_ms": since}
+    return {
+        "name": name,
+        "address": address or f"127.0.0.{name[1:]}:80",
+        "zone": "z",
+        "type": "k",
+        "group": 0,
+        "status": STATES[state],
+        "weight": 1.0,
+        "since_ms": since,
+    }
 
 
 def platform(workers: int = 1, sockets: int = 1024, **more: Any) -> dict[str, Any]:
     """The platform's object, as a dispatcher gets it."""
     settings = {
-        "classes": CLASSES, "balancers": 1, "discovery": "subscribe", "rules": RULES, "tick": 2.0,
-        "projects": [{"name": "norte", "portion": 1, "quota_per_s": 50}], "counted_by": "work",
+        "classes": CLASSES,
+        "balancers": 1,
+        "discovery": "subscribe",
+        "rules": RULES,
+        "tick": 2.0,
+        "projects": [{"name": "norte", "portion": 1, "quota_per_s": 50}],
+        "counted_by": "work",
         "limits": {"conn_idle": 10000, "connect_timeout": 250, "max_attempts": 5, "max_open": 50},
-        "load_report": {"fields": ["cpu_share", "x0"]}, "specifics": {"report_x0": "free slots"}, **more}
+        "load_report": {"fields": ["cpu_share", "x0"]},
+        "specifics": {"report_x0": "free slots"},
+        **more,
+    }
     known = {"index": 41, "snapshot": True, "endpoints": [entry(f"w{n + 1}") for n in range(workers)]}
-    return {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "5", "known": known,
-            "settings": settings, "limits": {"sockets": sockets}}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "5",
+        "known": known,
+        "settings": settings,
+        "limits": {"sockets": sockets},
+    }
 
 
 class Wire:
@@ -303,14 +333,20 @@
             peer.wire.read_on()
             return
         data = self.job(rest) if how == "job" else unescaped(rest)
-        for part in ([bytes([b]) for b in data] if bytewise else [data]):
+        for part in [bytes([b]) for b in data] if bytewise else [data]:
             self.world.deliver(peer, part)
 
     def job(self, words: str) -> bytes:
         cid, job_class, *rest = words.split()
         more = dict(word.split("=", 1) for word in rest)
-        fields = {"X-Call-Id": cid, "X-Call-Class": job_class, "X-Caller": "norte",
-                  "X-Budget-Ms": more.pop("budget", "5000"), "X-Call-Cost": "100000", **more}
+        fields = {
+            "X-Call-Id": cid,
+            "X-Call-Class": job_class,
+            "X-Caller": "norte",
+            "X-Budget-Ms": more.pop("budget", "5000"),
+            "X-Call-Cost": "100000",
+            **more,
+        }
         pairs = [(name, value) for name, value in fields.items() if value]
         return http.request("POST", f"/{job_class}?obj=7f", "api.internal", pairs, b"body")
 
@@ -449,7 +485,7 @@
             line = json.dumps(body).encode()
         data = http.chunk(line + b"\n")
         for n in range(0, len(data), 7):
-            self.world.deliver(peer, data[n:n + 7])
+            self.world.deliver(peer, data[n : n + 7])
 
     def d_close(self, actor: str, words: str) -> None:
         if words:
--- a/tests/serve_trial.py
+++ b/tests/serve_trial.py
@@ -25,9 +25,18 @@
     """Send one job and give the status of its answer; connections of clients are not kept."""
     name = ("fetch", "purchase")[number % 2]
     there = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
-    there.request("POST", f"/{name}?obj=7", b"card", {
-        "X-Call-Id": f"job-{number}", "X-Call-Class": name, "X-Caller": "north", "X-Budget-Ms": "3000",
-        "X-Call-Cost": "60000"})
+    there.request(
+        "POST",
+        f"/{name}?obj=7",
+        b"card",
+        {
+            "X-Call-Id": f"job-{number}",
+            "X-Call-Class": name,
+            "X-Caller": "north",
+            "X-Budget-Ms": "3000",
+            "X-Call-Cost": "60000",
+        },
+    )
     answer = there.getresponse()
     body = answer.read().decode()
     there.close()
@@ -38,10 +47,13 @@
 
 def main(trouble: str) -> None:
     loop: Any = reactor
-    troubles = {"none": [], "restart": [Trouble("restart", 300.0, 400.0, workers=("w-1", "w-2"))],
-                "pause": [Trouble("pause", 300.0, 700.0, workers=("w-1", "w-3"))],
-                "drain": [Trouble("drain", 300.0, 900.0, workers=("w-1", "w-2", "w-3"))],
-                "vanish": [Trouble("vanish", 300.0, 900.0, workers=("w-1",))]}[trouble]
+    troubles = {
+        "none": [],
+        "restart": [Trouble("restart", 300.0, 400.0, workers=("w-1", "w-2"))],
+        "pause": [Trouble("pause", 300.0, 700.0, workers=("w-1", "w-3"))],
+        "drain": [Trouble("drain", 300.0, 900.0, workers=("w-1", "w-2", "w-3"))],
+        "vanish": [Trouble("vanish", 300.0, 900.0, workers=("w-1",))],
+    }[trouble]
     stage = Stage(night(*troubles), loop, time.monotonic, time.time() * 1000, [("127.0.0.1", 1)], 3)
     stage.begin()
     app = App(config_of({**stage.platform(stage.callers[0]), "listen": "127.0.0.1:0"}, {}), loop)
@@ -53,12 +65,14 @@
         stage.callers[0].port = port
         asked = [deferToThread(ask, port, n) for n in range(JOBS)]
         gatherResults(asked, consumeErrors=True).addCallback(statuses.extend).addErrback(
-            lambda failure: print(failure, file=sys.stderr)).addBoth(lambda _: settle())
+            lambda failure: print(failure, file=sys.stderr)
+        ).addBoth(lambda _: settle())
 
     def settle() -> None:
         """Wait until no worker has anything left: whatever would run twice has done so."""
         if any(m.model.held or m.model.paused for m in stage.machines.values()) or any(
-                c.waiting for c in stage.callers):
+            c.waiting for c in stage.callers
+        ):
             loop.callLater(0.05, settle)
         else:
             loop.stop()
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -9,16 +9,31 @@
 from elderstall.choice import ASK_WAIT, ASKED, OURS, ROUNDS, TIMER_ASKED
 from elderstall.interface import Effect, Ending
 
-CLASSES = (i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-           i.JobClass("build", 5.0, 600.0, 15_000.0, Effect.UNSAFE, stretch=2.5),
-           i.JobClass("order", 10.0, 1_000.0, 20_000.0, Effect.UNSAFE, stretch=2.0))
+CLASSES = (
+    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+    i.JobClass("build", 5.0, 600.0, 15_000.0, Effect.UNSAFE, stretch=2.5),
+    i.JobClass("order", 10.0, 1_000.0, 20_000.0, Effect.UNSAFE, stretch=2.0),
+)
 
 
 def module(rank: int = 0, workers: int = 60, dispatchers: int = 200, cold: float | None = None) -> Dispatcher:
-    d = Dispatcher(i.Settings(
-        CLASSES, dispatchers=dispatchers, rank=rank, max_attempts=5, report_free_slots=0, probes=True,
-        connect_timeout=250.0, cold_share=0.42, cold_for=9_000.0, push_multiple=4.0, push_window=2_000.0,
-        tick=2.0), rank)
+    d = Dispatcher(
+        i.Settings(
+            CLASSES,
+            dispatchers=dispatchers,
+            rank=rank,
+            max_attempts=5,
+            report_free_slots=0,
+            probes=True,
+            connect_timeout=250.0,
+            cold_share=0.42,
+            cold_for=9_000.0,
+            push_multiple=4.0,
+            push_window=2_000.0,
+            tick=2.0,
+        ),
+        rank,
+    )
     d.handle(10_000.0, i.Begin())
     listed = tuple(i.Listed(f"w{n}", "k", started=cold) for n in range(workers))
     d.handle(10_000.0, i.WorkerList(i.ListScope.WHOLE, listed))
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -13,7 +13,10 @@
 from elderstall.benchlink import Host, WireError
 
 CONF: dict[str, Any] = {
-    "balancers": 2, "locality": "a", "surprise": 1, "discovery": "subscribe",
+    "balancers": 2,
+    "locality": "a",
+    "surprise": 1,
+    "discovery": "subscribe",
     "classes": [{"name": "c", "points": 1, "aim": 100, "deadline": 900, "effect": "safe", "odd": 2}],
 }
 START = [
@@ -50,20 +53,33 @@
     assert [r["who"] for r in replies if r["m"] == "Issue"] == [3, 4]
 
 
-@pytest.mark.parametrize("bad,word", [
-    ("{oops", "malformed JSON"), ("[1]", "object"), ({"m": "Whatever"}, "Whatever"),
-    ({"m": "Request", "who": 3}, "'id'"), ({"m": "NewInstance", "who": 1, "salt": 1, "conf": {}}, "classes"),
-    ({"m": "Resolved", "who": 3, "id": 1, "send_no": 0, "worker": "w", "ending": "odd", "terminal": 0},
-     "odd"),
-])
+@pytest.mark.parametrize(
+    "bad,word",
+    [
+        ("{oops", "malformed JSON"),
+        ("[1]", "object"),
+        ({"m": "Whatever"}, "Whatever"),
+        ({"m": "Request", "who": 3}, "'id'"),
+        ({"m": "NewInstance", "who": 1, "salt": 1, "conf": {}}, "classes"),
+        (
+            {"m": "Resolved", "who": 3, "id": 1, "send_no": 0, "worker": "w", "ending": "odd", "terminal": 0},
+            "odd",
+        ),
+    ],
+)
 def test_malformed_input_is_named(bad: Any, word: str) -> None:
     with pytest.raises(WireError, match=word):
         play([*START, bad])
 
 
 def test_the_process_ends_with_a_plain_message() -> None:
-    run = subprocess.run([sys.executable, "-m", "elderstall.benchlink"], input='{"m":"Nope"}\n', text=True,
-                         capture_output=True, check=False)
+    run = subprocess.run(
+        [sys.executable, "-m", "elderstall.benchlink"],
+        input='{"m":"Nope"}\n',
+        text=True,
+        capture_output=True,
+        check=False,
+    )
     assert run.returncode != 0
     assert run.stdout == ""
     assert run.stderr.strip() == "benchlink: unknown event: 'Nope'"
@@ -71,6 +87,11 @@
 
 def test_the_process_ends_quietly_with_its_input() -> None:
     text = "".join(json.dumps(m) + "\n" for m in [*START, REQUEST, DONE])
-    run = subprocess.run([sys.executable, "-m", "elderstall.benchlink"], input=text, text=True,
-                         capture_output=True, check=False)
+    run = subprocess.run(
+        [sys.executable, "-m", "elderstall.benchlink"],
+        input=text,
+        text=True,
+        capture_output=True,
+        check=False,
+    )
     assert (run.returncode, run.stderr) == (0, "")
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -30,11 +30,18 @@
 SAFE, UNSAFE = Rule("fetch", 1_000.0, True), Rule("purchase", 1_000.0)
 
 
-def call(of: Rule = SAFE, habits: Habits | None = None, budget: RetryBudget | None = None,
-         u: float = 0.5) -> Call:
+def call(
+    of: Rule = SAFE, habits: Habits | None = None, budget: RetryBudget | None = None, u: float = 0.5
+) -> Call:
     numbers = itertools.count(1)
-    return Call(of, habits or Habits(), budget or RetryBudget(), 0.0, lambda: f"id{next(numbers)}",
-                itertools.repeat(u))
+    return Call(
+        of,
+        habits or Habits(),
+        budget or RetryBudget(),
+        0.0,
+        lambda: f"id{next(numbers)}",
+        itertools.repeat(u),
+    )
 
 
 def test_a_call_that_is_served_ends_with_its_body() -> None:
@@ -53,14 +60,20 @@
     assert c.woken(125.0) == Send("id2", 875.0, True)
 
 
-@pytest.mark.parametrize(("result", "safe", "unsafe"), [
-    (Lost(unsent=True), Wait, Wait),
-    (Lost(unsent=False), Wait, (Ending.FAILED, True)),
-    (Answer(503), Wait, Wait), (Answer(429), Wait, Wait),
-    (Answer(500), Wait, (Ending.FAILED, True)), (Answer(502), Wait, (Ending.FAILED, True)),
-    (Answer(504), Wait, (Ending.FAILED, True)), (Answer(204), Wait, (Ending.FAILED, True)),
-    (Answer(400), (Ending.REJECTED, False), (Ending.REJECTED, False)),
-])
+@pytest.mark.parametrize(
+    ("result", "safe", "unsafe"),
+    [
+        (Lost(unsent=True), Wait, Wait),
+        (Lost(unsent=False), Wait, (Ending.FAILED, True)),
+        (Answer(503), Wait, Wait),
+        (Answer(429), Wait, Wait),
+        (Answer(500), Wait, (Ending.FAILED, True)),
+        (Answer(502), Wait, (Ending.FAILED, True)),
+        (Answer(504), Wait, (Ending.FAILED, True)),
+        (Answer(204), Wait, (Ending.FAILED, True)),
+        (Answer(400), (Ending.REJECTED, False), (Ending.REJECTED, False)),
+    ],
+)
 def test_what_follows_hangs_on_what_is_proven(result: Answer | Lost, safe: object, unsafe: object) -> None:
     for of, expected in ((SAFE, safe), (UNSAFE, unsafe)):
         c = call(of)
@@ -72,9 +85,23 @@
             assert isinstance(got, End) and (got.ending, got.may_have_run) == expected
 
 
-@pytest.mark.parametrize(("text", "ms"), [
-    ("2", 2_000.0), ("0.25", 250.0), ("0", 0.0), (" 1 ", 1_000.0), (None, None), ("", None), ("-1", None),
-    ("soon", None), ("nan", None), ("1e3", None), ("Wed, 21 Oct 2026 07:28:00 GMT", None), ("1" * 30, None)])
+@pytest.mark.parametrize(
+    ("text", "ms"),
+    [
+        ("2", 2_000.0),
+        ("0.25", 250.0),
+        ("0", 0.0),
+        (" 1 ", 1_000.0),
+        (None, None),
+        ("", None),
+        ("-1", None),
+        ("soon", None),
+        ("nan", None),
+        ("1e3", None),
+        ("Wed, 21 Oct 2026 07:28:00 GMT", None),
+        ("1" * 30, None),
+    ],
+)
 def test_advice_is_read_whole_or_decimal_and_else_is_none(text: str | None, ms: float | None) -> None:
     assert retry_after_of(text) == ms
 
@@ -125,8 +152,13 @@
 
 results = st.one_of(
     st.builds(Lost, st.booleans()),
-    st.builds(Answer, st.sampled_from([200, 204, 400, 404, 429, 500, 502, 503, 504]), st.just(b""),
-              st.sampled_from([None, "0", "0.05", "2", "x", "9999"])))
+    st.builds(
+        Answer,
+        st.sampled_from([200, 204, 400, 404, 429, 500, 502, 503, 504]),
+        st.just(b""),
+        st.sampled_from([None, "0", "0.05", "2", "x", "9999"]),
+    ),
+)
 
 
 class AnyCall(RuleBasedStateMachine):
@@ -225,7 +257,8 @@
 
 @given(st.lists(st.tuples(st.integers(0, 4), st.booleans()), max_size=200), st.integers(1, 5))
 def test_never_too_many_stand_aside_and_there_is_always_one_to_ask(
-        told: list[tuple[int, bool]], n: int) -> None:
+    told: list[tuple[int, bool]], n: int
+) -> None:
     targets = Targets([f"d{k}" for k in range(n)], itertools.cycle([0.0, 0.3, 0.6, 0.99]))
     for now, (k, good) in enumerate(told):
         target = targets.all[k % n]
@@ -269,7 +302,12 @@
 def test_who_leaves_or_is_past_its_deadline_is_not_connected_and_the_line_is_bounded() -> None:
     line = Connects(Pace(waiting_most=3), itertools.repeat(0.5))
     assert [line.ask(k, d) for k, d in (("a", 10.0), ("b", 99.0), ("b", 99.0), ("c", 99.0), ("d", 99.0))] == [
-        True, True, False, True, False]
+        True,
+        True,
+        False,
+        True,
+        False,
+    ]
     line.leave("b")
     assert line.granted(50.0) == ["c"] and line.next(50.0) is None
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -67,9 +67,11 @@
         self.reactor = MonotonicReactor()  # type: ignore[no-untyped-call]
         self.addCleanup(self.reactor.removeAll)
         self.off_by, self.monotonic = 0.0, 1_000.0
-        for patched in (mock.patch.object(ReactorBase, "seconds", staticmethod(self.wall)),
-                        mock.patch("twisted.internet.base.runtimeSeconds", self.wall),
-                        mock.patch("time.time", self.wall)):
+        for patched in (
+            mock.patch.object(ReactorBase, "seconds", staticmethod(self.wall)),
+            mock.patch("twisted.internet.base.runtimeSeconds", self.wall),
+            mock.patch("time.time", self.wall),
+        ):
             patched.start()
             self.addCleanup(patched.stop)
 
@@ -82,9 +84,11 @@
 
         self.assertIs(time.monotonic, self.reactor.seconds)
         fired: list[str] = []
-        with mock.patch.object(ReactorBase, "seconds", no_wall_clock), \
-                mock.patch("twisted.internet.base.runtimeSeconds", no_wall_clock), \
-                mock.patch("time.time", no_wall_clock):
+        with (
+            mock.patch.object(ReactorBase, "seconds", no_wall_clock),
+            mock.patch("twisted.internet.base.runtimeSeconds", no_wall_clock),
+            mock.patch("time.time", no_wall_clock),
+        ):
             self.reactor.callLater(0, fired.append, "now")
             later = self.reactor.callLater(3_600, fired.append, "in an hour")
             later.delay(1.0)
@@ -119,8 +123,11 @@
 
     def test_the_wall_clock_is_read_in_two_places(self) -> None:
         """What else is read from it would follow its steps."""
-        reading = {str(path.relative_to(ROOT)) for path in (ROOT / "elderstall").rglob("*.py")
-                   if READS_WALL_CLOCK.search(path.read_text())}
+        reading = {
+            str(path.relative_to(ROOT))
+            for path in (ROOT / "elderstall").rglob("*.py")
+            if READS_WALL_CLOCK.search(path.read_text())
+        }
         self.assertEqual({"elderstall/deadlines.py", "elderstall/cli/rehearse.py"}, reading)
 
     def test_a_process_held_up_between_its_clocks_sees_no_step(self) -> None:
@@ -176,8 +183,9 @@
         for step in (HOUR, -HOUR):
             since_ms = self.clocks.wall() + step
             self.assertEqual(0.0, self.age(f"w{step}", since_ms, oldest=2_000.0))
-        self.assertAlmostEqual(LEARNED_WITHIN, self.age(
-            "late", self.clocks.wall() - LEARNED_WITHIN, oldest=2_000.0), 1)
+        self.assertAlmostEqual(
+            LEARNED_WITHIN, self.age("late", self.clocks.wall() - LEARNED_WITHIN, oldest=2_000.0), 1
+        )
 
     def test_an_entry_read_again_keeps_its_start_through_any_step(self) -> None:
         since_ms = self.clocks.wall() - 4_000.0
@@ -217,8 +225,9 @@
         side = self.watches[-1]
         head = b"" if side.message.status else http.head_of("HTTP/1.1 200 OK", CHUNKED)
         side.message.status = 200
-        entries = [entry(name, "up", address_of(self.listeners[int(name[1:]) - 1]), at)
-                   for name, at in since.items()]
+        entries = [
+            entry(name, "up", address_of(self.listeners[int(name[1:]) - 1]), at) for name, at in since.items()
+        ]
         line = json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode()
         side.send(head + http.chunk(line + b"\n"))
         self.turn()
@@ -296,9 +305,14 @@
         self.tell(42, whole=True, w1="up", w2="up", w3="up")
         now = self.app.deadlines.now()
         addresses = [address_of(sock) for sock in self.listeners]
-        line = {"index": 43, "snapshot": False, "endpoints": [
-            entry("w1", address=addresses[0], since=now - 2_000),
-            entry("w3", address=addresses[2], since=now - 500)]}
+        line = {
+            "index": 43,
+            "snapshot": False,
+            "endpoints": [
+                entry("w1", address=addresses[0], since=now - 2_000),
+                entry("w3", address=addresses[2], since=now - 500),
+            ],
+        }
         self.watches[-1].send(http.chunk(json.dumps(line).encode() + b"\n"))
         self.turn()
         self.app.core.exclude("w2")
@@ -329,8 +343,11 @@
                 at, work = new.core.module.workers["w1"].pushed[0]
                 self.assertAlmostEqual(old.core.module.workers["w1"].pushed[0][0] + shift, at, 1)
                 self.assertEqual(55.0, work)
-                self.assertAlmostEqual(old.core.module.workers["w1"].skip_until + shift,
-                                       new.core.module.workers["w1"].skip_until, 1)
+                self.assertAlmostEqual(
+                    old.core.module.workers["w1"].skip_until + shift,
+                    new.core.module.workers["w1"].skip_until,
+                    1,
+                )
 
     def test_with_no_step_a_process_of_the_version_before_is_understood(self) -> None:
         self.prepare()
@@ -339,8 +356,9 @@
         self.assertEqual(self.app.core.view.put_back, new.core.view.put_back)
         for name in ("w1", "w3"):
             before, now = self.app.core.module.workers[name], new.core.module.workers[name]
-            self.assertEqual((before.started, before.peak, before.pushed),
-                             (now.started, now.peak, now.pushed))
+            self.assertEqual(
+                (before.started, before.peak, before.pushed), (now.started, now.peak, now.pushed)
+            )
 
     def test_a_process_of_the_version_before_understands_what_it_is_sent(self) -> None:
         """It takes all readings for Unix time by its own, as its clock was when it started: just now."""
@@ -469,7 +487,9 @@
             self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
             self.call_back("held")
             self.assertEqual(b"deck held", line.read().body)
-            self.assertEqual(504, self.ask(self.job("never", "deck-build", 500, ("X-Call-Cost", "50000"))).status)
+            self.assertEqual(
+                504, self.ask(self.job("never", "deck-build", 500, ("X-Call-Cost", "50000"))).status
+            )
             line.sock.close()
 
         self.for_each_step(stepped)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -21,11 +21,21 @@
 TOLD = 10_500.0  # ms; when all dispatchers are told
 BURST, BURST_FOR = 1.5, 4_000.0  # from TOLD on
 END = 20_000.0
-JOB_CLASSES = (i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
-               i.JobClass("build", 5.0, 600.0, 15_000.0, effect=i.Effect.UNSAFE, stretch=3.0))
+JOB_CLASSES = (
+    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
+    i.JobClass("build", 5.0, 600.0, 15_000.0, effect=i.Effect.UNSAFE, stretch=3.0),
+)
 BASE = i.Settings(
-    JOB_CLASSES, dispatchers=DISPATCHERS, connect_timeout=250.0, cold_share=0.42, cold_for=9_000.0,
-    push_multiple=4.0, push_window=2_000.0, max_attempts=5, tick=2.0)
+    JOB_CLASSES,
+    dispatchers=DISPATCHERS,
+    connect_timeout=250.0,
+    cold_share=0.42,
+    cold_for=9_000.0,
+    push_multiple=4.0,
+    push_window=2_000.0,
+    max_attempts=5,
+    tick=2.0,
+)
 ASKING = replace(BASE, probes=True, report_free_slots=0)
 TELLING = replace(BASE, tells_start=True)
 
@@ -78,8 +88,9 @@
         self.sent: list[tuple[float, float]] = []  # when, and what work was sent to the cold worker
         listed = tuple(i.Listed(name, "k") for name in self.workers)
         news = i.WorkerList(i.ListScope.CHANGES, (i.Listed("w0", "k", started=STARTED),))
-        self.modules = [Dispatcher(replace(settings, rank=rank), seed * 100 + rank)
-                        for rank in range(DISPATCHERS)]
+        self.modules = [
+            Dispatcher(replace(settings, rank=rank), seed * 100 + rank) for rank in range(DISPATCHERS)
+        ]
         for rank in range(DISPATCHERS):
             self.push(0.0, rank, i.Begin())
             self.push(0.0, rank, i.WorkerList(i.ListScope.WHOLE, listed))
@@ -135,13 +146,17 @@
         elif len(worker.queue) < worker.slots:
             worker.queue.append(attempt)
         else:
-            self.push(now + 2 * TRIP, rank, i.AttemptEnded(
-                action.job, number, action.worker, i.Ending.FULL, report=(worker.free,)))
+            self.push(
+                now + 2 * TRIP,
+                rank,
+                i.AttemptEnded(action.job, number, action.worker, i.Ending.FULL, report=(worker.free,)),
+            )
 
     def start(self, now: float, worker: StandInWorker, attempt: Attempt) -> None:
         worker.running += 1
-        self.push(now + TRIP, attempt.rank, i.AttemptNoted(
-            attempt.job, attempt.number, worker.name, started=True))
+        self.push(
+            now + TRIP, attempt.rank, i.AttemptNoted(attempt.job, attempt.number, worker.name, started=True)
+        )
         done = now + attempt.work / worker.speed(now)
         self.push(done, attempt.rank, attempt)
 
@@ -151,8 +166,13 @@
         worker.running -= 1
         if worker.queue:
             self.start(now, worker, worker.queue.popleft())
-        self.push(now + TRIP, attempt.rank, i.AttemptEnded(
-            attempt.job, attempt.number, attempt.worker, i.Ending.SERVED, True, (worker.free,)))
+        self.push(
+            now + TRIP,
+            attempt.rank,
+            i.AttemptEnded(
+                attempt.job, attempt.number, attempt.worker, i.Ending.SERVED, True, (worker.free,)
+            ),
+        )
 
     def most_over_allowed(self) -> float:
         """Give the largest sum of any window over what rule 4 allows there, chance included."""
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -100,11 +100,14 @@
         return float(told[f"edge_relay.{name}"])
 
     def test_jobs_are_counted_where_they_end_and_attempts_when_written_whole(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-fetch
             w expect POST a1
             w send 202
-        """, workers=2)
+        """,
+            workers=2,
+        )
         self.figures("in_progress=1", "upstream_tries=1", "handled.deck-fetch.passed=0")
         self.play("""
             w send call done a1 x
@@ -121,9 +124,14 @@
             w send 500
             c expect 502
         """)
-        self.figures("in_progress=0", "upstream_tries=4", "handled.deck-fetch.passed=2",
-                     "handled.deck-build.bad_gateway=1", "handled.deck-build.dropped=0",
-                     "handled.deck-build.unserved.error=1")
+        self.figures(
+            "in_progress=0",
+            "upstream_tries=4",
+            "handled.deck-fetch.passed=2",
+            "handled.deck-build.bad_gateway=1",
+            "handled.deck-build.dropped=0",
+            "handled.deck-build.unserved.error=1",
+        )
 
     def test_what_the_front_refuses_is_a_job_refused_and_bad_input_is_none(self) -> None:
         self.begin()
@@ -146,9 +154,12 @@
         self.figures("upstream_tries=0", "handled.deck-build.dropped=1")
 
     def test_workers_listed_and_avoided(self) -> None:
-        self.play("""
+        self.play(
+            """
             d send changes 42 w2=draining
-        """, workers=3)
+        """,
+            workers=3,
+        )
         self.figures("known_card_workers=3", "skipped_card_workers=1")
         self.play("""
             d send changes 43 w2=gone
@@ -254,7 +265,8 @@
         self.assertEqual(true, module.workers["w1"].started)
 
     def test_an_id_that_was_never_listed_is_a_no_and_one_that_is_gone_is_none(self) -> None:
-        self.play("""
+        self.play(
+            """
             o send POST /api/exclude?id=w7
             o expect 404
             o send POST /api/include?id=w7
@@ -269,7 +281,9 @@
             o expect 200
             o send GET /api/telemetry
             o expect 200 skipped_card_workers=1
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
 
 class Trouble(Scenario):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,8 +15,10 @@
 from elderstall.log import Log
 from elderstall.messages import Answer, Ask, Failed, Outcome, Refused, Served
 
-CLASSES = (i.JobClass("safe", 1.0, 100.0, 2_000.0),
-           i.JobClass("unsafe", 1.0, 100.0, 2_000.0, i.Effect.UNSAFE))
+CLASSES = (
+    i.JobClass("safe", 1.0, 100.0, 2_000.0),
+    i.JobClass("unsafe", 1.0, 100.0, 2_000.0, i.Effect.UNSAFE),
+)
 
 
 class Carrier:
@@ -27,8 +29,14 @@
         self.recalls: list[Deferred[bool]] = []
         self.probes: list[tuple[str, Deferred[Outcome]]] = []
 
-    def send(self, worker: str, ask: Ask, ends: float, note: Callable[[float, str], None],
-             barred: Callable[[], str | None]) -> Deferred[Outcome | None]:
+    def send(
+        self,
+        worker: str,
+        ask: Ask,
+        ends: float,
+        note: Callable[[float, str], None],
+        barred: Callable[[], str | None],
+    ) -> Deferred[Outcome | None]:
         done: Deferred[Outcome | None] = Deferred()
         self.sent.append((worker, done))
         return done
