--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,8 +18,15 @@
 PATIENT = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
 TOLD_AFTER, ANSWERED_IN = 6_000.0, 700.0  # ms: a change counts as told; what is left for a call's answer
 OWN_CALLS, OWN_LEAST = 3, 12  # descriptors: a former watch and two calls; the idle program's own
-KEYED = {"name": "stamp", "points": 3, "aim": 300, "deadline": 5000, "effect": "keyed", "key_scope": "all",
-         "memory_span": 400}
+KEYED = {
+    "name": "stamp",
+    "points": 3,
+    "aim": 300,
+    "deadline": 5000,
+    "effect": "keyed",
+    "key_scope": "all",
+    "memory_span": 400,
+}
 
 
 class Leaving(Loopback):
@@ -122,13 +129,40 @@
         self.jump(GONE_FOR)
         now = self.app.deadlines.now()
         state: dict[str, Any] = {
-                 "cid": "gone", "cls": {"name": "album", "worth": 4.0, "aim": 4000.0, "deadline": 9000.0,
-                                        "effect": "safe", "scope": "all"},
-                 "tenant": "norte", "key": None, "hint": None, "slots": 1, "arrived": now - GONE_FOR,
-                 "deadline": now + 4_000, "sent": 0, "ran": False, "unsure": [], "attempt": None}
+            "cid": "gone",
+            "cls": {
+                "name": "album",
+                "worth": 4.0,
+                "aim": 4000.0,
+                "deadline": 9000.0,
+                "effect": "safe",
+                "scope": "all",
+            },
+            "tenant": "norte",
+            "key": None,
+            "hint": None,
+            "slots": 1,
+            "arrived": now - GONE_FOR,
+            "deadline": now + 4_000,
+            "sent": 0,
+            "ran": False,
+            "unsure": [],
+            "attempt": None,
+        }
         message = http.Message((1, 1), http.Headers(), b"body", "POST", "/album")
-        self.app.told("connection", {"client": True, "worker": False, "asked": 0, "age": 1.0, "job": state,
-                                     "parcel": message.plain(), "last": False}, accepted.detach())
+        self.app.told(
+            "connection",
+            {
+                "client": True,
+                "worker": False,
+                "asked": 0,
+                "age": 1.0,
+                "job": state,
+                "parcel": message.plain(),
+                "last": False,
+            },
+            accepted.detach(),
+        )
         self.wait(100)
         self.nothing()
 
@@ -379,8 +413,9 @@
             side = self.client()
             side.send(self.job(f"a{n}"))
             self.turn()
-        self.assertEqual({self.listeners[1].getsockname()[1]},
-                         {side.sock.getsockname()[1] for _, side in self.came()})
+        self.assertEqual(
+            {self.listeners[1].getsockname()[1]}, {side.sock.getsockname()[1] for _, side in self.came()}
+        )
 
     def test_nothing_is_written_past_the_settings_time_though_its_connection_was_on_its_way(self) -> None:
         self.begin(rules={**RULES, "stop_sending_within": 300})
@@ -430,8 +465,9 @@
         self.tell(43, whole=True, w1="up", w2="up")
         places = dict(self.app.workers.places)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
-        self.watches[-1].send(http.chunk(json.dumps(
-            {"index": 44, "snapshot": True, "endpoints": many}).encode() + b"\n"))
+        self.watches[-1].send(
+            http.chunk(json.dumps({"index": 44, "snapshot": True, "endpoints": many}).encode() + b"\n")
+        )
         self.turn()
         self.assertEqual(places, self.app.workers.places)
         self.assertEqual({"w1", "w2"}, set(self.app.core.view.entries))
@@ -444,8 +480,15 @@
         for value in ("NaN", "Infinity", "-1"):
             count = len(self.watches)
             self.tell(42 + count)
-            text = json.dumps({"index": 43, "snapshot": False, "endpoints": [
-                {"name": "w1", "address": "127.0.0.1:1", "status": "in_service", "since_ms": 7}]})
+            text = json.dumps(
+                {
+                    "index": 43,
+                    "snapshot": False,
+                    "endpoints": [
+                        {"name": "w1", "address": "127.0.0.1:1", "status": "in_service", "since_ms": 7}
+                    ],
+                }
+            )
             self.watches[-1].send(http.chunk(text.replace("7}", value + "}").encode() + b"\n"))
             self.turn()
             self.wait(300)
@@ -501,8 +544,18 @@
     def hand_over(self) -> None:
         """Give the state and the listener of the process that runs."""
         self.listening = self.listener()
-        state = {"m": "state", "fd": 1, "known": self.raw["known"], "discovery": self.raw["discovery"],
-                 "banned": {}, "back": {}, "ids": [], "begun": [], "learned": None, "held": 0}
+        state = {
+            "m": "state",
+            "fd": 1,
+            "known": self.raw["known"],
+            "discovery": self.raw["discovery"],
+            "banned": {},
+            "back": {},
+            "ids": [],
+            "begun": [],
+            "learned": None,
+            "held": 0,
+        }
         socket.send_fds(self.link, [json.dumps(state).encode() + b"\n"], [self.listening.fileno()])
         self.turn()
 
@@ -530,15 +583,20 @@
 class Settings(Loopback):
     """The settings of another customer come amid the work for the one before."""
 
-    OTHERS = ({"name": "deck-fetch", "points": 9, "aim": 90, "deadline": 900, "effect": "unsafe"},
-              {"name": "scan", "points": 1, "aim": 400, "deadline": 2000, "effect": "safe"})
+    OTHERS = (
+        {"name": "deck-fetch", "points": 9, "aim": 90, "deadline": 900, "effect": "unsafe"},
+        {"name": "scan", "points": 1, "aim": 400, "deadline": 2000, "effect": "safe"},
+    )
 
     def others(self) -> None:
         settings = self.raw["settings"]
         self.raw["settings"] = {
-            **settings, "classes": list(self.OTHERS), "rules": {**RULES, "stop_sending_within": 300},
+            **settings,
+            "classes": list(self.OTHERS),
+            "rules": {**RULES, "stop_sending_within": 300},
             "projects": [{"name": "clinic", "portion": 1, "quota_per_s": 9}],
-            "limits": {**settings["limits"], "conn_idle": 2_000, "connect_timeout": 100, "max_attempts": 2}}
+            "limits": {**settings["limits"], "conn_idle": 2_000, "connect_timeout": 100, "max_attempts": 2},
+        }
         self.app.sighup()
         self.turn()
 
@@ -572,8 +630,10 @@
         self.assertEqual(502, self.answer(new).status)
         module = self.app.core.module
         self.assertEqual({"deck-fetch", "scan"}, set(module.classes))
-        self.assertEqual((300.0, 2, 100.0), (self.app.core.s.drain_within, module.s.max_attempts,
-                                             self.app.workers.connect_for))
+        self.assertEqual(
+            (300.0, 2, 100.0),
+            (self.app.core.s.drain_within, module.s.max_attempts, self.app.workers.connect_for),
+        )
         self.assertEqual({"clinic"}, self.app.core.tenants)
         self.nothing()
 
@@ -596,7 +656,10 @@
         self.assertEqual("draining", self.app.core.view.state("w1").value)
 
     FLEETS: tuple[dict[str, Any], ...] = (
-        {}, {"balancers": 200}, {"discovery": "automatic", "balancers": 200})
+        {},
+        {"balancers": 200},
+        {"discovery": "automatic", "balancers": 200},
+    )
     HEAD = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
     LINE = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode() + b"\n"
 
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -30,7 +30,8 @@
 
     @given(WORTHS, st.floats(0.0, 1.0), st.floats(0.0, 1.0))
     def test_more_worth_never_fares_worse_and_none_is_shut_out(
-            self, worths: list[float], full: float, over: float) -> None:
+        self, worths: list[float], full: float, over: float
+    ) -> None:
         p = pressed(worths, full)
         chances = [p.refuses(w) for w in sorted(worths)]
         self.assertEqual(chances, sorted(chances, reverse=True))
@@ -42,10 +43,13 @@
 
     @given(WORTHS, st.floats(0.0, 1.0), st.randoms())
     def test_the_order_in_which_classes_are_named_decides_nothing(
-            self, worths: list[float], full: float, rng: random.Random) -> None:
+        self, worths: list[float], full: float, rng: random.Random
+    ) -> None:
         mixed = rng.sample(worths, len(worths))
-        self.assertEqual([pressed(worths, full).refuses(w) for w in worths],
-                         [pressed(mixed, full).refuses(w) for w in worths])
+        self.assertEqual(
+            [pressed(worths, full).refuses(w) for w in worths],
+            [pressed(mixed, full).refuses(w) for w in worths],
+        )
 
     @given(WORTHS)
     def test_a_calm_fleet_turns_nothing_away(self, worths: list[float]) -> None:
@@ -71,10 +75,15 @@
     """Dispatchers that each see some answers, and a fleet as full as what they let through makes it."""
 
     @settings(max_examples=60, deadline=None)
-    @given(st.lists(st.tuples(st.floats(0.1, 100.0), st.floats(0.05, 1.0)), min_size=2, max_size=6),
-           st.floats(1.0, 4.0), st.integers(1, 40), st.integers(0, 2**32))
+    @given(
+        st.lists(st.tuples(st.floats(0.1, 100.0), st.floats(0.05, 1.0)), min_size=2, max_size=6),
+        st.floats(1.0, 4.0),
+        st.integers(1, 40),
+        st.integers(0, 2**32),
+    )
     def test_every_class_keeps_its_floor_of_the_service_at_up_to_four_times_the_load(
-            self, classes: list[tuple[float, float]], load: float, dispatchers: int, seed: int) -> None:
+        self, classes: list[tuple[float, float]], load: float, dispatchers: int, seed: int
+    ) -> None:
         """Work offered at `load` times what the fleet does; each class has a worth and a part of the work."""
         rng = random.Random(seed)
         fleet = [Pressure() for _ in range(dispatchers)]
@@ -103,10 +112,15 @@
     """Traffic is spread unevenly over dispatchers; the shares are of the whole fleet."""
 
     @settings(max_examples=50, deadline=None)
-    @given(st.lists(st.floats(0.1, 1.0), min_size=1, max_size=5), st.integers(17, 1_024),
-           st.floats(0.1, 30.0), st.integers(0, 2**32))
+    @given(
+        st.lists(st.floats(0.1, 1.0), min_size=1, max_size=5),
+        st.integers(17, 1_024),
+        st.floats(0.1, 30.0),
+        st.integers(0, 2**32),
+    )
     def test_a_tenant_within_its_share_is_within_at_busy_dispatchers_too(
-            self, parts: list[float], dispatchers: int, busy: float, seed: int) -> None:
+        self, parts: list[float], dispatchers: int, busy: float, seed: int
+    ) -> None:
         """Every tenant at nine tenths of its share, one dispatcher at `busy` times the mean."""
         rng, shares, now = random.Random(seed), Shares(), 0.0
         quotas = {f"t{n}": part * 2.0 for n, part in enumerate(parts)}  # jobs a ms: 2,000 a second at most
@@ -140,11 +154,22 @@
 
     def test_purchases_at_a_busy_dispatcher_of_a_full_fleet_are_not_refused_as_beyond_shares(self) -> None:
         """The cause: three times the mean traffic, every tenant within its share, all workers full."""
-        classes = (i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-                   i.JobClass("purchase", 10.0, 150.0, 5_000.0, i.Effect.UNSAFE, stretch=1.75))
-        d = Dispatcher(i.Settings(
-            classes, tenants=(i.Tenant("a", 60.0), i.Tenant("b", 40.0)), dispatchers=200, report_free_slots=0,
-            over_share_worth=0.05, probes=True, connect_timeout=250.0), 1)
+        classes = (
+            i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+            i.JobClass("purchase", 10.0, 150.0, 5_000.0, i.Effect.UNSAFE, stretch=1.75),
+        )
+        d = Dispatcher(
+            i.Settings(
+                classes,
+                tenants=(i.Tenant("a", 60.0), i.Tenant("b", 40.0)),
+                dispatchers=200,
+                report_free_slots=0,
+                over_share_worth=0.05,
+                probes=True,
+                connect_timeout=250.0,
+            ),
+            1,
+        )
         d.handle(0.0, i.Begin())
         d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(f"w{n}", "k") for n in range(120))))
         rng, now, refused = random.Random(2), 1_000.0, 0
@@ -166,10 +191,12 @@
 class Fading(unittest.TestCase):
     """What was seen of a tenant fades with time; a job touches its own tenant alone."""
 
-    @given(st.lists(st.tuples(st.integers(0, 3), st.floats(0.0, 400_000.0)), max_size=60),
-           st.floats(0.0, 2e12))
+    @given(
+        st.lists(st.tuples(st.integers(0, 3), st.floats(0.0, 400_000.0)), max_size=60), st.floats(0.0, 2e12)
+    )
     def test_it_is_what_fading_all_at_each_job_comes_to(
-            self, jobs: list[tuple[int, float]], now: float) -> None:
+        self, jobs: list[tuple[int, float]], now: float
+    ) -> None:
         tenants = [i.Tenant(f"t{n}", 0.5 + n) for n in range(4)]
         shares = Shares()
         shares.adopt(tenants, 200, many=True)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -38,19 +38,21 @@
 
 
 @tune(deadline=None, derandomize=True)
-@given(bodies=st.lists(st.tuples(st.binary(max_size=200), st.booleans()), max_size=4),
-       cuts=st.lists(st.integers(1, 30), max_size=80))
+@given(
+    bodies=st.lists(st.tuples(st.binary(max_size=200), st.booleans()), max_size=4),
+    cuts=st.lists(st.integers(1, 30), max_size=80),
+)
 def test_messages_split_anywhere(bodies: list[tuple[bytes, bool]], cuts: list[int]) -> None:
     raw = b""
     for body, chunked in bodies:
         if chunked:
             raw += http.head_of("POST /x HTTP/1.1", [("Transfer-Encoding", "chunked")])
-            raw += b"".join(http.chunk(body[n:n + 50]) for n in range(0, len(body), 50)) + http.chunk(b"")
+            raw += b"".join(http.chunk(body[n : n + 50]) for n in range(0, len(body), 50)) + http.chunk(b"")
         else:
             raw += http.request("POST", "/x", "h", (), body)
     pieces, at = [], 0
     for cut in [*cuts, len(raw)]:
-        pieces.append(raw[at:at + cut])
+        pieces.append(raw[at : at + cut])
         at += cut
     assert parse(http.Parser(), pieces) == [("POST", "/x", body) for body, _ in bodies]
 
@@ -64,10 +66,22 @@
         assert 400 <= error.status < 600
 
 
-@pytest.mark.parametrize("head", [
-    "Content-Length: 1\r\nContent-Length: 2", "Content-Length: -1", "Content-Length: +1", "Content-Length:",
-    "Transfer-Encoding: gzip", "Transfer-Encoding: chunked, chunked", "A b: c", "NoColon", " folded: x",
-    "Transfer-Encoding: chunked\r\nContent-Length: 3", "X: a\x00b"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        "Content-Length: 1\r\nContent-Length: 2",
+        "Content-Length: -1",
+        "Content-Length: +1",
+        "Content-Length:",
+        "Transfer-Encoding: gzip",
+        "Transfer-Encoding: chunked, chunked",
+        "A b: c",
+        "NoColon",
+        " folded: x",
+        "Transfer-Encoding: chunked\r\nContent-Length: 3",
+        "X: a\x00b",
+    ],
+)
 def test_framing_that_two_readers_could_read_differently_is_refused(head: str) -> None:
     with pytest.raises(http.MessageError):
         parse(http.Parser(), [f"POST / HTTP/1.1\r\n{head}\r\n\r\n".encode()])
@@ -179,13 +193,21 @@
     os.close(pipe.at)
 
 
-@pytest.mark.parametrize("path,value,key", [
-    ("listen", "nowhere", "listen"), ("discovery", "a:b", "discovery"), ("seed", "xyz", "seed"),
-    ("settings", None, "settings"), ("known", {"index": 1}, "known"),
-    ("limits", {"sockets": 3}, "limits.sockets"),
-    ("limits", [], "limits"), ("settings.classes", [{"name": "x"}], "settings"), ("name", 5, "name"),
-    ("settings.limits.conn_idle", "long", "settings.limits.conn_idle"),
-])
+@pytest.mark.parametrize(
+    "path,value,key",
+    [
+        ("listen", "nowhere", "listen"),
+        ("discovery", "a:b", "discovery"),
+        ("seed", "xyz", "seed"),
+        ("settings", None, "settings"),
+        ("known", {"index": 1}, "known"),
+        ("limits", {"sockets": 3}, "limits.sockets"),
+        ("limits", [], "limits"),
+        ("settings.classes", [{"name": "x"}], "settings"),
+        ("name", 5, "name"),
+        ("settings.limits.conn_idle", "long", "settings.limits.conn_idle"),
+    ],
+)
 def test_a_faulty_key_is_named(path: str, value: Any, key: str) -> None:
     raw = platform()
     at, names = raw, path.split(".")
@@ -198,9 +220,12 @@
 
 def test_the_operators_file_is_checked(tmp_path: Any) -> None:
     path = tmp_path / "front.toml"
-    for text, key in (("[progress]\nenabled = 3", "enabled"), ("[progress]\nodd = 1", "odd"),
-                      ("x = 1", "front.x"),
-                      ("[progress]\nremember = -4", "remember")):
+    for text, key in (
+        ("[progress]\nenabled = 3", "enabled"),
+        ("[progress]\nodd = 1", "odd"),
+        ("x = 1", "front.x"),
+        ("[progress]\nremember = -4", "remember"),
+    ):
         path.write_text(text)
         with pytest.raises(ConfigError, match=key):
             progress_of(str(path))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -73,7 +73,11 @@
     d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(40)))
     home, other = d.pools[2], d.pools[1]
     held = {w.name for w in home}
-    d.handle(1.0, i.WorkerList(i.ListScope.CHANGES, tuple(
-        replace(e, weight=0.1 if e.worker in held else 1.0) for e in fleet(40))))
+    d.handle(
+        1.0,
+        i.WorkerList(
+            i.ListScope.CHANGES, tuple(replace(e, weight=0.1 if e.worker in held else 1.0) for e in fleet(40))
+        ),
+    )
     (send,) = [a for a in d.handle(2.0, i.JobArrived(1, "safe", 2_000.0, key="k")) if isinstance(a, i.Send)]
     assert send.worker in {w.name for w in d.keepers[1, "k"]} and d.workers[send.worker] in other
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -15,17 +15,29 @@
 from elderstall.records import Job, Worker, stable_hash
 from elderstall.routing import lanes
 
-CLASSES = (i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-           i.JobClass("build", 5.0, 600.0, 15_000.0, Effect.UNSAFE, stretch=2.5),
-           i.JobClass("order", 10.0, 1_000.0, 20_000.0, Effect.UNSAFE, stretch=2.0),
-           i.JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.UNSAFE, stretch=1.75))
+CLASSES = (
+    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+    i.JobClass("build", 5.0, 600.0, 15_000.0, Effect.UNSAFE, stretch=2.5),
+    i.JobClass("order", 10.0, 1_000.0, 20_000.0, Effect.UNSAFE, stretch=2.0),
+    i.JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.UNSAFE, stretch=1.75),
+)
 NAMES = [f"s-{n:04x}" for n in range(60)]
 
 
 def module(dispatchers: int = 40, rank: int = 0, names: list[str] = NAMES) -> Dispatcher:
-    d = Dispatcher(i.Settings(
-        CLASSES, dispatchers=dispatchers, rank=rank, max_attempts=5, report_free_slots=0,
-        probes=True, connect_timeout=250.0, tick=2.0), rank)
+    d = Dispatcher(
+        i.Settings(
+            CLASSES,
+            dispatchers=dispatchers,
+            rank=rank,
+            max_attempts=5,
+            report_free_slots=0,
+            probes=True,
+            connect_timeout=250.0,
+            tick=2.0,
+        ),
+        rank,
+    )
     d.handle(0.0, i.Begin())
     d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(n, "k") for n in names)))
     return d
@@ -98,10 +110,15 @@
         self.assertFalse(set(went["build"]) & lane_of(NAMES))
         self.assertGreater(sum(name in lane_of(NAMES) for name in went["purchase"]), 50)
 
-    @given(st.lists(st.floats(1, 5_000), min_size=1, max_size=5), st.floats(0, 5_000), st.floats(1, 3),
-           st.floats(1, 20_000))
+    @given(
+        st.lists(st.floats(1, 5_000), min_size=1, max_size=5),
+        st.floats(0, 5_000),
+        st.floats(1, 3),
+        st.floats(1, 20_000),
+    )
     def test_only_long_jobs_with_time_to_spare_keep_out(
-            self, spares: list[float], aim: float, stretch: float, work: float) -> None:
+        self, spares: list[float], aim: float, stretch: float, work: float
+    ) -> None:
         lane, w = lanes.Lane(), Worker("w", "k", None, 0, None, (0, "w"))
         lane.adopt(spares)
         lane.fill([w])
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -32,8 +32,9 @@
 
 
 def module(dispatchers: int, rank: int = 0, seed: int = 1) -> Dispatcher:
-    return Dispatcher(i.Settings(CLASSES, dispatchers=dispatchers, rank=rank, must_follow=True,
-                                 ask_within=10_000.0), seed)
+    return Dispatcher(
+        i.Settings(CLASSES, dispatchers=dispatchers, rank=rank, must_follow=True, ask_within=10_000.0), seed
+    )
 
 
 def started(d: Dispatcher, now: float = 0.0) -> i.Actions:
@@ -89,7 +90,8 @@
 
     @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_refused_at_once_waits_double_up_to_what_the_6_s_leave(
-            self, n: int, seed: int, rounds: int) -> None:
+        self, n: int, seed: int, rounds: int
+    ) -> None:
         """A discovery that is down costs nobody anything: its return has to be met well within 6 s."""
         calls, rng = ListCalls(n, 10_000.0), random.Random(seed)
         for k in range(1, rounds + 1):
@@ -102,7 +104,8 @@
 
     @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_in_a_crowded_queue_the_first_wait_keeps_to_the_6_s_and_the_next_double(
-            self, n: int, seed: int, rounds: int) -> None:
+        self, n: int, seed: int, rounds: int
+    ) -> None:
         calls, rng = ListCalls(n, 10_000.0), random.Random(seed)
         for k in range(1, rounds + 1):
             calls.call(10_000.0 * k)
@@ -115,7 +118,8 @@
 
     @given(st.integers(1, 1_024), st.floats(1.0, 1e6), st.integers(0, 2**32))
     def test_no_first_failure_of_any_fleet_puts_the_next_call_off_past_the_6_s(
-            self, n: int, ask_within: float, seed: int) -> None:
+        self, n: int, ask_within: float, seed: int
+    ) -> None:
         rng = random.Random(seed)
         for waited_for in (0.0, 3_000.0):
             calls = ListCalls(n, ask_within)
@@ -125,7 +129,8 @@
 
     @given(st.integers(MANY + 1, 1_024), st.integers(0, 2**32), st.floats(LIVED_LEAST + 1, 100_000.0))
     def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(
-            self, n: int, seed: int, lived: float) -> None:
+        self, n: int, seed: int, lived: float
+    ) -> None:
         """Silence is noticed after 3 s and counts as told after 6: the call must go out well before."""
         d = module(n, n - 1, seed)
         (delay,) = asks_in(started(d))
@@ -137,7 +142,8 @@
 
     @given(st.integers(MANY + 1, 1_024), st.integers(0, 2**32), st.booleans())
     def test_a_call_that_falls_silent_before_its_first_line_is_made_anew_soon(
-            self, n: int, seed: int, again: bool) -> None:
+        self, n: int, seed: int, again: bool
+    ) -> None:
         """Seen on join days: five of 183 calls heard nothing at all, and waited as failed ones did."""
         d = module(n, n - 1, seed)
         (delay,) = asks_in(started(d))
@@ -155,7 +161,7 @@
             calls.call(now)
             calls.answered(now)
             calls.fail(rng, now := now + lived)
-            self.assertEqual(min(AGAIN_EACH * n * 2 ** k, RETRY_MOST), calls.waited)
+            self.assertEqual(min(AGAIN_EACH * n * 2**k, RETRY_MOST), calls.waited)
 
     @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32))
     def test_first_calls_of_a_fleet_keep_to_their_rate(self, n: int, seed: int) -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -160,17 +160,27 @@
 
 def test_same_events_give_the_same_actions() -> None:
     from tests.driver import random_day
+
     assert random_day(7, settings()).actions == random_day(7, settings()).actions
 
 
 NO_EFFECT = i.JobClass("x", 1, 1, 1, "odd")  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize("field,value", [
-    ("classes", ()), ("dispatchers", 0), ("ask_within", -1.0), ("cold_share", 0.0), ("max_attempts", 0),
-    ("classes", (SAFE, SAFE)), ("tenants", (i.Tenant("t", -1.0),)),
-    ("classes", (NO_EFFECT,)), ("classes", (i.JobClass("x", -1, 1, 1),)),
-])
+@pytest.mark.parametrize(
+    "field,value",
+    [
+        ("classes", ()),
+        ("dispatchers", 0),
+        ("ask_within", -1.0),
+        ("cold_share", 0.0),
+        ("max_attempts", 0),
+        ("classes", (SAFE, SAFE)),
+        ("tenants", (i.Tenant("t", -1.0),)),
+        ("classes", (NO_EFFECT,)),
+        ("classes", (i.JobClass("x", -1, 1, 1),)),
+    ],
+)
 def test_settings_without_sense_raise_and_name_the_field(field: str, value: object) -> None:
     names = {"tenants": "quota_per_s"}
     with pytest.raises(ValueError, match=f"{names.get(field, field)}|effect|worth"):
@@ -179,8 +189,13 @@
 
 def test_unknown_ids_are_ignored() -> None:
     d = Dispatcher(settings(), 1)
-    for event in (i.AttemptEnded(9, 0, "w", i.Ending.SERVED), i.AttemptNoted(9, 0, "w"), i.JobLeft(9),
-                  i.TimerFired(77), i.AnswerBegan(9, 0, "w")):
+    for event in (
+        i.AttemptEnded(9, 0, "w", i.Ending.SERVED),
+        i.AttemptNoted(9, 0, "w"),
+        i.JobLeft(9),
+        i.TimerFired(77),
+        i.AnswerBegan(9, 0, "w"),
+    ):
         assert d.handle(1.0, event) == []
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -110,8 +110,8 @@
         self.file.write_text(json.dumps(self.raw))
         env = {**os.environ, "RELAY_CONFIG": str(self.file), "TMPDIR": self.folder}
         program = subprocess.Popen(
-            [sys.executable, *self.command, *options], cwd=ROOT, env=env,
-            stderr=subprocess.PIPE, text=True)
+            [sys.executable, *self.command, *options], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
+        )
         self.addCleanup(self.end, program)
         assert program.stderr is not None
         at = {"console": ("", 0), "start": ("", 0)}
@@ -188,10 +188,16 @@
             line.sock.sendall(request)
             return line.read()
 
-    def job(self, cid: str, job_class: str = "deck-fetch", budget: int = 20_000,
-            *more: tuple[str, str]) -> bytes:
-        fields = [("X-Call-Id", cid), ("X-Call-Class", job_class), ("X-Caller", "norte"),
-                  ("X-Budget-Ms", str(budget)), *more]
+    def job(
+        self, cid: str, job_class: str = "deck-fetch", budget: int = 20_000, *more: tuple[str, str]
+    ) -> bytes:
+        fields = [
+            ("X-Call-Id", cid),
+            ("X-Call-Class", job_class),
+            ("X-Caller", "norte"),
+            ("X-Budget-Ms", str(budget)),
+            *more,
+        ]
         return http.request("POST", f"/{job_class}?obj=1", "x", fields, b"body")
 
 
@@ -271,8 +277,12 @@
             path = os.path.join(folder, "config.json")
             os.mkfifo(path)
             program = subprocess.Popen(
-                [sys.executable, "-m", "elderstall", "--config", path], cwd=ROOT,
-                env={**os.environ, "TMPDIR": folder}, stderr=subprocess.PIPE, text=True)
+                [sys.executable, "-m", "elderstall", "--config", path],
+                cwd=ROOT,
+                env={**os.environ, "TMPDIR": folder},
+                stderr=subprocess.PIPE,
+                text=True,
+            )
             self.addCleanup(self.end, program)
             assert program.stderr is not None
             for classes, last in ((CLASSES, " start "), ([{**CLASSES[0], "name": "scan"}], "classes are ")):
@@ -299,14 +309,24 @@
         self.assertTrue(int(said.stdout.split()[1], 16) & 1 << (signal.SIGHUP - 1))
 
     def test_faulty_configuration_ends_with_the_key(self) -> None:
-        cases = {"{}": "settings", '{"settings": {"classes": 3}}': "settings", "{": "RELAY_CONFIG",
-                 "[" * 20_000: "RELAY_CONFIG"}
+        cases = {
+            "{}": "settings",
+            '{"settings": {"classes": 3}}': "settings",
+            "{": "RELAY_CONFIG",
+            "[" * 20_000: "RELAY_CONFIG",
+        }
         for text, key in cases.items():
             read, write = os.pipe()
             os.write(write, text.encode())
             os.close(write)
-            run = subprocess.run([sys.executable, "-m", "elderstall", "check", "--config", f"/dev/fd/{read}"],
-                                 cwd=ROOT, pass_fds=[read], capture_output=True, text=True, check=False)
+            run = subprocess.run(
+                [sys.executable, "-m", "elderstall", "check", "--config", f"/dev/fd/{read}"],
+                cwd=ROOT,
+                pass_fds=[read],
+                capture_output=True,
+                text=True,
+                check=False,
+            )
             os.close(read)
             self.assertEqual(2, run.returncode)
             self.assertIn(f"elderstall: {key}", run.stderr)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -76,7 +76,8 @@
             """)
 
     def test_a_broken_fetch_is_sent_again_on_the_same_stream(self) -> None:
-        self.play(f"""
+        self.play(
+            f"""
             c send job a1 deck-fetch {ASKS}
             w expect POST a1
             w send stream
@@ -88,7 +89,9 @@
             w send event result second
             c expect event result second
             c expect end
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
     def test_before_the_first_event_a_refusal_is_a_plain_503_and_a_failure_5xx(self) -> None:
         self.play(f"""
@@ -216,25 +219,33 @@
 
 
 @tune(deadline=None, derandomize=True)
-@given(events=st.lists(st.tuples(st.sampled_from(["progress", "result"]), TEXTS), max_size=5),
-       cuts=st.lists(st.integers(1, 9), max_size=60), end=st.sampled_from(["\n", "\r", "\r\n"]))
+@given(
+    events=st.lists(st.tuples(st.sampled_from(["progress", "result"]), TEXTS), max_size=5),
+    cuts=st.lists(st.integers(1, 9), max_size=60),
+    end=st.sampled_from(["\n", "\r", "\r\n"]),
+)
 def test_what_is_written_is_read_back_however_it_is_split(
-        events: list[tuple[str, str]], cuts: list[int], end: str) -> None:
+    events: list[tuple[str, str]], cuts: list[int], end: str
+) -> None:
     raw = b"\xef\xbb\xbf" + b"".join(written(name, data, "7") for name, data in events)
     raw = raw.decode().replace("\n", end).encode()
     parser, got, at = EventParser(), list[ServerEvent](), 0
     for cut in [*cuts, len(raw)]:
-        got += parser.feed(raw[at:at + cut])
+        got += parser.feed(raw[at : at + cut])
         at += cut
     assert got == [ServerEvent(name, data, "7") for name, data in events]
 
 
 def test_the_format_in_its_corners() -> None:
     parser = EventParser()
-    text = (": comment\n\nevent: lost\n\ndata\n\ndata:two\ndata: lines\nid: 4\nretry: 250\nodd: x\n\n"
-            "data:  kept\nid: no\0\n\nevent: progress\ndata: cut")
+    text = (
+        ": comment\n\nevent: lost\n\ndata\n\ndata:two\ndata: lines\nid: 4\nretry: 250\nodd: x\n\n"
+        "data:  kept\nid: no\0\n\nevent: progress\ndata: cut"
+    )
     assert list(parser.feed(text.encode())) == [
-        ServerEvent("message", ""), ServerEvent("message", "two\nlines", "4"),
-        ServerEvent("message", " kept", "4")]
+        ServerEvent("message", ""),
+        ServerEvent("message", "two\nlines", "4"),
+        ServerEvent("message", " kept", "4"),
+    ]
     assert parser.retry == 250
     assert (share_of('{"share": 0.4}'), share_of("0.2"), share_of("true"), share_of("[")) == (0.4, 0.2, 0, 0)
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -16,8 +16,19 @@
 
 
 def module(workers: int, pulled: bool = True, dispatchers: int = 2) -> Dispatcher:
-    d = Dispatcher(i.Settings(CLASSES, dispatchers=dispatchers, max_attempts=6, report_free_slots=0,
-                              probes=True, pulled=pulled, connect_timeout=250.0, tick=2.0), 1)
+    d = Dispatcher(
+        i.Settings(
+            CLASSES,
+            dispatchers=dispatchers,
+            max_attempts=6,
+            report_free_slots=0,
+            probes=True,
+            pulled=pulled,
+            connect_timeout=250.0,
+            tick=2.0,
+        ),
+        1,
+    )
     d.handle(0.0, i.Begin())
     d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(f"w{n}", "k") for n in range(workers))))
     return d
@@ -66,8 +77,11 @@
         self.assertEqual((9, 9), (sent, probes))
 
     def test_the_settings_say_how_reports_come(self) -> None:
-        raw = {"classes": [{"name": "a", "points": 1, "aim": 100, "deadline": 1000, "effect": "safe"}],
-               "balancers": 2, "load_report": {"fields": ["x0"], "source": "pull"}}
+        raw = {
+            "classes": [{"name": "a", "points": 1, "aim": 100, "deadline": 1000, "effect": "safe"}],
+            "balancers": 2,
+            "load_report": {"fields": ["x0"], "source": "pull"},
+        }
         self.assertTrue(settings_of(raw).pulled)
         raw["load_report"] = {"fields": ["x0"], "source": "piggyback"}
         self.assertFalse(settings_of(raw).pulled)
--- a/tests/test_rehearsal_night.py
+++ b/tests/test_rehearsal_night.py
@@ -60,9 +60,33 @@
     """Play in a process of its own, under another hash seed and time zone, and give the JSON."""
     env = {**os.environ, "PYTHONHASHSEED": hash_seed, "TZ": zone}
     done = subprocess.run(
-        [sys.executable, "-m", "elderstall", "rehearse", "run", str(where), "--seed", "5", "--json", "-",
-         "--set", "length=20s", "--set", "slow/at=5s", "--set", "slow/for=10s", "--set", "burst/at=5s",
-         "--set", "burst/for=10s"], cwd=ROOT, env=env, capture_output=True, check=True)
+        [
+            sys.executable,
+            "-m",
+            "elderstall",
+            "rehearse",
+            "run",
+            str(where),
+            "--seed",
+            "5",
+            "--json",
+            "-",
+            "--set",
+            "length=20s",
+            "--set",
+            "slow/at=5s",
+            "--set",
+            "slow/for=10s",
+            "--set",
+            "burst/at=5s",
+            "--set",
+            "burst/for=10s",
+        ],
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        check=True,
+    )
     return done.stdout
 
 
@@ -93,8 +117,10 @@
 
 def test_a_quarter_of_the_workers_slow_while_traffic_doubles() -> None:
     calm, _ = played()
-    hard, world = played(Trouble("slow", 3_000.0, 6_000.0, share=0.25, factor=6.0),
-                         Trouble("burst", 3_000.0, 6_000.0, factor=2.0))
+    hard, world = played(
+        Trouble("slow", 3_000.0, 6_000.0, share=0.25, factor=6.0),
+        Trouble("burst", 3_000.0, 6_000.0, factor=2.0),
+    )
     conserved(hard, world)
     assert hard["rules"]["broken"] == 0
     assert hard["service"]["worst_10_s"] < calm["service"]["worst_10_s"]
@@ -102,8 +128,9 @@
 
 
 def test_a_worker_that_pauses_says_nothing_and_then_all_at_once() -> None:
-    world = World(night(Trouble("pause", 4_000.0, 3_000.0, workers=("w-1",)),
-                        reports=s.Reports(progress=500.0)), 3)
+    world = World(
+        night(Trouble("pause", 4_000.0, 3_000.0, workers=("w-1",)), reports=s.Reports(progress=500.0)), 3
+    )
     heard: list[float] = []
     machine = world.machines["w-1"]
     call = machine.call_back
@@ -121,9 +148,10 @@
 
 
 def test_a_dispatcher_dies_with_jobs_out() -> None:
-    figures, world = played(Trouble("slow", 3_000.0, 6_000.0, factor=3.0),
-                            Trouble("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",),
-                                    planned=False))
+    figures, world = played(
+        Trouble("slow", 3_000.0, 6_000.0, factor=3.0),
+        Trouble("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",), planned=False),
+    )
     conserved(figures, world)
     assert world.audit.dropped_count > 0 and world.stations[0].lives == 2
     assert figures["endings"].get("lost", 0) > 0, "what must not be repeated is not tried again"
@@ -179,9 +207,17 @@
     """A long safe job whose worker dies late ends sooner than its work would take anew."""
     long = s.ClassLoad(i.JobClass("long", 1.0, 9_000.0, 20_000.0), 1.0, 4_000.0)
     figures, world = played(
-        Trouble("restart", 3_000.0, 500.0, workers=("w-0",)), classes=(long,), tenants=(), length=1_000.0,
-        workers=(s.Worker("w-0", "box", speed=1.0),), kinds=(s.Kind("box", cold_for=0.0),), tail=20_000.0,
-        load=s.Traffic(1.0), dispatchers=s.Dispatchers((1.0,)), seed=7)
+        Trouble("restart", 3_000.0, 500.0, workers=("w-0",)),
+        classes=(long,),
+        tenants=(),
+        length=1_000.0,
+        workers=(s.Worker("w-0", "box", speed=1.0),),
+        kinds=(s.Kind("box", cold_for=0.0),),
+        tail=20_000.0,
+        load=s.Traffic(1.0),
+        dispatchers=s.Dispatchers((1.0,)),
+        seed=7,
+    )
     conserved(figures, world)
     assert figures["requests"] == figures["endings"]["served"] == 1
     # It began within the first second and had saved two: two are left at 3.5 s, where anew it would be four.
@@ -203,8 +239,9 @@
     def early(spread: float) -> int:
         """Tries that reached it in the first 400 ms of its second life."""
         killed = Trouble("dispatcher-restart", 4_000.0, 1_500.0, dispatchers=("n1",), planned=False)
-        world = World(night(killed, clients=s.Clients(retries=4, backoff=400.0, reconnect=spread,
-                                                      impatient=0.0)), 1)
+        world = World(
+            night(killed, clients=s.Clients(retries=4, backoff=400.0, reconnect=spread, impatient=0.0)), 1
+        )
         seen: list[float] = []
         taken = world.audit.taken
 
@@ -222,23 +259,55 @@
     assert early(2_000.0) < early(0.0) / 2
 
 
-KINDS_OF_TROUBLE = st.sampled_from([
-    "slow", "pause", "fail", "vanish", "reset", "restart", "drain", "cold", "burst", "heavy-tail",
-    "list-down", "cut-off", "dispatcher-restart"])
+KINDS_OF_TROUBLE = st.sampled_from(
+    [
+        "slow",
+        "pause",
+        "fail",
+        "vanish",
+        "reset",
+        "restart",
+        "drain",
+        "cold",
+        "burst",
+        "heavy-tail",
+        "list-down",
+        "cut-off",
+        "dispatcher-restart",
+    ]
+)
 troubles = st.builds(
-    Trouble, KINDS_OF_TROUBLE, at=st.floats(0.0, 4_500.0), length=st.floats(200.0, 3_000.0),
-    apart=st.sampled_from([0.0, 300.0]), share=st.floats(0.1, 1.0), factor=st.floats(0.5, 6.0),
-    chance=st.floats(0.0, 1.0), job_class=st.just("fetch"), planned=st.booleans())
+    Trouble,
+    KINDS_OF_TROUBLE,
+    at=st.floats(0.0, 4_500.0),
+    length=st.floats(200.0, 3_000.0),
+    apart=st.sampled_from([0.0, 300.0]),
+    share=st.floats(0.1, 1.0),
+    factor=st.floats(0.5, 6.0),
+    chance=st.floats(0.0, 1.0),
+    job_class=st.just("fetch"),
+    planned=st.booleans(),
+)
 
 
 @trials(max_examples=25, deadline=None, derandomize=True, phases=[Phase.generate])
-@given(st.lists(troubles, max_size=4), st.integers(0, 1_000), st.booleans(),
-       st.sampled_from(["plain", "library"]))
+@given(
+    st.lists(troubles, max_size=4),
+    st.integers(0, 1_000),
+    st.booleans(),
+    st.sampled_from(["plain", "library"]),
+)
 def test_whatever_goes_wrong_nothing_is_lost_and_no_rule_is_broken(
-        script: list[Trouble], seed: int, must_ask: bool, policy: str) -> None:
+    script: list[Trouble], seed: int, must_ask: bool, policy: str
+) -> None:
     listing = replace(QUICK_LIST, must_ask=must_ask)
-    figures, world = played(*sorted(script, key=lambda t: t.at), seed=seed, length=5_000.0,
-                            listing=listing, clients=s.Clients(policy=policy, reconnect=300.0))
+    figures, world = played(
+        *sorted(script, key=lambda t: t.at),
+        seed=seed,
+        length=5_000.0,
+        listing=listing,
+        clients=s.Clients(policy=policy, reconnect=300.0),
+    )
     conserved(figures, world)
     # A worker that is slow as well as cold can do less than anybody is told: rule 4 can't be kept there.
     unknown = any(t.kind == "slow" for t in script)
@@ -289,8 +358,9 @@
         self.listed = lambda scope, entries=(): None  # type: ignore[method-assign]
 
     monkeypatch.setattr(Core, "start", start)
-    world = World(night(Trouble("drain", 2_000.0, 9_000.0, workers=("w-1",)),
-                        dispatchers=s.Dispatchers((1.0,))), 1)
+    world = World(
+        night(Trouble("drain", 2_000.0, 9_000.0, workers=("w-1",)), dispatchers=s.Dispatchers((1.0,))), 1
+    )
     found = broken(world)
     assert any(rule == 3 and "told draining or gone" in what for rule, what in found)
 
@@ -301,8 +371,12 @@
     monkeypatch.setattr("elderstall.choice.Dispatcher.crowded", lambda self, late=False: False)
     monkeypatch.setattr("elderstall.choice.Dispatcher.most_on", lambda self, w: 50)
     rules = s.Rules(cold_for=2_000.0, push_multiple=1.2, push_window=600.0)
-    world = World(night(Trouble("restart", 3_000.0, 500.0), Trouble("burst", 3_000.0, 6_000.0, factor=4.0),
-                        rules=rules), 1)
+    world = World(
+        night(
+            Trouble("restart", 3_000.0, 500.0), Trouble("burst", 3_000.0, 6_000.0, factor=4.0), rules=rules
+        ),
+        1,
+    )
     found = broken(world)
     assert any(rule == 4 and "pushed over" in what for rule, what in found)
 
@@ -318,8 +392,9 @@
     process.wire.send(other, job.ask, process.deadlines.now() + 100.0, lambda share, text: None, lambda: None)
     process.core.close(job, Refused())
     found = [b.what for b in world.audit.broken]
-    assert any("second copy" in what for what in found) and any("refused, but it may have run" in what
-                                                                for what in found)
+    assert any("second copy" in what for what in found) and any(
+        "refused, but it may have run" in what for what in found
+    )
     assert any("sent to" in line for line in lines_of(job.ask.parcel.request))  # type: ignore[attr-defined]
 
 
@@ -329,8 +404,10 @@
 
 def test_many_thin_dispatchers_ask_workers_and_nothing_is_lost() -> None:
     """With a worker that falls silent and one that dies amid questions."""
-    troubles = (Trouble("pause", at=3_000.0, length=2_000.0, workers=("w-1",)),
-                Trouble("vanish", at=5_000.0, length=1_500.0, workers=("w-2",)))
+    troubles = (
+        Trouble("pause", at=3_000.0, length=2_000.0, workers=("w-1",)),
+        Trouble("vanish", at=5_000.0, length=1_500.0, workers=("w-2",)),
+    )
     thin = s.Dispatchers((1.0,) * 24)
     figures, world = played(*troubles, dispatchers=thin, reports=s.Reports(asked=True))
     conserved(figures, world)
--- a/tests/test_rehearsal_script.py
+++ b/tests/test_rehearsal_script.py
@@ -52,27 +52,31 @@
     return path
 
 
-@pytest.mark.parametrize(("old", "new", "line", "key", "why"), [
-    ("at 1s", "at -1s", 22, "<slow> at", "no time from 0"),
-    ("at 1s", "at 9s", 22, "<slow> at", "past the night's end"),
-    ("share 50%", "workers w-9", 24, "<slow> workers", "there is no 'w-9'"),
-    ("share 50%", "share 150%", 24, "<slow> share", "more than all"),
-    ("factor 3", "factor 0", 25, "<slow> factor", "above zero"),
-    ("factor 3", "factr 3", 25, "<slow> factr", "not a known key"),
-    ("factor 3", "factor 3\n  ramp 2s", 26, "<slow> ramp", "longer than the trouble"),
-    ("count 3", "count 10000", 12, "<workers w> count", "at most 5000"),
-    ("count 3", "count 3\n  speeds 1 2", 13, "<workers w> speeds", "2 speeds for 3 workers"),
-    ("kind box\n", "kind bax\n", 11, "<workers w> kind", "there is no kind 'bax'"),
-    ("rate 20", "", 4, "<load> rate", "give rate"),
-    ("rate 20", "rate 2000000000", 5, "<load> rate", "jobs; at most"),
-    ("<slow>", "<sloow>", 21, "", "unknown type name"),
-    ("share 1\n", "", 19, "", "no value"),
-    ("name test", "nonsense 1\nname test", 1, "nonsense", "not a known key"),
-    ("work 100ms", "work 100", 16, "<class fetch> work", "no time"),
-    ("share 1\n", "share 0\n", 15, "<class fetch> share", "sum to nothing"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "line", "key", "why"),
+    [
+        ("at 1s", "at -1s", 22, "<slow> at", "no time from 0"),
+        ("at 1s", "at 9s", 22, "<slow> at", "past the night's end"),
+        ("share 50%", "workers w-9", 24, "<slow> workers", "there is no 'w-9'"),
+        ("share 50%", "share 150%", 24, "<slow> share", "more than all"),
+        ("factor 3", "factor 0", 25, "<slow> factor", "above zero"),
+        ("factor 3", "factr 3", 25, "<slow> factr", "not a known key"),
+        ("factor 3", "factor 3\n  ramp 2s", 26, "<slow> ramp", "longer than the trouble"),
+        ("count 3", "count 10000", 12, "<workers w> count", "at most 5000"),
+        ("count 3", "count 3\n  speeds 1 2", 13, "<workers w> speeds", "2 speeds for 3 workers"),
+        ("kind box\n", "kind bax\n", 11, "<workers w> kind", "there is no kind 'bax'"),
+        ("rate 20", "", 4, "<load> rate", "give rate"),
+        ("rate 20", "rate 2000000000", 5, "<load> rate", "jobs; at most"),
+        ("<slow>", "<sloow>", 21, "", "unknown type name"),
+        ("share 1\n", "", 19, "", "no value"),
+        ("name test", "nonsense 1\nname test", 1, "nonsense", "not a known key"),
+        ("work 100ms", "work 100", 16, "<class fetch> work", "no time"),
+        ("share 1\n", "share 0\n", 15, "<class fetch> share", "sum to nothing"),
+    ],
+)
 def test_nonsense_is_refused_by_file_line_and_key(
-        script: Path, old: str, new: str, line: int, key: str, why: str) -> None:
+    script: Path, old: str, new: str, line: int, key: str, why: str
+) -> None:
     script.write_text(TEXT.replace(old, new, 1))
     with pytest.raises(ScriptError) as caught:
         read(script)
@@ -128,7 +132,8 @@
 
 
 def test_run_prints_tables_and_writes_json_and_a_report(
-        script: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    script: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     out, report = script.with_name("out.json"), script.with_name("out.html")
     assert door(["rehearse", "run", str(script), "--json", str(out), "--report", str(report)]) == 0
     figures = json.loads(out.read_text())
@@ -159,9 +164,13 @@
 
 
 def test_a_broken_rule_is_printed_with_its_history_and_exit_status_1(
-        script: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    script.write_text(TEXT.replace("tail 5s", "tail 5s\n<rules>\n  slack 0ms\n</rules>").replace(
-        "factor 3", "factor 60").replace("deadline 2s", "deadline 400ms"))
+    script: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    script.write_text(
+        TEXT.replace("tail 5s", "tail 5s\n<rules>\n  slack 0ms\n</rules>")
+        .replace("factor 3", "factor 60")
+        .replace("deadline 2s", "deadline 400ms")
+    )
     monkeypatch.setattr("elderstall.core.Core.overdue", lambda self, job: None)
     monkeypatch.setattr("elderstall.core.Core.timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.choice.Dispatcher.out_of_time", lambda self, job: False)
@@ -175,20 +184,43 @@
     told = json.loads(done.output)
     assert told["request"] == 7 and told["class"] == "fetch" and told["ending"] == "served"
     assert [line.split("s  ")[1].split(" ")[0] for line in told["history"]] == [
-        "try", "attempt", "attempt", "attempt", "try"]
+        "try",
+        "attempt",
+        "attempt",
+        "attempt",
+        "try",
+    ]
     assert run("explain", str(script), "99999").return_value == 1
 
 
 def test_list_names_what_comes_with_the_program() -> None:
     rows = json.loads(run("list", "--json").output)
     assert {row["name"] for row in rows} >= {
-        "calm", "slow-quarter", "paused-worker", "outage", "exam-week", "rolling-restart", "cold-rush"}
+        "calm",
+        "slow-quarter",
+        "paused-worker",
+        "outage",
+        "exam-week",
+        "rolling-restart",
+        "cold-rush",
+    }
     assert all(row["describe"] and row["workers"] for row in rows)
 
 
 def test_compare_pairs_by_seed(script: Path) -> None:
-    done = run("compare", str(script), str(script), "--set-second", "slow/factor=30", "--seeds", "1-3",
-               "--processes", "2", "--json", "-")
+    done = run(
+        "compare",
+        str(script),
+        str(script),
+        "--set-second",
+        "slow/factor=30",
+        "--seeds",
+        "1-3",
+        "--processes",
+        "2",
+        "--json",
+        "-",
+    )
     told = json.loads(done.output)
     figure = next(m for m in told["measures"] if m["name"] == "service, whole")
     assert len(told["pairs"]) == 3 and figure["difference"] < 0
--- a/tests/test_rehearsal_serve.py
+++ b/tests/test_rehearsal_serve.py
@@ -15,8 +15,13 @@
 
 
 def trial(trouble: str) -> dict[str, Any]:
-    done = subprocess.run([sys.executable, "-m", "tests.serve_trial", trouble], cwd=ROOT, capture_output=True,
-                          text=True, timeout=120)
+    done = subprocess.run(
+        [sys.executable, "-m", "tests.serve_trial", trouble],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     assert done.returncode == 0, done.stderr
     assert "Traceback" not in done.stderr and " bug " not in done.stderr, done.stderr
     figures: dict[str, Any] = json.loads(done.stdout.splitlines()[-1])
--- a/tests/test_rehearsal_worker.py
+++ b/tests/test_rehearsal_worker.py
@@ -106,8 +106,17 @@
 
 
 def test_open_connections_and_crowding_take_their_part() -> None:
-    kind = Kind("k", cores=1, slots=1, queue=9, cold_for=0.0, connections=100, connection_tax=0.2, crowd_at=2,
-                crowd_cost=0.5)
+    kind = Kind(
+        "k",
+        cores=1,
+        slots=1,
+        queue=9,
+        cold_for=0.0,
+        connections=100,
+        connection_tax=0.2,
+        crowd_at=2,
+        crowd_cost=0.5,
+    )
     w = CardWorker(kind, speed=1.0)
     w.connections = 50
     assert w.ease() == pytest.approx(0.9)
@@ -176,24 +185,32 @@
 
 
 ACTS = ["offer", "wide", "cancel", "charge", "slow", "pause", "resume", "drain", "die", "start"]
-acts = st.lists(st.tuples(
-    st.sampled_from(ACTS),
-    st.floats(0.0, 400.0), st.integers(0, 30)), max_size=60)
+acts = st.lists(st.tuples(st.sampled_from(ACTS), st.floats(0.0, 400.0), st.integers(0, 30)), max_size=60)
 
 
 @given(acts, st.integers(1, 3), st.integers(1, 5), st.booleans(), st.sampled_from(["none", "waiting", "all"]))
 def test_every_task_ends_once_and_every_core_ms_is_booked(
-        script: list[tuple[str, float, int]], cores: int, slots: int, by_work: bool, cancel: str) -> None:
-    kind = Kind("k", cores, slots, queue=4, cold_for=700.0, warm_by_work=by_work, cancel=cancel,
-                drops_expired=by_work)
+    script: list[tuple[str, float, int]], cores: int, slots: int, by_work: bool, cancel: str
+) -> None:
+    kind = Kind(
+        "k", cores, slots, queue=4, cold_for=700.0, warm_by_work=by_work, cancel=cancel, drops_expired=by_work
+    )
     w = CardWorker(kind, speed=1.3, push=Push(50.0, 500.0), progress_every=70.0)
     now, seen, offered = 0.0, list[Happening](), 0
     for act, gap, n in script:
         now += gap
         if act in ("offer", "wide"):
             offered += 1
-            seen += w.offer(now, Task(offered, 10.0 + 9 * n, slots=2 if act == "wide" else 1,
-                                      deadline=now + 150.0, repeatable=n % 2 == 0))
+            seen += w.offer(
+                now,
+                Task(
+                    offered,
+                    10.0 + 9 * n,
+                    slots=2 if act == "wide" else 1,
+                    deadline=now + 150.0,
+                    repeatable=n % 2 == 0,
+                ),
+            )
         elif act == "cancel":
             seen += w.cancel(now, n)
         elif act == "charge":
@@ -215,8 +232,11 @@
     now += 1e6
     seen += w.advance(now)
     assert w.ledger.total == pytest.approx(cores * now)
-    over = [h.task.key for h in seen if h.what in (
-        What.DONE, What.FAILED, What.FULL, What.LOST, What.RETURNED, What.DROPPED, What.STOPPED)]
+    over = [
+        h.task.key
+        for h in seen
+        if h.what in (What.DONE, What.FAILED, What.FULL, What.LOST, What.RETURNED, What.DROPPED, What.STOPPED)
+    ]
     assert sorted(over, key=repr) == sorted(range(1, offered + 1), key=repr)
     assert all(a.at <= b.at + 1e-6 for a, b in zip(seen, seen[1:], strict=False))
     tasks = {h.task.key: h.task for h in seen}.values()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -123,8 +123,9 @@
         self.assertGreater(min(needs.cpu, needs.memory, needs.descriptors), 0)
 
     def test_what_is_allowed(self) -> None:
-        usual = larger.Needs(cpu=2.0, memory=36.0, descriptors=80, connections=100, list_bytes=40_000,
-                             jobs=100, served=100)
+        usual = larger.Needs(
+            cpu=2.0, memory=36.0, descriptors=80, connections=100, list_bytes=40_000, jobs=100, served=100
+        )
         most = larger.allowed(usual, 3_200)
         self.assertAlmostEqual(2.8 + 0.02 + 0.384, most["cpu"])
         self.assertAlmostEqual(54 + 8 + 12.8, most["memory"])
@@ -139,9 +140,15 @@
 
     def held(self, dispatcher: HollowDispatcher) -> Counter[str]:
         view = dispatcher.core.view
-        return Counter(listed=len(view.entries), gone=len(view.gone), closed=len(view.closed),
-                       unavailable=len(view.unavailable), members=len(view.members),
-                       module=len(dispatcher.core.module.workers), waiting=len(view.waiting))
+        return Counter(
+            listed=len(view.entries),
+            gone=len(view.gone),
+            closed=len(view.closed),
+            unavailable=len(view.unavailable),
+            members=len(view.members),
+            module=len(dispatcher.core.module.workers),
+            waiting=len(view.waiting),
+        )
 
     def test_whole_and_subset(self) -> None:
         for workers in (300, WORKERS):
@@ -178,7 +185,8 @@
     def test_the_ring_is_more_even_than_rendezvous_hashing_and_moves_less_than_an_aperture(self) -> None:
         ring, aperture, rendezvous = (
             subsets.compare(subsets.WAYS[name], 2_000, 100, 200)
-            for name in ("ring", "deterministic aperture", "rendezvous hashing"))
+            for name in ("ring", "deterministic aperture", "rendezvous hashing")
+        )
         self.assertLess(ring["largest over mean"], 0.8 * rendezvous["largest over mean"])
         self.assertLess(ring["moved by a worker, over all"], 0.8 * aperture["moved by a worker, over all"])
         self.assertEqual(0, ring["moved by a dispatcher, each"])
@@ -198,9 +206,21 @@
     def test_the_command_writes_series_and_pictures(self) -> None:
         with TemporaryDirectory() as folder:
             path = Path(folder, "series.json")
-            ran = CliRunner().invoke(main, [
-                "--measure", "list-bytes", "--sizes", "50,100", "--repeats", "2", "--json", str(path),
-                "--plots", folder])
+            ran = CliRunner().invoke(
+                main,
+                [
+                    "--measure",
+                    "list-bytes",
+                    "--sizes",
+                    "50,100",
+                    "--repeats",
+                    "2",
+                    "--json",
+                    str(path),
+                    "--plots",
+                    folder,
+                ],
+            )
             self.assertEqual(0, ran.exit_code, ran.output)
             (series,) = json.loads(path.read_text())
             self.assertEqual([50, 100], [row["size"] for row in series["rows"]])
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -297,8 +297,9 @@
                 side = self.client()
                 side.send(self.job("a1", "thumbs"))
                 self.until(lambda: bool(self.held))
-                name = next(name for name, pool in self.app.workers.pools.items()
-                            if pool is self.held[0][1].pool)
+                name = next(
+                    name for name, pool in self.app.workers.pools.items() if pool is self.held[0][1].pool
+                )
                 if change == "moved":
                     self.came()
                     self.listeners[int(name[1:]) - 1] = self.listener()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -55,14 +55,17 @@
 
     def test_jobs_under_way_keep_their_class(self) -> None:
         """Guards jobs taken as safe, and those taken as not to be repeated, against each other's rule."""
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-fetch
             w expect POST a1
             w send 202
             c2 send job a2 deck-build
             w2 expect POST a2
             w2 send 202
-        """, workers=3)
+        """,
+            workers=3,
+        )
         stricter, milder = ({**c, "effect": e} for c, e in zip(CLASSES, ("unsafe", "safe"), strict=True))
         self.retune([stricter, milder])
         self.play("""
@@ -80,13 +83,16 @@
         """)
 
     def test_fewer_attempts_hold_for_jobs_under_way_too(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-fetch
             w expect POST a1
             w send 503 X-Rejected: 1
             w expect POST a1
             w send 202
-        """, workers=3)
+        """,
+            workers=3,
+        )
         self.retune(CLASSES, max_attempts=2)
         self.play("""
             w send call returned a1
@@ -96,8 +102,10 @@
 
     def test_a_head_read_under_other_settings_is_checked_again(self) -> None:
         """Guards against a class that is gone when the body comes: it was a KeyError, and a 500."""
-        head = ("POST /deck-fetch HTTP/1.1\\r\\nHost: x\\r\\nX-Call-Id: a1\\r\\nX-Call-Class: deck-fetch"
-                "\\r\\nX-Caller: norte\\r\\nX-Budget-Ms: 5000\\r\\nContent-Length: 4\\r\\n\\r\\n")
+        head = (
+            "POST /deck-fetch HTTP/1.1\\r\\nHost: x\\r\\nX-Call-Id: a1\\r\\nX-Call-Class: deck-fetch"
+            "\\r\\nX-Caller: norte\\r\\nX-Budget-Ms: 5000\\r\\nContent-Length: 4\\r\\n\\r\\n"
+        )
         self.play(f"""
             c send raw {head}
         """)
@@ -109,8 +117,14 @@
     def test_what_a_broken_file_says_is_not_taken_in_part(self) -> None:
         self.begin()
         good = copy.deepcopy(self.world.raw)
-        for key, value in (("deadline", 0), ("deadline", -5), ("deadline", "5000"), ("deadline", True),
-                           ("deadline", float("inf")), ("aim", None)):
+        for key, value in (
+            ("deadline", 0),
+            ("deadline", -5),
+            ("deadline", "5000"),
+            ("deadline", True),
+            ("deadline", float("inf")),
+            ("aim", None),
+        ):
             classes: list[dict[str, Any]] = [LATE, {**CLASSES[0], key: value}]
             self.world.raw = copy.deepcopy(good)
             self.world.raw["discovery"] = "127.0.0.1:7"
@@ -132,8 +146,17 @@
 
     def test_a_file_that_lacks_a_key_of_the_one_in_use_is_turned_down_by_its_name(self) -> None:
         """Guards against defaults and the environment: they filled the gaps of a file cut short."""
-        for path in ("discovery", "seed", "known", "limits", "settings.rules", "settings.limits.max_attempts",
-                     "settings.rules.cold", "settings.classes.1.points", "settings.projects.0.quota_per_s"):
+        for path in (
+            "discovery",
+            "seed",
+            "known",
+            "limits",
+            "settings.rules",
+            "settings.limits.max_attempts",
+            "settings.rules.cold",
+            "settings.classes.1.points",
+            "settings.projects.0.quota_per_s",
+        ):
             self.begin()
             raw = copy.deepcopy(self.world.raw)
             *way, last = path.split(".")
@@ -145,8 +168,10 @@
             with self.subTest(path=path):
                 self.line("hup", "send", "")
                 self.assertEqual(1, self.world.app.core.counts.load_errors)
-                self.assertTrue([x for x in self.world.lines if x.startswith("reload nothing changed: ")
-                                 and last in x], self.world.lines)
+                self.assertTrue(
+                    [x for x in self.world.lines if x.startswith("reload nothing changed: ") and last in x],
+                    self.world.lines,
+                )
 
     def test_a_file_with_what_json_does_not_know_is_no_file(self) -> None:
         with tempfile.NamedTemporaryFile("w") as file:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -17,14 +17,24 @@
 from tests.scenario import platform
 
 MANY = 1_024
-CLASSES = (i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-           i.JobClass("purchase", 10.0, 150.0, 5_000.0, i.Effect.UNSAFE, stretch=1.75))
+CLASSES = (
+    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+    i.JobClass("purchase", 10.0, 150.0, 5_000.0, i.Effect.UNSAFE, stretch=1.75),
+)
 MEMORY = 8 * 1024 * 1024  # bytes that 1,024 workers may take of the module, beside the program's 24 MB
 
 
 def entry(n: int, status: str = "in_service", since: int = 0) -> dict[str, object]:
-    return {"name": f"s-{n:05x}", "address": f"127.1.{n % 65536 // 256}.{n % 256}:3000",
-            "zone": "z", "type": "k", "group": n % 9, "status": status, "weight": 1.0, "since_ms": since}
+    return {
+        "name": f"s-{n:05x}",
+        "address": f"127.1.{n % 65536 // 256}.{n % 256}:3000",
+        "zone": "z",
+        "type": "k",
+        "group": n % 9,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since,
+    }
 
 
 def whole(numbers: range, indent: int | None = None) -> str:
@@ -32,9 +42,22 @@
 
 
 def module(workers: int, dispatchers: int, rank: int) -> Dispatcher:
-    d = Dispatcher(i.Settings(
-        CLASSES, dispatchers=dispatchers, rank=rank, max_attempts=5, report_free_slots=0, probes=True,
-        connect_timeout=250.0, tick=2.0, cold_share=0.4, cold_for=5_000.0, push_multiple=4.0), rank)
+    d = Dispatcher(
+        i.Settings(
+            CLASSES,
+            dispatchers=dispatchers,
+            rank=rank,
+            max_attempts=5,
+            report_free_slots=0,
+            probes=True,
+            connect_timeout=250.0,
+            tick=2.0,
+            cold_share=0.4,
+            cold_for=5_000.0,
+            push_multiple=4.0,
+        ),
+        rank,
+    )
     d.handle(0.0, i.Begin())
     _, scope, pairs = list_of(json.loads(whole(range(workers))), False)
     d.handle(0.0, i.WorkerList(scope, tuple(listed for listed, _ in pairs)))
@@ -95,12 +118,13 @@
             lines, got = JsonLines(LINE_MOST), []
             data = (whole(range(MANY), indent) + "\n\n" + plain + "\n").encode()
             for at in range(0, len(data), size):
-                got += list(lines.feed(data[at:at + size]))
+                got += list(lines.feed(data[at : at + size]))
             self.assertEqual([json.loads(plain), None, json.loads(plain)], got)
 
     @given(st.integers(1, 400), st.sampled_from((None, 1)))
     def test_a_list_broken_off_is_refused_at_the_next_sign_of_life_at_the_latest(
-            self, kept: int, indent: int | None) -> None:
+        self, kept: int, indent: int | None
+    ) -> None:
         lines = JsonLines(LINE_MOST)
         text = whole(range(3), indent)[:kept].strip()
         try:
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -15,8 +15,14 @@
 def load(rates: tuple[float, ...], workers: int = 6) -> Load:
     n = len(rates)
     steps = tuple(float(k) for k in range(workers + 1))
-    return Load(rates, (200.0,) * n, (200.0,) * n, (700.0,) * n, tuple(4 * s for s in steps),
-                tuple(4 * s for s in steps))
+    return Load(
+        rates,
+        (200.0,) * n,
+        (200.0,) * n,
+        (700.0,) * n,
+        tuple(4 * s for s in steps),
+        tuple(4 * s for s in steps),
+    )
 
 
 def erlang_c(c: int, rho: float) -> float:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -117,7 +117,8 @@
     @settings(max_examples=30, deadline=None)
     @given(st.lists(st.integers(0, 1_599), max_size=60), st.integers(0, 59))
     def test_changes_one_by_one_come_to_the_same_as_a_fresh_start(
-            self, toggles: list[int], rank: int) -> None:
+        self, toggles: list[int], rank: int
+    ) -> None:
         workers = fleet(1_600)
         there = dict.fromkeys(range(1_500))
         subset = subset_of(workers[:1_500], rank, home="zone-2")
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -115,8 +115,15 @@
     def held(self) -> list[int]:
         view = self.view
         subset = view.subset.places if view.subset is not None else {}
-        return [len(view.entries), len(view.unavailable), len(view.gone), len(view.closed), len(view.members),
-                len(view.waiting), len(subset)]
+        return [
+            len(view.entries),
+            len(view.unavailable),
+            len(view.gone),
+            len(view.closed),
+            len(view.members),
+            len(view.waiting),
+            len(subset),
+        ]
 
     def test_workers_replaced_for_long_leave_nothing_behind(self) -> None:
         for count in (200, 1_500):
@@ -292,10 +299,15 @@
         self.assertIsNone(self.view.subset)
 
     @settings(max_examples=25, deadline=None)
-    @given(st.lists(st.tuples(st.integers(0, 60), st.sampled_from([UP, UP, DRAINING, GONE]),
-                              st.booleans()), max_size=50))
+    @given(
+        st.lists(
+            st.tuples(st.integers(0, 60), st.sampled_from([UP, UP, DRAINING, GONE]), st.booleans()),
+            max_size=50,
+        )
+    )
     def test_the_module_and_the_view_agree_whatever_comes(
-            self, steps: list[tuple[int, WorkerState, bool]]) -> None:
+        self, steps: list[tuple[int, WorkerState, bool]]
+    ) -> None:
         """What the module holds as up is what the view says it does; all of that is up."""
         view = FleetView(SETTINGS)
         module = self.told(view.take(0.0, ListScope.WHOLE, entries(LARGE)))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,10 @@
 from tests.scenario import Scenario
 
 UP = "GET /up HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n"
-HEAD = ("POST /deck-fetch HTTP/1.1\\r\\nHost: x\\r\\nX-Call-Id: {0}\\r\\nX-Call-Class: deck-fetch\\r\\n"
-        "X-Caller: norte\\r\\nX-Budget-Ms: 5000\\r\\nContent-Length: {1}\\r\\n\\r\\n")
+HEAD = (
+    "POST /deck-fetch HTTP/1.1\\r\\nHost: x\\r\\nX-Call-Id: {0}\\r\\nX-Call-Class: deck-fetch\\r\\n"
+    "X-Caller: norte\\r\\nX-Budget-Ms: 5000\\r\\nContent-Length: {1}\\r\\n\\r\\n"
+)
 
 
 class Jobs(Scenario):
@@ -59,7 +61,8 @@
         """)
 
     def test_a_rejected_job_goes_elsewhere_and_an_error_ends_an_unsafe_one(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build
             w expect POST a1
             w send 503 X-Rejected: 1
@@ -67,19 +70,25 @@
             w send 500
             c expect 502
             w expect nothing
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
     def test_a_503_without_the_mark_may_have_run(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build
             w expect POST a1
             w send 503
             c expect 502
             w expect nothing
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
     def test_a_job_handed_back_unstarted_goes_on(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build
             w expect POST a1
             w send 202
@@ -89,10 +98,13 @@
             w send 202
             w send call failed a1
             c expect 502
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
     def test_a_lost_job_is_sent_again_only_if_its_class_is_safe(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-fetch
             w expect POST a1
             w send 202
@@ -107,17 +119,22 @@
             w send call lost a2
             c expect 502
             w expect nothing
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
     def test_a_break_before_the_202_may_have_run(self) -> None:
         """Guards against a resend over a stale connection: written is not proof that nothing ran."""
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build
             w expect POST a1
             w close
             c expect 502
             w expect nothing
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
     def test_a_break_before_the_last_byte_was_written_proves_it_never_ran(self) -> None:
         self.begin(workers=2)
@@ -572,7 +589,9 @@
         server = self.world.app.server
         server.weight_most = 100_000
         part = "x" * 40_000
-        self.play("".join(f"c{n} send raw {HEAD.format(n, 60_000)}{part}\n" for n in range(5)) + """
+        self.play(
+            "".join(f"c{n} send raw {HEAD.format(n, 60_000)}{part}\n" for n in range(5))
+            + """
             c0 expect nothing
             c1 expect nothing
             c2 expect 503 Retry-After: 1
@@ -580,12 +599,14 @@
             c3 expect 503
             c9 send job a1 deck-fetch
             w expect POST a1
-        """)
+        """
+        )
         self.assertLessEqual(server.weight, server.weight_most)
 
     def test_after_sigterm_jobs_are_taken_for_the_time_until_sigkill(self) -> None:
         """Guards against seconds in which nobody serves: the next dispatcher is not back yet (term)."""
-        self.play("""
+        self.play(
+            """
             c send job a0 deck-fetch
             w expect POST a0
             w send 202
@@ -610,7 +631,9 @@
             c3 close
             wait 300
             term expect exit
-        """, workers=1)
+        """,
+            workers=1,
+        )
 
     def test_clients_are_let_go_in_time_to_find_the_next_dispatcher(self) -> None:
         """Guards against clients that are held until the next one is told to end, too (reload)."""
@@ -634,7 +657,8 @@
         """)
 
     def test_sigterm_serves_on_then_refuses_and_ends_when_empty(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build budget=9000
             c2 send raw GET /up HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n
             c2 expect 200
@@ -671,17 +695,28 @@
             c4 close
             wait 300
             term expect exit
-        """, workers=2)
+        """,
+            workers=2,
+        )
 
 
 class Questions(Scenario):
     """Workers asked how they stand, as one of many dispatchers does before a job goes."""
 
-    MANY = {"balancers": 40, "limits": {"conn_idle": 10000, "connect_timeout": 250, "max_attempts": 5,
-                                        "max_open": 50, "probes": True}}
+    MANY = {
+        "balancers": 40,
+        "limits": {
+            "conn_idle": 10000,
+            "connect_timeout": 250,
+            "max_attempts": 5,
+            "max_open": 50,
+            "probes": True,
+        },
+    }
 
     def test_a_job_goes_over_the_connection_of_the_question_to_the_worker_with_room(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build
             w expect GET /metrics/load
             w2 expect GET /metrics/load
@@ -692,11 +727,15 @@
             w2 send 202
             w2 send call done a1 hello
             c expect 200 hello
-        """, workers=2, **self.MANY)
+        """,
+            workers=2,
+            **self.MANY,
+        )
         self.assertEqual(2, len(self.world.workers))
 
     def test_a_silent_worker_costs_the_job_30_ms(self) -> None:
-        self.play("""
+        self.play(
+            """
             c send job a1 deck-build
             w expect GET /metrics/load
             w2 expect GET /metrics/load
@@ -707,23 +746,35 @@
             w2 expect POST a1
             wait 230
             log expect end:given-up
-        """, workers=2, **self.MANY)
+        """,
+            workers=2,
+            **self.MANY,
+        )
 
     def test_what_a_worker_answers_badly_stops_no_job(self) -> None:
         """A refusal to answer, a report that cannot be read, and a connection that breaks."""
-        for answer in ("send 503", "send raw HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\n{]",
-                       "send raw HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\n[]", "close"):
+        for answer in (
+            "send 503",
+            "send raw HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\n{]",
+            "send raw HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\n[]",
+            "close",
+        ):
             with self.subTest(answer):
-                self.play(f"""
+                self.play(
+                    f"""
                     c send job a1 deck-build
                     w expect GET /metrics/load
                     w {answer}
                     wait 200
                     w expect POST a1
-                """, workers=1, **self.MANY)
+                """,
+                    workers=1,
+                    **self.MANY,
+                )
 
     def test_a_worker_told_draining_is_not_asked(self) -> None:
-        self.play("""
+        self.play(
+            """
             # where dispatchers are many, the first call for the list waits its turn, 2.5 s at most
             wait 2500
             d expect watch 41
@@ -733,7 +784,10 @@
             w send load 1
             w2 expect POST a1
             w expect nothing
-        """, workers=2, **self.MANY)
+        """,
+            workers=2,
+            **self.MANY,
+        )
 
 
 class Reloads(Scenario):
