--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -32,7 +32,7 @@
 from typing import Any
 
 from benchmarks import random_events
-from elderstall.choice import Dispatcher
+from elderstall.decisions import Dispatcher
 from elderstall.rehearsal.reading import ENDING, SHIPPED, find, read
 from elderstall.rehearsal.script import Night
 from elderstall.rehearsal.world import World
--- a/benchmarks/random_events.py
+++ b/benchmarks/random_events.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from elderstall import interface as i
-from elderstall.choice import Dispatcher
+from elderstall.decisions import Dispatcher
 
 STEPS = 3_000
 WORKERS, KINDS, ZONES, CELL = 30, ("large", "small"), ("a", "b"), 3
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -173,7 +173,7 @@
     @property
     def members(self) -> list[str]:
         """Name the workers that the module knows as up."""
-        return [name for name, worker in self.core.module.workers.items() if worker.open]
+        return [name for name, worker in self.core.module.endpoints.workers.items() if worker.up]
 
     def outside(self) -> list[str]:
         """Name listed workers that the module does not know, where there are any."""
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from elderstall.atomic_file import write_text_atomically
-from elderstall.choice import Dispatcher
+from elderstall.decisions import Dispatcher
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.reading import find, read, with_parts
 from elderstall.rehearsal.world import World
--- a/elderstall/__init__.py
+++ b/elderstall/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of a dispatcher that pushes jobs to workers."""
 
-from elderstall.choice import Dispatcher
+from elderstall.decisions import Dispatcher
 
 __all__ = ["Dispatcher"]
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -19,6 +19,7 @@
 from elderstall.config import Config, ConfigError, UnreadableError, address_of, fixed_keys, reloaded
 from elderstall.core import Core
 from elderstall.deadlines import Deadline, Deadlines
+from elderstall.learned_transfer import read_learned, write_learned
 from elderstall.log import Log
 from elderstall.net.accepting import RESOURCE_ERRORS, Acceptor
 from elderstall.net.console import CALLERS, Console
@@ -28,7 +29,6 @@
 from elderstall.net.server import Server
 from elderstall.net.sse import ProgressServer, StreamWorkers
 from elderstall.net.workers import WorkerConnection, Workers
-from elderstall.succession import learned, read_learned, write_learned
 
 SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
 LONGEST_MOST = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
@@ -287,7 +287,7 @@
             },
             "ids": [*core.elsewhere, *core.answered, *core.by_cid],
             "begun": self.server.streamed(),
-            "learned": write_learned(learned(core.module), core.view, clock),
+            "learned": write_learned(core.module.learned(), core.view, clock),
             "held": len(self.server.connections),
         }, os.dup(self.port.fileno())
 
--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -8,7 +8,7 @@
 from typing import Any, TextIO
 
 from elderstall import interface as i
-from elderstall.choice import Dispatcher
+from elderstall.decisions import Dispatcher
 from elderstall.settings import Fields, settings_of
 
 ENDINGS = {
--- a/elderstall/core.py
+++ b/elderstall/core.py
@@ -1,7 +1,7 @@
 """The program's core: it owns jobs and attempts and keeps the rules; it knows no wire.
 
 A front hands in jobs and is told their answers. A carrier takes attempts to workers. The module in
-``choice.py`` is fed events and its actions are carried out, each checked against the rules first.
+``decisions`` is fed events and its actions are carried out, each checked against the rules first.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from twisted.python.failure import Failure
 
 from elderstall import interface as i
-from elderstall.choice import Dispatcher
 from elderstall.clocks import SharedClock
 from elderstall.deadlines import Deadline, Deadlines
+from elderstall.decisions import Dispatcher
 from elderstall.figures import Figures
 from elderstall.interface import Effect, Ending, ListScope, Scope, WorkerState
 from elderstall.log import Log
@@ -183,7 +183,7 @@
         """Give the figures; whom the module avoids is its own to say."""
         view, now = self.view, self.deadlines.now()
         self.counts.jobs, self.counts.listed = len(self.jobs), len(view.entries)
-        self.counts.avoided = sum(name in view.entries for name in self.module.avoided(now))
+        self.counts.avoided = sum(name in view.entries for name in self.module.unavailable(now))
         self.counts.in_view = len(view.entries) if view.subset is None else len(view.members)
         self.counts.widened = 0 if view.subset is None else view.subset.widened
         self.counts.zones_lost = len(view.lost_zones)
--- /dev/null
+++ b/elderstall/decisions/dispatcher.py
@@ -0,0 +1,255 @@
+"""One dispatcher's decisions: routes each event to the part that it concerns, and gives the actions.
+
+The ordinary path of a job: its priority weight names its tier; the tier's own pool, or another by the solved
+fractions, takes it; the next worker in that pool's rotation gets it. See docs/design.md.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from elderstall.decisions.answers import Answers
+from elderstall.decisions.capacity import CapacityModel
+from elderstall.decisions.context import (
+    TIMER_POLL_ENDPOINTS,
+    TIMER_POLL_TIMEOUT,
+    TIMER_REVIEW_QUEUE,
+    TIMER_SOLVE,
+    DecisionContext,
+)
+from elderstall.decisions.eligibility import Eligibility
+from elderstall.decisions.endpoints import Endpoints
+from elderstall.decisions.estimates import WorkEstimates
+from elderstall.decisions.forwarding import Forwarder
+from elderstall.decisions.in_flight import InFlight
+from elderstall.decisions.inheritance import Inheritance
+from elderstall.decisions.intake import Intake
+from elderstall.decisions.list_polling import ListPolling
+from elderstall.decisions.load_shedding import LoadShedding
+from elderstall.decisions.outcomes import Outcomes
+from elderstall.decisions.placement import Placement
+from elderstall.decisions.polling import LoadPoller, PolledPlacement
+from elderstall.decisions.pools import Pools
+from elderstall.decisions.queue import JobQueue
+from elderstall.decisions.queue_model import INTERVAL
+from elderstall.decisions.reserved_workers import ReservedWorkers
+from elderstall.decisions.slow_start import SlowStart
+from elderstall.decisions.solver import Solver
+from elderstall.decisions.urgency import Urgency
+from elderstall.interface import (
+    Actions,
+    AnswerBegan,
+    AttemptEnded,
+    AttemptNoted,
+    Begin,
+    Event,
+    JobArrived,
+    JobInherited,
+    JobLeft,
+    Learned,
+    ListScope,
+    Log,
+    Probed,
+    Retuned,
+    Settings,
+    TimerFired,
+    WorkerList,
+    WorkersForgotten,
+)
+from elderstall.limits.shares import Shares
+
+
+class Dispatcher:
+    """One dispatcher: ``handle`` takes an event and returns the actions it calls for."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.context = context = DecisionContext(settings, seed)
+        self.estimates = WorkEstimates()
+        self.quotas = Shares()
+        self.shedding = LoadShedding()
+        self.capacity = CapacityModel(context, self.estimates)
+        self.endpoints = Endpoints(context, self.capacity, ReservedWorkers())
+        self.list_polling = ListPolling(context)
+        self.pools = Pools(context, self.endpoints, self.capacity)
+        self.solver = Solver(context, self.endpoints, self.capacity, self.pools, self.estimates)
+        self.in_flight = InFlight(context, self.endpoints, self.capacity, self.estimates)
+        self.urgency = Urgency(context, self.capacity)
+        self.slow_start = SlowStart(context, self.capacity)
+        self.eligibility = Eligibility(
+            context, self.endpoints, self.capacity, self.in_flight, self.slow_start, self.urgency
+        )
+        self.placement = Placement(context, self.endpoints, self.pools, self.eligibility, self.in_flight)
+        self.answers = Answers(context, self.endpoints, self.capacity, self.shedding)
+        self.forwarder = Forwarder(context, self.pools, self.in_flight, self.slow_start)
+        self.poller = LoadPoller(context, self.endpoints, self.pools, self.estimates, self.shedding)
+        self.queue = JobQueue(
+            context,
+            self.estimates,
+            self.eligibility,
+            self.placement,
+            self.forwarder,
+            self.in_flight,
+            self.answers,
+            self.urgency,
+            on_enqueued=self.poller.poll_for_queued,
+        )
+        self.polled_placement = PolledPlacement(
+            context,
+            self.endpoints,
+            self.pools,
+            self.poller,
+            self.eligibility,
+            self.placement,
+            self.forwarder,
+            self.queue,
+            self.answers,
+            self.urgency,
+        )
+        self.intake = Intake(
+            context,
+            self.estimates,
+            self.quotas,
+            self.shedding,
+            self.solver,
+            self.answers,
+            self.urgency,
+            self.poller,
+            self.polled_placement,
+            self.placement,
+            self.forwarder,
+            self.queue,
+        )
+        self.outcomes = Outcomes(
+            context,
+            self.endpoints,
+            self.capacity,
+            self.pools,
+            self.in_flight,
+            self.answers,
+            self.intake,
+            self.queue,
+        )
+        self.inheritance = Inheritance(
+            context,
+            self.endpoints,
+            self.capacity,
+            self.pools,
+            self.estimates,
+            self.in_flight,
+            self.intake,
+            self.solver,
+        )
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            Begin: self._begin,
+            WorkerList: self._endpoint_list,
+            WorkersForgotten: lambda event: self.endpoints.forget(event.workers),
+            JobArrived: self.intake.arrived,
+            JobInherited: self.inheritance.take_job,
+            JobLeft: lambda event: self.answers.abandoned(event.job),
+            AnswerBegan: lambda event: self.answers.abandoned(event.job),
+            AttemptNoted: self.outcomes.noted,
+            AttemptEnded: self.outcomes.ended,
+            Probed: self._load_report,
+            TimerFired: self._timer_fired,
+            Retuned: self._settings_changed,
+            Learned: lambda event: self.inheritance.take_learned(event.data),
+        }
+        self._adopt()
+
+    def handle(self, now: float, event: Event) -> Actions:
+        """Take one event at a time, ms, and return what to do, in order."""
+        self.context.begin(now)
+        if (handler := self._handlers.get(type(event))) is not None:
+            handler(event)
+        return self.context.actions
+
+    def unavailable(self, now: float) -> set[str]:
+        """Name the workers that get no new jobs now, or only those of their probation."""
+        return self.endpoints.unavailable(now)
+
+    def learned(self) -> dict[str, Any]:
+        """Give what was learned, as plain data, for the process that takes over."""
+        return self.inheritance.learned()
+
+    def _adopt(self) -> None:
+        """Take the settings in force in every part."""
+        settings, mode = self.context.settings, self.context.mode
+        self.list_polling.adopt()
+        self.shedding.adopt(job_class.worth for job_class in settings.classes)
+        self.estimates.adopt(settings.classes)
+        self.solver.update_typical_work()
+        self.quotas.adopt(settings.tenants, settings.dispatchers, mode.large_fleet)
+
+    def _begin(self, _: Begin) -> None:
+        """Start the cadences, and ask for the endpoint list."""
+        self.context.set_timer(TIMER_SOLVE, INTERVAL)
+        self.list_polling.begin()
+
+    def _timer_fired(self, event: TimerFired) -> None:
+        """Run what is due."""
+        now = self.context.now + self.context.settings.tick / 2  # a timer may fire a hair early
+        if event.token == TIMER_SOLVE:
+            self.context.set_timer(TIMER_SOLVE, INTERVAL)
+            self._solve()
+            self.queue.review()
+        elif event.token == TIMER_REVIEW_QUEUE:
+            self.queue.timer_fired()
+        elif event.token == TIMER_POLL_TIMEOUT:
+            self.polled_placement.timed_out(now)
+        elif event.token == TIMER_POLL_ENDPOINTS:
+            self.list_polling.timer_fired(now)
+
+    def _solve(self) -> None:
+        """Re-solve the policy, and log what a solve of the sizes went out from."""
+        summary = self.solver.solve()
+        if summary is None:
+            return
+        running, queued = self.in_flight.slots_running, len(self.queue)
+        self.context.act(
+            Log(
+                f"{summary.policy}, our part {summary.own_slots:.0f} slots, {running} run, "
+                f"pace {summary.pace:.2f}, {queued} jobs held"
+            )
+        )
+
+    def _endpoint_list(self, event: WorkerList) -> None:
+        """Take a watch event, or that a call or a watch has failed."""
+        if event.scope in (ListScope.FAILED, ListScope.SILENT):
+            self.list_polling.failed(event.scope)
+            return
+        self.list_polling.answered()
+        if self.endpoints.apply(event):
+            self._rebuild_pools()
+            self.queue.review()
+
+    def _rebuild_pools(self) -> None:
+        """Cut the pools anew from the workers that are up."""
+        self.endpoints.rebuild()
+        self.pools.rescale()
+
+    def _load_report(self, event: Probed) -> None:
+        """Take a polled worker's report, and place the jobs that waited for it alone."""
+        worker = self.poller.record(event)
+        if self.context.mode.polls_for_queued:
+            self.queue.offer(worker)
+        self.polled_placement.reported(worker)
+
+    def _settings_changed(self, event: Retuned) -> None:
+        """Take new settings and keep what was learned; a job keeps its class, and its place in the order."""
+        queued, tiers = self.queue.queued_jobs(), self.context.mode.tiers
+        self.context.adopt(event.settings)
+        self._adopt()
+        if self.context.mode.tiers != tiers:
+            self.pools.reset()
+            self.solver.reset()
+        self.queue.reset()
+        for job in self.answers.open.values():
+            job.tier = self.context.mode.tier_of(job.weight)
+        self._rebuild_pools()
+        for job in queued:
+            if job.attempts >= event.settings.max_attempts:
+                self.answers.finish(job)
+            else:
+                self.queue.enqueue(job)
+        self.queue.review()
--- a/elderstall/search.py
+++ b/elderstall/decisions/hill_climb.py
@@ -1,20 +1,20 @@
-"""Steepest ascent among legal policies: a search, no decision; ``choice.py`` tells what a policy is worth."""
+"""Steepest ascent among legal policies: a search; the solver hands in what a policy earns."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterator
 
-from elderstall.records import Policy, legal
+from elderstall.decisions.records import Policy, legal
 
 STEPS = (100, 10, 1)  # thousandths: the design's 0.1 cut tenfold to 0.001
 
 
-def neighbours(policy: Policy, step: int, tiers: int, resize: bool) -> Iterator[Policy]:
+def neighbours(policy: Policy, step: int, tiers: int, *, resize: bool) -> Iterator[Policy]:
     """Yield the legal policies one step away."""
     for n in range(len(policy.f)):
         for d in (step, -step):
-            f = policy.f[:n] + (policy.f[n] + d,) + policy.f[n + 1 :]
+            f = (*policy.f[:n], policy.f[n] + d, *policy.f[n + 1 :])
             if legal(near := Policy(f, policy.sizes), tiers) and not (resize and f[n] < 0):
                 yield near
     if resize:
@@ -27,7 +27,7 @@
                         yield near
 
 
-def random_policy(rng: random.Random, like: Policy, tiers: int, resize: bool) -> Policy:
+def random_policy(rng: random.Random, like: Policy, tiers: int, *, resize: bool) -> Policy:
     """Draw a legal policy."""
     while True:
         f = tuple(rng.randrange(0 if resize else -10, 11) * 100 for _ in like.f)
@@ -40,7 +40,13 @@
 
 
 def climb(
-    start: Policy, worth: Callable[[Policy], float], tiers: int, budget: int, rng: random.Random, resize: bool
+    start: Policy,
+    worth: Callable[[Policy], float],
+    tiers: int,
+    budget: int,
+    rng: random.Random,
+    *,
+    resize: bool,
 ) -> Policy:
     """Steepest ascent from the current policy, with step cuts and random restarts, within a budget.
 
@@ -59,7 +65,7 @@
     score(start)
     while len(seen) < budget and looks < 4 * budget:  # a small space can be known before the budget is spent
         best = here
-        for near in neighbours(here, STEPS[step], tiers, resize):
+        for near in neighbours(here, STEPS[step], tiers, resize=resize):
             looks += 1
             if len(seen) >= budget:
                 break
@@ -71,6 +77,6 @@
         elif step + 1 < len(STEPS):
             step += 1
         else:
-            here, step = random_policy(rng, start, tiers, resize), 0
+            here, step = random_policy(rng, start, tiers, resize=resize), 0
             score(here)
     return max(seen, key=lambda p: seen[p])
--- a/elderstall/model.py
+++ b/elderstall/decisions/queue_model.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from itertools import accumulate
 
-from elderstall.records import Load, Policy, flows
+from elderstall.decisions.records import Load, Policy, flows
 
 TIER_WEIGHTS = (0.45, 0.35, 0.20)  # the design's w of gold, silver and bronze: the paper's pools
 INTERVAL = 2_000.0  # ms between f-solves: troubles last seconds, so the design's 30 s would miss them
--- a/elderstall/rotation.py
+++ b/elderstall/decisions/rotation.py
@@ -1,6 +1,6 @@
 """Workers in the order of their turns, so that the next one is found without a look at all of them.
 
-The structure decides nothing: what makes a worker near, far or full is told by ``choice.py``. An entry may
+The structure decides nothing: ``pools.Pools`` says what makes a worker near, far or full. An entry may
 be out of date only towards being offered in vain, never towards being left out.
 """
 
@@ -12,18 +12,18 @@
 from heapq import merge
 from operator import is_
 
-from elderstall.records import Worker
+from elderstall.decisions.records import Worker
 
 NEAR, FAR, REST = range(3)  # groups: our own part of a worker, past it, beyond our stretch of the fleet
 Entry = tuple[float, int, str, Worker]  # turn, place in the pool, its name; places are unique
-Filed = tuple[int | None, float]  # group and turn
+RotationKey = tuple[int | None, float]  # group and turn
 
 
 @dataclass(slots=True)
 class Rotation:
     """One pool: groups in ascending order of turn; full workers stand in none.
 
-    Where a worker stands follows from its place in the pool and from ``Worker.filed``.
+    Where a worker stands follows from its place in the pool and from ``Worker.rotation_key``.
     """
 
     groups: tuple[list[Entry], ...] = field(default_factory=lambda: ([], [], []))
@@ -42,7 +42,7 @@
         for group in self.groups:
             group.sort()
 
-    def move(self, w: Worker, old: Filed | None, new: Filed) -> None:
+    def move(self, w: Worker, old: RotationKey | None, new: RotationKey) -> None:
         """Put one worker where it belongs now: O(log n) comparisons."""
         place = self.places.get(w.name)
         if place is None:
@@ -77,9 +77,9 @@
 
     def move(self, w: Worker) -> None:
         """Note that a worker's turn, or what it has of ours, has changed."""
-        old, new = w.filed, (self.group(w), w.turn)
+        old, new = w.rotation_key, (self.group(w), w.turn)
         if old != new:
-            w.filed = new
+            w.rotation_key = new
             for rotation in self.of:
                 rotation.move(w, old, new)
 
@@ -94,7 +94,9 @@
         self.settle(w for pool in self.pools for w in pool)
         if not any(other):
             return
-        grouped = {w.name: w.filed[0] for pool in self.pools for w in pool if w.filed is not None}
+        grouped = {
+            w.name: w.rotation_key[0] for pool in self.pools for w in pool if w.rotation_key is not None
+        }
         for rotation, pool, changed in zip(self.of, self.pools, other, strict=True):
             if changed:
                 rotation.fill(pool, grouped)
--- a/elderstall/limits/shares.py
+++ b/elderstall/limits/shares.py
@@ -15,9 +15,9 @@
 
 import math
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from elderstall.interface import Tenant
-from elderstall.records import Bucket
 
 SEEN_FOR = 10_000.0  # ms after which what was seen counts for a third: some jobs of each at a light one
 REBASE_AFTER = 30 * SEEN_FOR  # ms: weights up to e to the 30th, of which rounding loses nothing that counts
@@ -25,6 +25,22 @@
 CHANCE = 5.0  # jobs of a tenant beyond its part that come by chance: at a light dispatcher they do
 
 
+@dataclass(slots=True)
+class Bucket:
+    """A token bucket, full at first."""
+
+    tokens: float = math.inf
+    at: float = 0.0
+
+    def take(self, now: float, rate: float, most: float) -> bool:
+        """Fill it at ``rate`` a ms up to ``most``, and take one token if it is there."""
+        self.tokens, self.at = min(most, self.tokens + (now - self.at) * rate), now
+        if self.tokens < 1:
+            return False
+        self.tokens -= 1
+        return True
+
+
 class Shares:
     """What was seen of each tenant, against its share."""
 
--- a/elderstall/routing/subset.py
+++ b/elderstall/routing/subset.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from elderstall.records import stable_hash
+from elderstall.hashing import stable_hash
 
 SUBSET_LEAST = 1_024  # workers: up to so many a dispatcher knows all, as its standing limits ask
 REPLICAS = 8  # dispatchers that hold each worker at least, so that unequal traffic evens out over them
@@ -41,7 +41,7 @@
 def position(name: str) -> int:
     """Give a worker's position on the ring, alike in every process.
 
-    Hashed twice: `routing/lanes.py` and the pools cut by the first hash, so a stretch of a ring of it would
+    Hashed twice: the reserved workers and the pools cut by the first hash, so a stretch of a ring of it would
     lie in the lane as a whole, or outside it.
     """
     return stable_hash(str(stable_hash(name)))
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -121,7 +121,7 @@
         start = self.listing[a.worker].started
         if start is None or self.now - start >= self.s.cold_for:
             return
-        w, job, s = self.dispatcher.workers[a.worker], self.dispatcher.jobs[a.job], self.s
+        w, job, s = self.dispatcher.endpoints.workers[a.worker], self.dispatcher.answers.open[a.job], self.s
         sends = self.cold_sends.setdefault(a.worker, [])
         sends.append((self.now, job.work * job.slots))
         power = w.slots * w.speed * (s.cold_share + (1 - s.cold_share) * (self.now - start) / s.cold_for)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,7 +6,9 @@
 
 from elderstall import Dispatcher
 from elderstall import interface as i
-from elderstall.choice import ASK_WAIT, ASKED, OURS, ROUNDS, TIMER_ASKED
+from elderstall.decisions.capacity import OWN_WORKERS
+from elderstall.decisions.context import TIMER_POLL_TIMEOUT
+from elderstall.decisions.polling import POLL_ROUNDS, POLL_TIMEOUT, POLLED_AT_ONCE
 from elderstall.interface import Effect, Ending
 
 CLASSES = (
@@ -65,7 +67,7 @@
         """Guards against jobs sent blind to where other dispatchers' jobs wait."""
         d = module()
         names = asked(d.handle(10_001.0, i.JobArrived(1, "order", 20_000.0)))
-        self.assertEqual(ASKED, len(names))
+        self.assertEqual(POLLED_AT_ONCE, len(names))
         for name, free in zip(names[:-1], (0.0, 2.0), strict=True):
             self.assertEqual([], sent(d.handle(10_002.0, i.Probed(name, Ending.SERVED, (free,)))))
         self.assertEqual([names[1]], sent(d.handle(10_003.0, i.Probed(names[2], Ending.SERVED, (1.0,)))))
@@ -74,7 +76,7 @@
         d = module()
         names = asked(d.handle(10_001.0, i.JobArrived(1, "order", 20_000.0)))
         out = told(d, 10_002.0, names, 0.0)
-        self.assertEqual(ASKED * (ROUNDS - 1), len(set(asked(out))))
+        self.assertEqual(POLLED_AT_ONCE * (POLL_ROUNDS - 1), len(set(asked(out))))
         self.assertEqual(1, len(sent(out)))
 
     def test_a_silent_worker_delays_a_job_by_no_more_than_the_wait(self) -> None:
@@ -82,20 +84,22 @@
         d = module()
         actions = d.handle(10_001.0, i.JobArrived(1, "fetch", 5_000.0))
         names = asked(actions)
-        self.assertIn(i.SetTimer(TIMER_ASKED, ASK_WAIT), actions)
+        self.assertIn(i.SetTimer(TIMER_POLL_TIMEOUT, POLL_TIMEOUT), actions)
         d.handle(10_002.0, i.Probed(names[0], Ending.SERVED, (1.0,)))
-        self.assertEqual([names[0]], sent(d.handle(10_001.0 + ASK_WAIT, i.TimerFired(TIMER_ASKED))))
+        self.assertEqual(
+            [names[0]], sent(d.handle(10_001.0 + POLL_TIMEOUT, i.TimerFired(TIMER_POLL_TIMEOUT)))
+        )
         late = d.handle(10_251.0, i.Probed(names[1], Ending.TIMED_OUT))
         self.assertEqual([], sent(late))
-        self.assertIn(names[1], d.avoided(10_252.0))
+        self.assertIn(names[1], d.unavailable(10_252.0))
 
     def test_with_no_answer_at_all_the_job_goes_all_the_same(self) -> None:
         d = module()
         d.handle(10_001.0, i.JobArrived(1, "order", 20_000.0))
         now, out = 10_001.0, 0
-        for _ in range(ROUNDS + 1):
-            now += ASK_WAIT
-            out += len(sent(d.handle(now, i.TimerFired(TIMER_ASKED))))
+        for _ in range(POLL_ROUNDS + 1):
+            now += POLL_TIMEOUT
+            out += len(sent(d.handle(now, i.TimerFired(TIMER_POLL_TIMEOUT))))
         self.assertEqual(1, out)
 
     def test_a_client_that_leaves_while_workers_are_asked_is_forgotten(self) -> None:
@@ -122,9 +126,9 @@
         """Guards against workers that nobody asks, and against such as all ask."""
         counts = dict.fromkeys((f"w{n}" for n in range(60)), 0)
         for rank in range(200):
-            for w in module(rank).workers.values():
-                counts[w.name] += w.fair > 0
-        self.assertTrue(all(0.8 < n / (200 * OURS / 60) < 1.2 for n in counts.values()), counts)
+            for w in module(rank).endpoints.workers.values():
+                counts[w.name] += w.slot_share > 0
+        self.assertTrue(all(0.8 < n / (200 * OWN_WORKERS / 60) < 1.2 for n in counts.values()), counts)
 
     def test_all_dispatchers_together_push_a_cold_worker_within_the_rule(self) -> None:
         """Rule 4 over the fleet: each sends whatever its share lets it, in one window, of usual jobs."""
@@ -132,12 +136,12 @@
         capacity = 0.0
         for rank in range(120):
             d = module(rank, 20, 120, cold=9_999.0)
-            job = i.JobArrived(1, "order", 20_000.0, work_hint=d.typical)
-            for w in d.workers.values():
+            job = i.JobArrived(1, "order", 20_000.0, work_hint=d.estimates.typical)
+            for w in d.endpoints.workers.values():
                 d.handle(10_001.0, job)
-                capacity = w.slots * w.speed * w.warmth(d.now, d.s)
-                if d.cold_room(w, d.jobs[1]):
-                    pushed[w.name] += d.typical
+                capacity = w.slots * w.speed * w.warmth(d.context.now, d.context.settings)
+                if d.slow_start.admits(w, d.answers.open[1]):
+                    pushed[w.name] += d.estimates.typical
         self.assertTrue(any(pushed.values()))
         self.assertLessEqual(max(pushed.values()), 4.0 * capacity * 2_000.0)
 
@@ -153,12 +157,14 @@
             # Short orders, which the lane of urgent short jobs does not keep out (test_lanes.py).
             told(d, now, asked(d.handle(now, i.JobArrived(job, "order", 20_000.0, work_hint=300.0))), 0.0)
         now += 400.0
-        d.pressure.full = 0.96  # full, but not to the brim
+        d.shedding.full = 0.96  # full, but not to the brim
         actions = [d.handle(now, i.JobArrived(100 + n, "fetch", 5_000.0)) for n in range(60)]
         refused = [a for some in actions for a in some if isinstance(a, i.Refuse)]
         self.assertTrue(20 <= len(refused) <= 55, len(refused))  # most, yet the class is not shut out
         self.assertTrue(all(a.retry_after >= 200.0 for a in refused))
-        self.assertTrue(all(len(asked(some)) <= ASKED for some in actions))  # it keeps an eye on the fleet
+        self.assertTrue(
+            all(len(asked(some)) <= POLLED_AT_ONCE for some in actions)
+        )  # it keeps an eye on the fleet
         orders = [d.handle(now, i.JobArrived(200 + n, "order", 20_000.0, work_hint=300.0)) for n in range(20)]
         self.assertFalse([a for some in orders for a in some if isinstance(a, i.Refuse)])
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -234,8 +234,8 @@
 
     def cold(self, worker: str) -> bool:
         module = self.app.core.module
-        module.now = self.app.deadlines.now()
-        return module.cold(module.workers[worker])
+        module.context.now = self.app.deadlines.now()
+        return module.slow_start.binds(module.endpoints.workers[worker])
 
     def test_it_is_cold_for_the_settings_span_and_no_longer(self) -> None:
         span = RULES["cold"] + RULES["overload_for"]
@@ -255,13 +255,13 @@
         self.begin(workers=2)
         self.list_starts(42, whole=True, w1=0, w2=self.wall() - 1_000.0)
         since_ms = self.wall() - 1_000.0
-        started, place = self.app.core.module.workers["w2"].started, self.app.workers.places["w2"]
+        started, place = self.app.core.module.endpoints.workers["w2"].started, self.app.workers.places["w2"]
         self.off_by = -QUARTER
         self.watches[-1].sock.close()
         count = len(self.asked_lists())
         self.until(lambda: self.wait(50) or len(self.asked_lists()) > count)  # type: ignore[func-returns-value]
         self.list_starts(43, whole=True, w1=0, w2=since_ms)
-        self.assertEqual(started, self.app.core.module.workers["w2"].started)
+        self.assertEqual(started, self.app.core.module.endpoints.workers["w2"].started)
         self.assertIs(place, self.app.workers.places["w2"])
 
     def test_a_ban_lifted_after_a_step(self) -> None:
@@ -274,7 +274,7 @@
         self.list_starts(43, w1=self.wall())  # started anew while banned
         self.jump(500.0)
         self.app.core.include("w1")
-        started = self.app.core.module.workers["w1"].started
+        started = self.app.core.module.endpoints.workers["w1"].started
         self.assertAlmostEqual(500.0, self.app.deadlines.now() - (started or 0), 1)
 
 
@@ -319,10 +319,10 @@
         self.app.core.exclude("w3")
         self.jump(1_000.0)
         self.app.core.include("w3")
-        worker = self.app.core.module.workers["w1"]
-        worker.pushed.append((now, 55.0))
-        worker.skip_until, worker.peak = now + 10, 7
-        self.app.core.module.workers["w3"].peak = 9
+        worker = self.app.core.module.endpoints.workers["w1"]
+        worker.warm_up_sends.append((now, 55.0))
+        worker.backoff_until, worker.peak_slots = now + 10, 7
+        self.app.core.module.endpoints.workers["w3"].peak_slots = 9
 
     def test_bans_starts_and_what_was_learned(self) -> None:
         for step in (0.0, *STEPS):
@@ -336,16 +336,21 @@
                 self.assertAlmostEqual(banned + shift, new.core.view.put_back["w3"][0], 1)
                 self.assertAlmostEqual(until + shift, new.core.view.put_back["w3"][1], 1)
                 for name in ("w1", "w3"):
-                    before, now = old.core.module.workers[name], new.core.module.workers[name]
+                    before, now = (
+                        old.core.module.endpoints.workers[name],
+                        new.core.module.endpoints.workers[name],
+                    )
                     self.assertAlmostEqual((before.started or 0) + shift, now.started or 0, 1)
-                    self.assertEqual(before.peak, now.peak)
-                self.assertEqual(7, new.core.module.workers["w1"].peak)
-                at, work = new.core.module.workers["w1"].pushed[0]
-                self.assertAlmostEqual(old.core.module.workers["w1"].pushed[0][0] + shift, at, 1)
+                    self.assertEqual(before.peak_slots, now.peak_slots)
+                self.assertEqual(7, new.core.module.endpoints.workers["w1"].peak_slots)
+                at, work = new.core.module.endpoints.workers["w1"].warm_up_sends[0]
+                self.assertAlmostEqual(
+                    old.core.module.endpoints.workers["w1"].warm_up_sends[0][0] + shift, at, 1
+                )
                 self.assertEqual(55.0, work)
                 self.assertAlmostEqual(
-                    old.core.module.workers["w1"].skip_until + shift,
-                    new.core.module.workers["w1"].skip_until,
+                    old.core.module.endpoints.workers["w1"].backoff_until + shift,
+                    new.core.module.endpoints.workers["w1"].backoff_until,
                     1,
                 )
 
@@ -355,9 +360,13 @@
         self.assertEqual(self.app.core.view.banned, new.core.view.banned)
         self.assertEqual(self.app.core.view.put_back, new.core.view.put_back)
         for name in ("w1", "w3"):
-            before, now = self.app.core.module.workers[name], new.core.module.workers[name]
+            before, now = (
+                self.app.core.module.endpoints.workers[name],
+                new.core.module.endpoints.workers[name],
+            )
             self.assertEqual(
-                (before.started, before.peak, before.pushed), (now.started, now.peak, now.pushed)
+                (before.started, before.peak_slots, before.warm_up_sends),
+                (now.started, now.peak_slots, now.warm_up_sends),
             )
 
     def test_a_process_of_the_version_before_understands_what_it_is_sent(self) -> None:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -21,7 +21,6 @@
 from elderstall import Dispatcher
 from elderstall import interface as i
 from elderstall.app import OLD_PART
-from elderstall.succession import learned
 
 COLD = "w0"
 MEAN_WORK = 300.0  # ms of a standard core
@@ -228,7 +227,7 @@
     def process(self, rank: int, dispatchers: int, old: Process | None = None) -> Process:
         """Start a process, with what another had learned if it takes over from that one."""
         settings = replace(self.s, rank=rank, dispatchers=dispatchers)
-        data = None if old is None else json.loads(json.dumps(learned(old.module)))
+        data = None if old is None else json.loads(json.dumps(old.module.learned()))
         made = Process(Dispatcher(settings, self.rng.randrange(2**32)), settings)
         self.feed(made, i.Begin())
         self.inform(made, i.ListScope.WHOLE, list(self.workers), old.told if old is not None else None)
@@ -411,7 +410,9 @@
         for mode in modes:
             if (
                 mode == "asking"
-                and not Dispatcher(replace(ASKING, dispatchers=fields["dispatchers"]), 1).asks
+                and not Dispatcher(
+                    replace(ASKING, dispatchers=fields["dispatchers"]), 1
+                ).context.mode.polls_before_placing
             ):
                 continue  # so few do as where workers report
             shares, jobs = [], 0
@@ -538,9 +539,9 @@
 
     def send(self, job: int) -> None:
         """Have a job sent."""
-        worker = self.module.workers[COLD]
-        worker.limit = 8
-        self.module.rotations.move(worker)
+        worker = self.module.endpoints.workers[COLD]
+        worker.slot_limit = 8
+        self.module.pools.moved(worker)
         actions = self.module.handle(self.now, i.JobArrived(job, "build", 15_000.0, work_hint=300.0))
         self.assertTrue(any(isinstance(action, i.Send) for action in actions))
 
@@ -555,7 +556,7 @@
     @property
     def seen(self) -> float:
         """Give the slots that were seen."""
-        return self.module.kinds["k"][2]
+        return self.module.capacity.kinds["k"].peak_slots
 
     def test_a_start_that_is_told_before_the_end_that_made_room_shows_no_second_slot(self) -> None:
         self.send(1)
@@ -590,7 +591,7 @@
         self.end(2)
         self.assertEqual(self.seen, 1)
         self.end(1)
-        self.assertEqual(self.module.workers[COLD].stale, 0)
+        self.assertEqual(self.module.endpoints.workers[COLD].stale_slots, 0)
 
 
 class Upgrade(unittest.TestCase):
@@ -611,7 +612,7 @@
     def test_what_the_old_process_sent_counts_at_the_new_one(self) -> None:
         old = self.begun(REPORTING.push_multiple)
         self.assertTrue(self.sends(old, 10.0, 2_800.0))  # of the 3,360 ms that may be sent in a window
-        data = json.dumps(learned(old))
+        data = json.dumps(old.learned())
         for now, sent in ((30.0, False), (10.0 + REPORTING.push_window + 1.0, True)):
             new = self.begun(REPORTING.push_multiple * (1 - OLD_PART))
             new.handle(20.0, i.Learned(json.loads(data)))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -252,17 +252,17 @@
             wait 2000
             o send POST /api/include?id=w1
         """)
-        back = module.workers["w1"].started
+        back = module.endpoints.workers["w1"].started
         self.assertAlmostEqual(clock.now(), back or 0, delta=1)
         self.play("""
             d send changes 50 w1=up@7
         """)
-        self.assertEqual(back, module.workers["w1"].started)
+        self.assertEqual(back, module.endpoints.workers["w1"].started)
         true = round(clock.now() - 1000)
         self.play(f"""
             d send changes 51 w1=up@{true}
         """)
-        self.assertEqual(true, module.workers["w1"].started)
+        self.assertEqual(true, module.endpoints.workers["w1"].started)
 
     def test_an_id_that_was_never_listed_is_a_no_and_one_that_is_gone_is_none(self) -> None:
         self.play(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -629,10 +629,14 @@
         self.take("POST new").sock.close()  # the class of that name is not to be repeated now
         self.assertEqual(502, self.answer(new).status)
         module = self.app.core.module
-        self.assertEqual({"deck-fetch", "scan"}, set(module.classes))
+        self.assertEqual({"deck-fetch", "scan"}, set(module.context.mode.classes))
         self.assertEqual(
             (300.0, 2, 100.0),
-            (self.app.core.s.drain_within, module.s.max_attempts, self.app.workers.connect_for),
+            (
+                self.app.core.s.drain_within,
+                module.context.settings.max_attempts,
+                self.app.workers.connect_for,
+            ),
         )
         self.assertEqual({"clinic"}, self.app.core.tenants)
         self.nothing()
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -24,13 +24,13 @@
     d.listed(fleet(2))
     d.advance(2_100.0)
     d.arrive(1, UNSAFE)
-    assert not d.dispatcher.crowded(late=True)
+    assert not d.dispatcher.in_flight.crowded(late=True)
     d.advance(100.0)
     d.tell(i.TimerFired(99))
-    assert d.dispatcher.crowded(late=True)
-    assert not d.dispatcher.crowded()
+    assert d.dispatcher.in_flight.crowded(late=True)
+    assert not d.dispatcher.in_flight.crowded()
     d.note(d.outs()[0])
-    assert not d.dispatcher.crowded(late=True)
+    assert not d.dispatcher.in_flight.crowded(late=True)
 
 
 def test_a_stuck_worker_does_not_stop_the_rest() -> None:
@@ -72,7 +72,7 @@
         d.arrive(job, UNSAFE)
         d.advance(10.0)
     d.advance(1_500.0)
-    assert d.dispatcher.crowded(late=True)
+    assert d.dispatcher.in_flight.crowded(late=True)
 
 
 def test_held_jobs_that_bring_more_for_slot_time_go_first() -> None:
@@ -104,7 +104,7 @@
         d.listed(fleet(1))
         for job in range(jobs):
             d.arrive(job, SAFE, work_hint=40.0)
-        d.advance(SAFE.aim + 2 * d.dispatcher.look)
+        d.advance(SAFE.aim + 2 * d.dispatcher.context.mode.review_interval)
         told.append([a.retry_after for a in d.actions if isinstance(a, i.Refuse)])
     (few, many) = told
     assert 0 < max(few) <= max(many) <= 2_000.0
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -11,15 +11,15 @@
 
 from elderstall import Dispatcher
 from elderstall import interface as i
+from elderstall.decisions.load_shedding import KEPT, REJECTED_MOST, LoadShedding
 from elderstall.limits.shares import CHANCE, SEEN_FOR, Shares
-from elderstall.routing.pressure import ALL_MOST, KEPT, Pressure
 
 WORTHS = st.lists(st.floats(0.01, 1_000.0), min_size=1, max_size=8)
 
 
-def pressed(worths: list[float], full: float) -> Pressure:
+def pressed(worths: list[float], full: float) -> LoadShedding:
     """Give the pressure of a fleet of which a part is full."""
-    p = Pressure()
+    p = LoadShedding()
     p.adopt(worths)
     p.full = full
     return p
@@ -33,12 +33,14 @@
         self, worths: list[float], full: float, over: float
     ) -> None:
         p = pressed(worths, full)
-        chances = [p.refuses(w) for w in sorted(worths)]
+        chances = [p.rejection_probability(w) for w in sorted(worths)]
         self.assertEqual(chances, sorted(chances, reverse=True))
-        self.assertLessEqual(p.refuses(over * min(worths)), 1.0)
-        self.assertGreaterEqual(p.refuses(over * min(worths)), chances[0])  # work beyond shares goes first
+        self.assertLessEqual(p.rejection_probability(over * min(worths)), 1.0)
+        self.assertGreaterEqual(
+            p.rejection_probability(over * min(worths)), chances[0]
+        )  # work beyond shares goes first
         for chance in chances:  # each level keeps its part of what the best served one is given
-            self.assertGreaterEqual(1.0 - chance, min(KEPT, 1.0 - ALL_MOST) - 1e-9)
+            self.assertGreaterEqual(1.0 - chance, min(KEPT, 1.0 - REJECTED_MOST) - 1e-9)
             self.assertGreaterEqual(1.0 - chance, KEPT * (1.0 - chances[-1]) - 1e-9)
 
     @given(WORTHS, st.floats(0.0, 1.0), st.randoms())
@@ -47,28 +49,30 @@
     ) -> None:
         mixed = rng.sample(worths, len(worths))
         self.assertEqual(
-            [pressed(worths, full).refuses(w) for w in worths],
-            [pressed(mixed, full).refuses(w) for w in worths],
+            [pressed(worths, full).rejection_probability(w) for w in worths],
+            [pressed(mixed, full).rejection_probability(w) for w in worths],
         )
 
     @given(WORTHS)
     def test_a_calm_fleet_turns_nothing_away(self, worths: list[float]) -> None:
-        self.assertEqual([0.0] * len(worths), [pressed(worths, 0.75).refuses(w) for w in worths])
+        self.assertEqual(
+            [0.0] * len(worths), [pressed(worths, 0.75).rejection_probability(w) for w in worths]
+        )
 
     def test_a_fleet_that_has_room_again_is_believed_within_two_seconds(self) -> None:
         """Guards against refusing on after the trouble, as a controller that sums up errors did."""
         p = pressed([2.0, 5.0, 10.0], 0.0)
         for n in range(100):
-            p.saw(50.0 * n, True)
-        self.assertGreater(p.refuses(0.1), 0.9)
+            p.record(50.0 * n, full=True)
+        self.assertGreater(p.rejection_probability(0.1), 0.9)
         for n in range(4):
-            p.saw(5_000.0 + 500.0 * n, False)
-        self.assertEqual(0.0, p.refuses(0.1))
+            p.record(5_000.0 + 500.0 * n, full=False)
+        self.assertEqual(0.0, p.rejection_probability(0.1))
 
     def test_one_answer_after_a_start_turns_nothing_away(self) -> None:
         p = pressed([2.0, 5.0], 0.0)
-        p.saw(1e12, True)
-        self.assertEqual(0.0, p.refuses(0.1))
+        p.record(1e12, full=True)
+        self.assertEqual(0.0, p.rejection_probability(0.1))
 
 
 class Fleet(unittest.TestCase):
@@ -86,7 +90,7 @@
     ) -> None:
         """Work offered at `load` times what the fleet does; each class has a worth and a part of the work."""
         rng = random.Random(seed)
-        fleet = [Pressure() for _ in range(dispatchers)]
+        fleet = [LoadShedding() for _ in range(dispatchers)]
         for p in fleet:
             p.adopt(worth for worth, _ in classes)
         whole = sum(part for _, part in classes)
@@ -94,8 +98,10 @@
         for step in range(400):
             now += 50.0
             for p in fleet:
-                p.saw(now, rng.random() < full)
-            chances = [sum(1.0 - p.refuses(worth) for p in fleet) / dispatchers for worth, _ in classes]
+                p.record(now, full=rng.random() < full)
+            chances = [
+                sum(1.0 - p.rejection_probability(worth) for p in fleet) / dispatchers for worth, _ in classes
+            ]
             let = load * sum(c * part for c, (_, part) in zip(chances, classes, strict=True)) / whole
             full += 0.2 * (min(1.0, let) - full)  # queues fill and empty within some steps
             if step >= 100:
@@ -175,7 +181,7 @@
         rng, now, refused = random.Random(2), 1_000.0, 0
         for job in range(300):  # 1.5 jobs a second where the even part of the shares is 0.5
             now += rng.expovariate(1.5 / 1_000.0)
-            d.pressure.full, d.pressure.at = 0.95, now  # the workers told so just now
+            d.shedding.full, d.shedding.sampled_at = 0.95, now  # the workers told so just now
             tenant = rng.choices("ab", (60, 40))[0]
             actions = d.handle(now, i.JobArrived(job, "purchase", 5_000.0, tenant, work_hint=100.0))
             refused += sum(isinstance(a, i.Refuse) for a in actions)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -34,8 +34,8 @@
     d.listed(fleet(1))
     d.arrive(1, SAFE)
     d.advance(SAFE.deadline)
-    w = d.dispatcher.workers["k0"]
-    assert w.skip_until - d.now >= 2 * SAFE.deadline
+    w = d.dispatcher.endpoints.workers["k0"]
+    assert w.backoff_until - d.now >= 2 * SAFE.deadline
     assert not sends(d.arrive(2, SAFE))
 
 
@@ -64,7 +64,7 @@
         out = d.outs()[0]
         d.leave(job)
         d.end(out, i.Ending.CANCELLED)
-    assert d.dispatcher.workers["k0"].skip_until <= d.now
+    assert d.dispatcher.endpoints.workers["k0"].backoff_until <= d.now
 
 
 def test_a_worker_that_failed_a_job_proves_itself_with_safe_ones_first() -> None:
@@ -127,7 +127,7 @@
             d.advance(5.0)
             bad = o.worker in ("k0", "k1")
             d.end(o, i.Ending.BROKEN if bad and d.jobs[o.job].sent == 1 else i.Ending.SERVED)
-    assert {w.name for w in d.dispatcher.workers.values() if w.proving} == {"k0", "k1"}
+    assert {w.name for w in d.dispatcher.endpoints.workers.values() if w.probation} == {"k0", "k1"}
     d.advance(5_000.0)
     assert set(sends(d.arrive(1, UNSAFE)) + sends(d.arrive(2, UNSAFE))) <= {"k2", "k3"}
     assert not sends(d.arrive(3, UNSAFE))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -44,8 +44,8 @@
         d = Driver(settings(classes=(SAFE,), dispatchers=50, rank=rank, fetch_price=0.1))
         d.listed(fleet(12))
         d.listed(tuple(replace(e, weight=1 / (1 + held.get(e.worker, 0.0))) for e in fleet(12)))
-        for n, w in enumerate(d.dispatcher.workers.values()):
-            w.power = 1.0 + n * (rank + 1) % 7  # each has learned other speeds
+        for n, w in enumerate(d.dispatcher.endpoints.workers.values()):
+            w.capacity = 1.0 + n * (rank + 1) % 7  # each has learned other speeds
         sent += sends(d.arrive(1, SAFE, key="k", slots=slots))
     return sent
 
@@ -71,7 +71,7 @@
     """Guards against fetches all over the fleet: each dispatcher's rotation is at another place (L60d3ed)."""
     d = Dispatcher(settings(dispatchers=50, fetch_price=0.1), 1)
     d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(40)))
-    home, other = d.pools[2], d.pools[1]
+    home, other = d.pools.pools[2], d.pools.pools[1]
     held = {w.name for w in home}
     d.handle(
         1.0,
@@ -80,4 +80,7 @@
         ),
     )
     (send,) = [a for a in d.handle(2.0, i.JobArrived(1, "safe", 2_000.0, key="k")) if isinstance(a, i.Send)]
-    assert send.worker in {w.name for w in d.keepers[1, "k"]} and d.workers[send.worker] in other
+    assert (
+        send.worker in {w.name for w in d.pools.key_candidates(1, "k")}
+        and d.endpoints.workers[send.worker] in other
+    )
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -1,4 +1,4 @@
-"""A lane of workers kept for urgent short jobs, chosen alike by every dispatcher."""
+"""A reserved of workers kept for urgent short jobs, chosen alike by every dispatcher."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 from elderstall import Dispatcher
 from elderstall import interface as i
+from elderstall.decisions import reserved_workers
+from elderstall.decisions.records import Job, Worker
+from elderstall.decisions.reserved_workers import ReservedWorkers, spare_time
+from elderstall.hashing import stable_hash
 from elderstall.interface import Effect, Ending
-from elderstall.records import Job, Worker, stable_hash
-from elderstall.routing import lanes
 
 CLASSES = (
     i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
@@ -59,35 +61,42 @@
     def test_every_dispatcher_keeps_the_same_workers_whatever_the_order_of_names(self) -> None:
         long = Job(1, CLASSES[1], 5.0, 0, 1, 5_000.0, None, 0.0, 15_000.0)
         modules = [module(rank=r, names=NAMES[r:] + NAMES[:r]) for r in range(0, 40, 7)]
-        kept = [{w.name for w in d.workers.values() if d.lane.keeps_out(w, long)} for d in modules]
+        kept = [
+            {w.name for w in d.endpoints.workers.values() if d.endpoints.reserved.excludes(w, long)}
+            for d in modules
+        ]
         self.assertEqual([lane_of(NAMES)] * len(kept), kept)
         self.assertTrue(kept[0])
 
     @given(st.floats(0.0, 1.0))
     def test_the_lane_is_sized_by_the_urgent_work_seen(self, part: float) -> None:
-        lane, rng = lanes.Lane(), random.Random(1)
-        lane.adopt([200.0])
+        reserved, rng = ReservedWorkers(), random.Random(1)
+        reserved.adopt([200.0])
         fleet = [Worker.of(i.Listed(f"worker-{n}")) for n in range(2_000)]
         for n in range(5_000):
             cls = i.JobClass("c", 1.0, 100.0 if rng.random() < part else 9_000.0, 60_000.0, stretch=1.0)
-            lane.first(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
-        lane.fill(fleet)
+            reserved.candidates(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
+        reserved.fill(fleet)
         cls = i.JobClass("long", 1.0, 9_000.0, 60_000.0, stretch=1.0)
         long = Job(1, cls, 1.0, 0, 1, 5_000.0, None, 0.0, 60_000.0)
-        kept = sum(lane.keeps_out(w, long) for w in fleet) / len(fleet)
-        self.assertAlmostEqual(min(lanes.MOST, part / lanes.FILL), kept, delta=0.04)
+        kept = sum(reserved.excludes(w, long) for w in fleet) / len(fleet)
+        self.assertAlmostEqual(
+            min(reserved_workers.SHARE_MOST, part / reserved_workers.TARGET_LOAD), kept, delta=0.04
+        )
 
     def test_each_asks_a_few_of_the_lane_and_all_together_ask_it_evenly(self) -> None:
         names = [f"s-{n:04x}" for n in range(400)]
-        asked = Counter(w.name for rank in range(200) for w in module(200, rank, names).lane.workers)
+        asked = Counter(
+            w.name for rank in range(200) for w in module(200, rank, names).endpoints.reserved.workers
+        )
         self.assertEqual(lane_of(names), set(asked))
-        self.assertEqual(200 * lanes.OURS, sum(asked.values()))
-        mean = 200 * lanes.OURS / len(asked)
+        self.assertEqual(200 * reserved_workers.POLLED_MOST, sum(asked.values()))
+        mean = 200 * reserved_workers.POLLED_MOST / len(asked)
         self.assertLess(max(asked.values()), 1.6 * mean)
         self.assertGreater(min(asked.values()), 0.4 * mean)
 
     def test_small_fleets_keep_no_lane(self) -> None:
-        self.assertEqual([], module(dispatchers=5).lane.workers)
+        self.assertEqual([], module(dispatchers=5).endpoints.reserved.workers)
 
     def test_a_purchase_asks_in_the_lane_first(self) -> None:
         d = module()
@@ -119,30 +128,30 @@
     def test_only_long_jobs_with_time_to_spare_keep_out(
         self, spares: list[float], aim: float, stretch: float, work: float
     ) -> None:
-        lane, w = lanes.Lane(), Worker("w", "k", None, 0, None, (0, "w"))
-        lane.adopt(spares)
-        lane.fill([w])
+        reserved, w = ReservedWorkers(), Worker("w", "k", None, 0, None, (0, "w"))
+        reserved.adopt(spares)
+        reserved.fill([w])
         cls = i.JobClass("c", 1.0, aim, 60_000.0, stretch=stretch)
         job = Job(1, cls, 1.0, 0, 1, work, None, 0.0, 60_000.0)
-        if lane.keeps_out(w, job):
+        if reserved.excludes(w, job):
             self.assertGreater(work, min(spares))
-            self.assertGreaterEqual(lanes.spare(aim, stretch, work), min(spares))
-        w.order = (int(lane.cut) + 1, "w")
-        self.assertFalse(lane.keeps_out(w, job))
+            self.assertGreaterEqual(spare_time(aim, stretch, work), min(spares))
+        w.hash_order = (int(reserved.hash_limit) + 1, "w")
+        self.assertFalse(reserved.excludes(w, job))
 
     @given(st.floats(0.0, 1.0), st.integers(0, 2**32))
     def test_no_more_urgent_work_goes_to_the_lane_first_than_it_bears(self, part: float, seed: int) -> None:
-        lane, rng, went, total = lanes.Lane(), random.Random(seed), 0.0, 0.0
-        lane.adopt([200.0])
-        lane.workers = [Worker("w", "k", None, 0, None, (0, "w"))]
+        reserved, rng, went, total = ReservedWorkers(), random.Random(seed), 0.0, 0.0
+        reserved.adopt([200.0])
+        reserved.workers = [Worker("w", "k", None, 0, None, (0, "w"))]
         for n in range(4_000):
             urgent = rng.random() < part
             cls = i.JobClass("c", 1.0, 100.0 if urgent else 9_000.0, 60_000.0, stretch=1.0)
             job = Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0)
-            asks = bool(lane.first(job, rng))
+            asks = bool(reserved.candidates(job, rng))
             self.assertTrue(urgent or not asks)
             went, total = went + asks * (n >= 1_000), total + (n >= 1_000)
-        self.assertLessEqual(went / total, lanes.FILL * lanes.MOST + 0.05)
+        self.assertLessEqual(went / total, reserved_workers.TARGET_LOAD * reserved_workers.SHARE_MOST + 0.05)
 
 
 if __name__ == "__main__":
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -12,7 +12,7 @@
 
 from elderstall import Dispatcher
 from elderstall import interface as i
-from elderstall.choice import TIMER_ASK
+from elderstall.decisions.context import TIMER_POLL_ENDPOINTS
 from elderstall.recovery import listing
 from elderstall.recovery.listing import (
     AGAIN_EACH,
@@ -47,7 +47,7 @@
 
 
 def asks_in(actions: i.Actions) -> list[float]:
-    return [a.delay for a in actions if isinstance(a, i.SetTimer) and a.token == TIMER_ASK]
+    return [a.delay for a in actions if isinstance(a, i.SetTimer) and a.token == TIMER_POLL_ENDPOINTS]
 
 
 class Small(unittest.TestCase):
@@ -73,20 +73,20 @@
         self.assertEqual(0, follows(actions))
         (delay,) = asks_in(actions)
         self.assertLessEqual(delay, min(SPREAD_EACH * 40, 2_500.0))
-        self.assertEqual(1, follows(d.handle(delay, i.TimerFired(TIMER_ASK))))
+        self.assertEqual(1, follows(d.handle(delay, i.TimerFired(TIMER_POLL_ENDPOINTS))))
 
     def test_a_timer_that_fires_a_hair_early_calls_all_the_same(self) -> None:
         """Deadlines run up to a microsecond early; a call left out then was never made."""
         d = module(40, seed=7)
         (delay,) = asks_in(started(d))
-        self.assertEqual(1, follows(d.handle(delay - 0.001, i.TimerFired(TIMER_ASK))))
+        self.assertEqual(1, follows(d.handle(delay - 0.001, i.TimerFired(TIMER_POLL_ENDPOINTS))))
 
     def test_an_answer_after_a_call_ends_the_plan(self) -> None:
         d = module(40, seed=7)
         (delay,) = asks_in(started(d))
-        d.handle(delay, i.TimerFired(TIMER_ASK))
+        d.handle(delay, i.TimerFired(TIMER_POLL_ENDPOINTS))
         d.handle(delay + 5, i.WorkerList(i.ListScope.CHANGES, ()))
-        self.assertEqual(0, follows(d.handle(delay + 2_500.0, i.TimerFired(TIMER_ASK))))
+        self.assertEqual(0, follows(d.handle(delay + 2_500.0, i.TimerFired(TIMER_POLL_ENDPOINTS))))
 
     @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_refused_at_once_waits_double_up_to_what_the_6_s_leave(
@@ -134,11 +134,13 @@
         """Silence is noticed after 3 s and counts as told after 6: the call must go out well before."""
         d = module(n, n - 1, seed)
         (delay,) = asks_in(started(d))
-        d.handle(delay, i.TimerFired(TIMER_ASK))
+        d.handle(delay, i.TimerFired(TIMER_POLL_ENDPOINTS))
         d.handle(delay + 5.0, i.WorkerList(i.ListScope.CHANGES, ()))
         (again,) = asks_in(d.handle(delay + 5.0 + lived, i.WorkerList(i.ListScope.FAILED)))
         self.assertTrue(AGAIN_LEAST <= again <= BROKEN_MOST, again)
-        self.assertEqual(1, follows(d.handle(delay + 5.0 + lived + again, i.TimerFired(TIMER_ASK))))
+        self.assertEqual(
+            1, follows(d.handle(delay + 5.0 + lived + again, i.TimerFired(TIMER_POLL_ENDPOINTS)))
+        )
 
     @given(st.integers(MANY + 1, 1_024), st.integers(0, 2**32), st.booleans())
     def test_a_call_that_falls_silent_before_its_first_line_is_made_anew_soon(
@@ -149,7 +151,7 @@
         (delay,) = asks_in(started(d))
         now = delay
         for _ in range(1 + again):
-            self.assertEqual(1, follows(d.handle(now, i.TimerFired(TIMER_ASK))))
+            self.assertEqual(1, follows(d.handle(now, i.TimerFired(TIMER_POLL_ENDPOINTS))))
             (delay,) = asks_in(d.handle(now + 4_000.0, i.WorkerList(i.ListScope.SILENT)))
             self.assertTrue(AGAIN_LEAST <= delay <= 2_000.0, delay)
             now += 4_000.0 + delay
@@ -200,8 +202,8 @@
     def act(rank: int, now: float, actions: i.Actions) -> None:
         nonlocal count
         for a in actions:
-            if isinstance(a, i.SetTimer) and a.token == TIMER_ASK:
-                heapq.heappush(queue, (now + a.delay, count, rank, i.TimerFired(TIMER_ASK)))
+            if isinstance(a, i.SetTimer) and a.token == TIMER_POLL_ENDPOINTS:
+                heapq.heappush(queue, (now + a.delay, count, rank, i.TimerFired(TIMER_POLL_ENDPOINTS)))
             elif isinstance(a, i.FollowList):
                 at, good = discovery.call(now)
                 scope = i.ListScope.CHANGES if good else i.ListScope.FAILED
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -29,8 +29,8 @@
     for seed in (1, 2):
         d = Driver(settings(), seed)
         d.listed(listing)
-        cuts.append([[w.name for w in p] for p in d.dispatcher.pools])
-        for pool in d.dispatcher.pools:
+        cuts.append([[w.name for w in p] for p in d.dispatcher.pools.pools])
+        for pool in d.dispatcher.pools.pools:
             kinds = Counter(w.kind for w in pool)
             assert kinds["rare"] == 2
             assert kinds["big"] >= 1
@@ -135,27 +135,29 @@
     d.listed(fleet(9))
     for job in range(20):
         d.arrive(job, SAFE, tenant="t")
-    assert d.dispatcher.tiers == 2
-    assert [rates[0] for rates in d.dispatcher.rates] == [2, 18]
+    assert d.dispatcher.context.mode.tiers == 2
+    assert [rates[0] for rates in d.dispatcher.solver.arriving] == [2, 18]
 
 
 def test_sizes_rescale_with_the_list_and_leave_none_empty() -> None:
     d = Driver(settings())
     for n in (9, 4, 12, 3, 30):
         d.listed(fleet(n))
-        assert sum(d.dispatcher.policy.sizes) == n
-        assert min(d.dispatcher.policy.sizes) >= 1
+        assert sum(d.dispatcher.pools.policy.sizes) == n
+        assert min(d.dispatcher.pools.policy.sizes) >= 1
 
 
 def test_solving_moves_capacity_to_where_the_load_is() -> None:
     d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1))
     d.listed(fleet(12))
-    d.dispatcher.kinds["k"][3] = 1.0  # one slot each, or there is room for all without a move
+    d.dispatcher.capacity.kinds[
+        "k"
+    ].assumed_slots = 1.0  # one slot each, or there is room for all without a move
     for job in range(300):
         d.arrive(job, SAFE)
         serve_all(d, 20.0)
-    gold, bronze = d.dispatcher.policy.sizes
-    assert bronze > gold or d.dispatcher.policy.f[0] > 0
+    gold, bronze = d.dispatcher.pools.policy.sizes
+    assert bronze > gold or d.dispatcher.pools.policy.f[0] > 0
 
 
 def test_same_events_give_the_same_actions() -> None:
@@ -213,11 +215,11 @@
     """On slow workers a job of a class with a small stretch ends late even if it starts at once (ifa13bf)."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1))
     d.listed(fleet(4, "fast") + fleet(4, "slow"))
-    for w in d.dispatcher.workers.values():
-        w.limit, w.speed, w.fair = 4, 1.0 if w.kind == "fast" else 0.3, 4.0
+    for w in d.dispatcher.endpoints.workers.values():
+        w.slot_limit, w.speed, w.slot_share = 4, 1.0 if w.kind == "fast" else 0.3, 4.0
     for job in range(4):
         assert sends(d.arrive(job, SAFE))[0].startswith("fast")
-    for w in d.dispatcher.workers.values():
+    for w in d.dispatcher.endpoints.workers.values():
         w.speed = 0.3  # a fleet that slows as a whole keeps all its workers
     for job in range(4, 12):
         d.arrive(job, SAFE)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 
 from elderstall import Dispatcher
 from elderstall import interface as i
-from elderstall.rotation import Rotation
+from elderstall.decisions.rotation import Rotation
 from tests.driver import KEYED, SAFE, Driver, fleet, settings
 
 
@@ -43,11 +43,16 @@
         for job in range(10):
             d.handle(1.0, i.JobArrived(job, "safe", 2_000.0))
         d.handle(1.0, i.TimerFired(2))
-        for w in d.workers.values():
-            sent[w.name] += sum(work for _, work in w.pushed)  # type: ignore[assignment]
-    w = d.workers["k0"]
+        for w in d.endpoints.workers.values():
+            sent[w.name] += sum(work for _, work in w.warm_up_sends)  # type: ignore[assignment]
+    w = d.endpoints.workers["k0"]
     assert len(sent) == 40
-    assert 0 < max(sent.values()) <= 3.0 * 2_000.0 * w.slots * w.speed * w.warmth(d.now, d.s) / 2 + d.typical
+    assert (
+        0
+        < max(sent.values())
+        <= 3.0 * 2_000.0 * w.slots * w.speed * w.warmth(d.context.now, d.context.settings) / 2
+        + d.estimates.typical
+    )
 
 
 def test_a_dispatcher_to_which_more_work_comes_has_more_slots_of_its_own() -> None:
@@ -60,7 +65,7 @@
             d.arrive(job, SAFE)
             d.advance(6.0)
         d.advance(2_000.0)
-        own.append(sum(w.fair > 0 for w in d.dispatcher.workers.values()))
+        own.append(sum(w.slot_share > 0 for w in d.dispatcher.endpoints.workers.values()))
     assert 0 < own[0] < own[1]
 
 
@@ -70,10 +75,10 @@
     d.handle(0.0, i.Begin())
     d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(60, "warm") + fleet(60, "cold", started=-500.0)))
     d.handle(1.0, i.JobArrived(1, "safe", 2_000.0))
-    cold = [w for w in d.workers.values() if w.kind == "cold" and not w.fair]
+    cold = [w for w in d.endpoints.workers.values() if w.kind == "cold" and not w.slot_share]
     rotation = Rotation()
-    rotation.fill(cold, {w.name: d.group(w) for w in cold})
-    rank, w = d.next_in(rotation, d.jobs[1])
+    rotation.fill(cold, {w.name: d.pools.rotation_group(w) for w in cold})
+    rank, w = d.placement.next_in(rotation, d.answers.open[1])
     assert w is not None and rank == 0
 
 
@@ -81,7 +86,7 @@
     """Guards against blind sends of light dispatchers to a fleet that is full."""
     d = Driver(settings(classes=(SAFE,), dispatchers=100, connect_timeout=20.0))
     d.listed(fleet(50))
-    own = sum(w.fair > 0 for w in d.dispatcher.workers.values())
+    own = sum(w.slot_share > 0 for w in d.dispatcher.endpoints.workers.values())
     assert own < 10
     sent = [len([a for a in d.arrive(job, SAFE) if isinstance(a, i.Send)]) for job in range(own + 1)]
     assert sum(sent) > own  # nothing is overdue yet
@@ -95,13 +100,13 @@
     d, rng = Dispatcher(settings(classes=(SAFE,), dispatchers=100, tenants=tenants), 1), random.Random(1)
     now, within = 0.0, 0.0
     for _ in range(400):  # four fifths of the share, as it comes to one of a hundred
-        d.now = now = now + rng.expovariate(0.8 * 50.0 / 100 / 1_000)
-        within += d.tenants.within(now, "t")
+        now = now + rng.expovariate(0.8 * 50.0 / 100 / 1_000)
+        within += d.quotas.within(now, "t")
     assert within >= 360
     within = 0.0
     for _ in range(400):  # four times the share, and the other tenant brings nothing
-        d.now = now = now + rng.expovariate(4 * 50.0 / 100 / 1_000)
-        within += d.tenants.within(now, "t")
+        now = now + rng.expovariate(4 * 50.0 / 100 / 1_000)
+        within += d.quotas.within(now, "t")
     assert 160 <= within <= 320  # half of the traffic here is the share's part of it
 
 
@@ -111,5 +116,5 @@
     for dispatchers, least in ((100, 1), (2, 10)):
         d = Dispatcher(settings(dispatchers=dispatchers, tenants=tenants, classes=(SAFE, KEYED)), 1)
         d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(31)))
-        assert sum(d.policy.sizes) == 31
-        assert d.policy.sizes[2] == least and min(d.policy.sizes[:2]) >= 10
+        assert sum(d.pools.policy.sizes) == 31
+        assert d.pools.policy.sizes[2] == least and min(d.pools.policy.sizes[:2]) >= 10
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -9,7 +9,8 @@
 
 from elderstall import Dispatcher
 from elderstall import interface as i
-from elderstall.choice import OWN_MOST, PULLED
+from elderstall.decisions.capacity import OWN_JOBS_MOST
+from elderstall.decisions.polling import POLLED_FOR_QUEUED
 from elderstall.settings import settings_of
 
 CLASSES = (i.JobClass("build", 3.0, 300.0, 5_000.0, stretch=1.75),)
@@ -67,8 +68,8 @@
         d = module(workers)
         sent, probes = burst(d, jobs, 1_000.0, free)
         self.assertLessEqual(probes, workers)  # all in one moment: each tells once in TOLD_FOR
-        self.assertLessEqual(probes, PULLED * max(0, jobs))
-        self.assertLessEqual(max(w.used for w in d.workers.values()), OWN_MOST)
+        self.assertLessEqual(probes, POLLED_FOR_QUEUED * max(0, jobs))
+        self.assertLessEqual(max(w.slots_in_flight for w in d.endpoints.workers.values()), OWN_JOBS_MOST)
         if free < 0.9:
             self.assertLessEqual(sent, workers)
 
--- a/tests/test_rehearsal_night.py
+++ b/tests/test_rehearsal_night.py
@@ -342,7 +342,7 @@
 def test_the_auditor_sees_a_late_answer_and_one_that_never_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Core, "overdue", lambda self, job: None)
     monkeypatch.setattr(Core, "timed_out", lambda self, a: None)
-    monkeypatch.setattr("elderstall.choice.Dispatcher.out_of_time", lambda self, job: False)
+    monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
     found = broken(World(night(Trouble("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
     assert any(rule == 1 and "past its deadline" in what for rule, what in found)
 
@@ -367,9 +367,9 @@
 
 def test_the_auditor_sees_a_cold_worker_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """A module that knows no cold workers."""
-    monkeypatch.setattr("elderstall.choice.Dispatcher.cold_room", lambda self, w, job: True)
-    monkeypatch.setattr("elderstall.choice.Dispatcher.crowded", lambda self, late=False: False)
-    monkeypatch.setattr("elderstall.choice.Dispatcher.most_on", lambda self, w: 50)
+    monkeypatch.setattr("elderstall.decisions.slow_start.SlowStart.admits", lambda self, w, job: True)
+    monkeypatch.setattr("elderstall.decisions.in_flight.InFlight.crowded", lambda self, late=False: False)
+    monkeypatch.setattr("elderstall.decisions.capacity.CapacityModel.open_slots", lambda self, w: 50)
     rules = s.Rules(cold_for=2_000.0, push_multiple=1.2, push_window=600.0)
     world = World(
         night(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -139,7 +139,7 @@
                 d.note(o)
                 d.end(o, i.Ending.FULL if o.number else i.Ending.SERVED)
         total += 100.0 * sum(isinstance(a, i.Send) for a in d.actions)
-    w = d.dispatcher.workers["k0"]
+    w = d.dispatcher.endpoints.workers["k0"]
     assert total > 0
     assert total <= s.push_multiple * w.slots * w.speed * s.push_window
 
@@ -147,6 +147,11 @@
 def test_rule4_a_restart_under_the_same_name_is_cold_again() -> None:
     d = Driver(settings())
     d.listed(fleet(1))
-    assert d.dispatcher.workers["k0"].warmth(d.dispatcher.now, d.dispatcher.s) == 1.0
+    assert (
+        d.dispatcher.endpoints.workers["k0"].warmth(d.dispatcher.context.now, d.dispatcher.context.settings)
+        == 1.0
+    )
     d.listed(fleet(1, started=d.now))
-    assert d.dispatcher.workers["k0"].warmth(d.dispatcher.now, d.dispatcher.s) == pytest.approx(0.3)
+    assert d.dispatcher.endpoints.workers["k0"].warmth(
+        d.dispatcher.context.now, d.dispatcher.context.settings
+    ) == pytest.approx(0.3)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,7 @@
 from benchmarks.scale.hollow import HollowDispatcher, settings_of
 from benchmarks.scale.measures import Size, churned, dispatcher_of
 from elderstall import interface as i
-from elderstall.records import Worker
+from elderstall.decisions.records import Worker
 from elderstall.routing.subset import SLACK, SUBSET_LEAST
 from elderstall.routing.view import GONE_LEAST, GONE_PART
 
@@ -146,7 +146,7 @@
             closed=len(view.closed),
             unavailable=len(view.unavailable),
             members=len(view.members),
-            module=len(dispatcher.core.module.workers),
+            module=len(dispatcher.core.module.endpoints.workers),
             waiting=len(view.waiting),
         )
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,9 +9,8 @@
 from typing import Any
 
 from elderstall import interface as i
-from elderstall.choice import Dispatcher
 from elderstall.config import ConfigError, config_of, load
-from elderstall.succession import learned
+from elderstall.decisions import Dispatcher
 from tests.driver import Driver
 from tests.scenario import CLASSES, Scenario, platform
 
@@ -200,19 +199,19 @@
         module = d.dispatcher
         for n in range(12):
             d.arrive(n, d.s.classes[n % 2])
-        held = sum(len(jobs) for jobs in module.held)
+        held = sum(len(jobs) for jobs in module.queue.buckets)
         self.assertGreater(held, 0)
-        module.workers["w0"].work = module.workers["w0"].time = 77.0
+        module.endpoints.workers["w0"].work_done = module.endpoints.workers["w0"].run_time = 77.0
         d.tell(i.Retuned(self.settings(1.0, 10.0, 100.0, 5.0)))
-        self.assertEqual(3, module.tiers)
-        self.assertEqual(77.0, module.workers["w0"].work)
-        self.assertEqual(held, sum(len(jobs) for jobs in module.held))
-        self.assertEqual({"w0", "w1", "w2", "w3"}, {w.name for pool in module.pools for w in pool})
+        self.assertEqual(3, module.context.mode.tiers)
+        self.assertEqual(77.0, module.endpoints.workers["w0"].work_done)
+        self.assertEqual(held, sum(len(jobs) for jobs in module.queue.buckets))
+        self.assertEqual({"w0", "w1", "w2", "w3"}, {w.name for pool in module.pools.pools for w in pool})
         d.tell(i.Retuned(self.settings(2.0)))
-        self.assertEqual(1, module.tiers)
+        self.assertEqual(1, module.context.mode.tiers)
         while d.outs():
             d.end(d.outs()[0], i.Ending.SERVED)
-        self.assertEqual(0, sum(len([job for job in jobs if job.held]) for jobs in module.held))
+        self.assertEqual(0, sum(len([job for job in jobs if job.queued]) for jobs in module.queue.buckets))
 
     def test_a_held_job_whose_attempts_are_spent_is_answered(self) -> None:
         """Guards against one attempt too many: a held job is sent without another look at the limit."""
@@ -221,7 +220,7 @@
         module.handle(0.0, i.WorkerList(i.ListScope.WHOLE, (i.Listed("w0"),)))
         module.handle(0.0, i.JobArrived(1, "c0", 5_000.0))
         module.handle(1.0, i.AttemptEnded(1, 0, "w0", i.Ending.FULL))
-        self.assertTrue(any(module.held))
+        self.assertTrue(any(module.queue.buckets))
         actions = module.handle(2.0, i.Retuned(self.settings(1.0, attempts=1)))
         self.assertEqual([1], [a.job for a in actions if isinstance(a, i.Refuse)])
 
@@ -234,11 +233,17 @@
             module.handle(0.0, listed)
         sent = [a for a in old.handle(0.0, i.JobArrived(1, "c0", 5_000.0)) if isinstance(a, i.Send)]
         old.handle(50.0, i.AttemptEnded(1, 0, sent[0].worker, i.Ending.ERROR))
-        new.handle(60.0, i.Learned(json.loads(json.dumps(learned(old)))))
-        self.assertEqual(old.avoided(60.0), new.avoided(60.0))
-        self.assertEqual({sent[0].worker}, new.avoided(60.0))
-        self.assertEqual((old.mean, old.claim, old.policy), (new.mean, new.claim, new.policy))
-        new.handle(61.0, i.JobInherited(7, new.classes["c1"], 0.0, 5_000.0, sent=1, worker="w3", sent_at=9.0))
-        self.assertEqual(1, new.workers["w3"].used)
+        new.handle(60.0, i.Learned(json.loads(json.dumps(old.learned()))))
+        self.assertEqual(old.unavailable(60.0), new.unavailable(60.0))
+        self.assertEqual({sent[0].worker}, new.unavailable(60.0))
+        self.assertEqual(
+            (old.estimates.mean, old.capacity.claim, old.pools.policy),
+            (new.estimates.mean, new.capacity.claim, new.pools.policy),
+        )
+        new.handle(
+            61.0,
+            i.JobInherited(7, new.context.mode.classes["c1"], 0.0, 5_000.0, sent=1, worker="w3", sent_at=9.0),
+        )
+        self.assertEqual(1, new.endpoints.workers["w3"].slots_in_flight)
         new.handle(99.0, i.AttemptEnded(7, 0, "w3", i.Ending.SERVED, True))
-        self.assertEqual((0, {}), (new.workers["w3"].used, new.jobs))
+        self.assertEqual((0, {}), (new.endpoints.workers["w3"].slots_in_flight, new.answers.open))
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -74,7 +74,7 @@
             todo += d.handle(now + 2.0, i.Probed(action.worker, i.Ending.SERVED, (2.0,)))
         elif isinstance(action, i.Send):
             sent += 1
-            assert d.workers[action.worker].open
+            assert d.endpoints.workers[action.worker].up
             todo += d.handle(now + 130.0, i.AttemptEnded(job, 0, action.worker, i.Ending.SERVED, final=True))
     return sent
 
@@ -100,7 +100,7 @@
                 told = {"index": 2, "snapshot": False, "endpoints": [entry(n, state, since) for n in numbers]}
                 _, scope, pairs = list_of(json.loads(json.dumps(told)), False)
                 d.handle(5_000.0, i.WorkerList(scope, tuple(listed for listed, _ in pairs)))
-            self.assertEqual(MANY, sum(w.open for w in d.workers.values()))
+            self.assertEqual(MANY, sum(w.up for w in d.endpoints.workers.values()))
             self.assertEqual(60, sum(served(d, 100 + n, 20_000.0 + 10 * n) for n in range(60)))
             self.assertLess(tracemalloc.get_traced_memory()[1], MEMORY)
         finally:
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from elderstall.model import queue, tier_edges, utility
-from elderstall.records import Load, Policy, flows, legal, pairs
-from elderstall.search import climb
+from elderstall.decisions.hill_climb import climb
+from elderstall.decisions.queue_model import queue, tier_edges, utility
+from elderstall.decisions.records import Load, Policy, flows, legal, pairs
 
 
 def load(rates: tuple[float, ...], workers: int = 6) -> Load:
@@ -44,14 +44,16 @@
 
 def test_climb_matches_exhaustive_search_with_two_tiers() -> None:
     given = load((0.05, 0.02))
-    found = climb(Policy((0,), (3, 3)), lambda p: utility(p, given), 2, 500, random.Random(1), True)
+    found = climb(Policy((0,), (3, 3)), lambda p: utility(p, given), 2, 500, random.Random(1), resize=True)
     best = max(utility(Policy((f,), (n, 6 - n)), given) for f in range(0, 1001, 10) for n in range(1, 6))
     assert utility(found, given) >= 0.999 * best
 
 
 def test_climb_matches_exhaustive_search_with_three_tiers() -> None:
     given = load((0.03, 0.05, 0.02))
-    found = climb(Policy((0, 0, 0), (2, 2, 2)), lambda p: utility(p, given), 3, 200, random.Random(1), False)
+    found = climb(
+        Policy((0, 0, 0), (2, 2, 2)), lambda p: utility(p, given), 3, 200, random.Random(1), resize=False
+    )
     grid = range(-1000, 1001, 100)
     every = (Policy((a, b, c), (2, 2, 2)) for a in grid for b in grid for c in grid)
     best = max(utility(p, given) for p in every if legal(p, 3))
@@ -60,7 +62,9 @@
 
 def test_climb_keeps_its_budget_and_the_constraints() -> None:
     given = load((0.09, 0.01, 0.01))
-    found = climb(Policy((0, 0, 0), (2, 2, 2)), lambda p: utility(p, given), 3, 40, random.Random(3), True)
+    found = climb(
+        Policy((0, 0, 0), (2, 2, 2)), lambda p: utility(p, given), 3, 40, random.Random(3), resize=True
+    )
     assert legal(found, 3)
     assert sum(found.sizes) == 6
     assert min(found.f) >= 0
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from elderstall.hashing import stable_hash
 from elderstall.interface import Ending
-from elderstall.records import stable_hash
 from elderstall.routing.reach import SEEN_FOR, WORKERS_LEAST, ZoneReach
 from elderstall.routing.subset import (
     KIND_LEAST,
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -11,7 +11,7 @@
 from twisted.internet.defer import Deferred
 
 from elderstall import interface as i
-from elderstall.choice import Dispatcher
+from elderstall.decisions import Dispatcher
 from elderstall.interface import Ending, ListScope, WorkerState
 from elderstall.messages import Failed, Outcome, Served
 from elderstall.routing.subset import SLACK, SUBSET_LEAST
@@ -408,21 +408,21 @@
         d.handle(0.0, i.Begin())
         d.handle(0.0, i.WorkerList(ListScope.WHOLE, entries(2)))
         (send,) = [a for a in d.handle(1.0, i.JobArrived(1, "deck", 5_000.0)) if isinstance(a, i.Send)]
-        asked = next(name for name in d.workers if name != send.worker)
-        d.workers[asked].asked = True
+        asked = next(name for name in d.endpoints.workers if name != send.worker)
+        d.endpoints.workers[asked].poll_pending = True
         d.handle(2.0, i.WorkerList(ListScope.WHOLE))
         d.handle(3.0, i.WorkersForgotten(("w0", "w1", "nobody")))
-        self.assertEqual({"w0", "w1"}, set(d.workers))
+        self.assertEqual({"w0", "w1"}, set(d.endpoints.workers))
         d.handle(4.0, i.AttemptEnded(1, 0, send.worker, Ending.SERVED, True))
         d.handle(5.0, i.Probed(asked, Ending.SERVED))
         d.handle(6.0, i.WorkersForgotten(()))
-        self.assertEqual({}, d.workers)
+        self.assertEqual({}, d.endpoints.workers)
 
     def test_one_that_is_up_again_is_kept(self) -> None:
         d = Dispatcher(replace(SETTINGS, dispatchers=1), 1)
         d.handle(0.0, i.WorkerList(ListScope.WHOLE, entries(2)))
         d.handle(3.0, i.WorkersForgotten(("w0",)))
-        self.assertEqual({"w0", "w1"}, set(d.workers))
+        self.assertEqual({"w0", "w1"}, set(d.endpoints.workers))
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -10,7 +10,7 @@
 import unittest
 from typing import Any
 
-from elderstall.choice import BRIEF
+from elderstall.decisions.outcomes import BRIEF
 from elderstall.net import http
 from tests.loopback import Side
 from tests.scenario import CLASSES
@@ -254,7 +254,9 @@
             for side_of_worker in self.sides:
                 side_of_worker.read()
                 side_of_worker.messages.clear()
-            self.assertEqual(set(), {w.name for w in self.app.core.module.workers.values() if w.proving})
+            self.assertEqual(
+                set(), {w.name for w in self.app.core.module.endpoints.workers.values() if w.probation}
+            )
             self.wait(200)
             self.served(f"a{n}", "deck-build")
 
