--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -9,8 +9,8 @@
 
 from benchmarks.scale.fleets import EPOCH
 from elderstall import interface as i
-from elderstall.core import Core
 from elderstall.deadlines import Deadlines
+from elderstall.engine import Engine
 from elderstall.log import Log
 from elderstall.messages import Answer, Ask, Outcome
 from elderstall.rehearsal.loop import VirtualTime
@@ -133,14 +133,14 @@
         self.deadlines = Deadlines(self.loop, self.loop.seconds, EPOCH)
         self.rng = random.Random(seed)
         self.carrier = HollowCarrier(self.deadlines, self.rng)
-        self.core = Core(settings, seed, self.deadlines, self.carrier, QuietLog())
-        self.core.follow = lambda: self.core.listed(i.ListScope.CHANGES)
+        self.engine = Engine(settings, seed, self.deadlines, self.carrier, QuietLog())
+        self.engine.endpoints.follow = lambda: self.engine.endpoints.take(i.ListScope.CHANGES)
         self.jobs = 0
-        self.core.start(listed)
+        self.engine.start(listed)
 
     def change(self, entry: i.Listed) -> None:
         """Have discovery tell one change."""
-        self.core.listed(i.ListScope.CHANGES, (entry,))
+        self.engine.endpoints.take(i.ListScope.CHANGES, (entry,))
 
     def idle(self, ms: float) -> None:
         """Let time pass."""
@@ -150,9 +150,9 @@
         """Take a client's job."""
         self.jobs += 1
         cls = self.rng.choices(CLASSES, (6, 3, 1))[0]
-        tenants = self.core.s.tenants
+        tenants = self.engine.settings.tenants
         tenant = self.rng.choice(tenants).name if tenants else None
-        self.core.take(
+        self.engine.accept(
             Ask(
                 f"job-{self.jobs}",
                 cls.name,
@@ -173,9 +173,9 @@
     @property
     def members(self) -> list[str]:
         """Name the workers that the module knows as up."""
-        return [name for name, worker in self.core.module.endpoints.workers.items() if worker.up]
+        return [name for name, worker in self.engine.decisions.endpoints.workers.items() if worker.up]
 
     def outside(self) -> list[str]:
         """Name listed workers that the module does not know, where there are any."""
         known = set(self.members)
-        return [name for name in self.core.view.entries if name not in known]
+        return [name for name in self.engine.view.entries if name not in known]
--- a/benchmarks/scale/measures.py
+++ b/benchmarks/scale/measures.py
@@ -80,7 +80,7 @@
         dispatcher = dispatcher_of(size)
         gc.collect()
         amount = tracemalloc.get_traced_memory()[0] / 1e6
-        assert dispatcher.core.view.entries
+        assert dispatcher.engine.view.entries
         return amount
     finally:
         tracemalloc.stop()
@@ -95,7 +95,7 @@
 
 def restarts(dispatcher: HollowDispatcher, names: list[str]) -> float:
     """Give the mean time of one worker's change, ms."""
-    listed = dispatcher.core.view.entries
+    listed = dispatcher.engine.view.entries
     changes = [replace(listed[name], started=EPOCH + n) for n, name in enumerate(names[:CHANGES])]
 
     def tell() -> None:
@@ -127,7 +127,7 @@
 def zone_lost(size: Size) -> float:
     """Give the time to take the loss of a zone, its workers told one by one, ms."""
     dispatcher = dispatcher_of(size)
-    lost = [entry for entry in dispatcher.core.view.entries.values() if entry.zone == "region-1-1"]
+    lost = [entry for entry in dispatcher.engine.view.entries.values() if entry.zone == "region-1-1"]
 
     def tell() -> None:
         for entry in lost:
@@ -150,7 +150,7 @@
     dispatcher = churned(size)
     gc.collect()
     pages = int(Path("/proc/self/statm").read_text().split()[1])
-    assert dispatcher.core.view.entries
+    assert dispatcher.engine.view.entries
     return pages * resource.getpagesize() / 1e6
 
 
--- a/benchmarks/scale/play.py
+++ b/benchmarks/scale/play.py
@@ -110,7 +110,7 @@
     started = time.process_time()
     figures = world.play()
     busy = loads(world) - (marked[0] if marked else 0.0)
-    views = [station.process.core.view for station in world.stations if station.process is not None]
+    views = [station.process.engine.view for station in world.stations if station.process is not None]
     held = [len(view.members) if view.subset is not None else len(view.entries) for view in views]
     trouble = min((t.at for t in night.troubles), default=None)
     ends = max((t.ends for t in night.troubles), default=0.0)
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -62,8 +62,10 @@
     settings = settings_of(230, teams, classes)
     dispatcher = HollowDispatcher(settings, entries(WORKERS))
     reading = min(cpu_ms(lambda: config_of(json.loads(text), {})) for _ in range(REPEATS))
-    taking = min(cpu_ms(lambda: dispatcher.core.retune(settings, 8.0, 1_000)) for _ in range(REPEATS))
-    return Cost(teams, len(text), reading, taking, len(figures_text(dispatcher.core.figures())))
+    taking = min(
+        cpu_ms(lambda: dispatcher.engine.change_settings(settings, 8.0, 1_000)) for _ in range(REPEATS)
+    )
+    return Cost(teams, len(text), reading, taking, len(figures_text(dispatcher.engine.figures())))
 
 
 @click.command(help=__doc__)
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -17,9 +17,9 @@
 
 from elderstall.clocks import SharedClock
 from elderstall.config import Config, ConfigError, UnreadableError, address_of, fixed_keys, reloaded
-from elderstall.core import Core
 from elderstall.deadlines import Deadline, Deadlines
-from elderstall.learned_transfer import read_learned, write_learned
+from elderstall.engine import Engine
+from elderstall.engine.learned_transfer import read_learned, write_learned
 from elderstall.log import Log
 from elderstall.net.accepting import RESOURCE_ERRORS, Acceptor
 from elderstall.net.console import CALLERS, Console
@@ -74,7 +74,7 @@
             config.worker_connections,
             config.connect_ms,
         )
-        self.core = Core(
+        self.engine = Engine(
             config.settings,
             config.seed,
             self.deadlines,
@@ -89,24 +89,24 @@
             self.log,
             self.connect_discovery,
             self.workers,
-            self.core.listed,
+            self.engine.endpoints.take,
             config.discovery,
             config.live_weights,
         )
-        self.core.follow, self.discovery.fits = self.discovery.follow, self.core.view.fits
-        self.workers.wrote = self.core.wrote
+        self.engine.endpoints.follow, self.discovery.fits = self.discovery.follow, self.engine.view.fits
+        self.workers.wrote = self.engine.count_written
         self.console = Console(
             self.deadlines,
             self.log,
             lambda: self.ready,
-            self.core.figures,
+            self.engine.figures,
             {
                 "/api/exclude": lambda worker: self.ban("exclude", worker),
                 "/api/include": lambda worker: self.ban("include", worker),
             },
         )
         self.server = listener(
-            self.core,
+            self.engine,
             self.deadlines,
             self.log,
             self.workers.report_of,
@@ -122,7 +122,7 @@
                 self.deadlines, self.log, reactor, config.folder, f"elderstall-{config.host}-{config.port}"
             )
             h.state, h.told, h.on_links, h.on_room = self.state, self.told, self.linked, self.server.pass_all
-            self.core.on_taken = lambda cid: h.announce("id", id=cid)
+            self.engine.jobs.on_taken = lambda cid: h.announce("id", id=cid)
             self.server.may_pass, self.server.hand = lambda: h.room, self.hand
             self.server.keep = h.on_returned = self.take_over
             self.server.ask_others = lambda call: h.tell("callback", call=call) if h.linked else None
@@ -233,8 +233,8 @@
         data = state.get("learned")
         if data is not None:
             clock = SharedClock.of_message(state, self.deadlines.offset)
-            read_learned(data, entries, state["back"], self.core.view, clock)
-        self.core.start(entries, data)
+            read_learned(data, entries, state["back"], self.engine.view, clock)
+        self.engine.start(entries, data)
         self.listen(self.open_port, self.serve)
 
     def open_port(self) -> Any:
@@ -274,33 +274,33 @@
 
     def state(self) -> tuple[dict[str, Any], int]:
         """Give a new process what it needs, and the listener."""
-        core, clock = self.core, self.deadlines.shared()
+        engine, clock = self.engine, self.deadlines.shared()
         return {
             "clock": clock.plain(),
             "starts": self.discovery.starts.written(clock),
-            "known": told_as(self.discovery.index, core.view.entries.values(), self.discovery.addresses),
+            "known": told_as(self.discovery.index, engine.view.entries.values(), self.discovery.addresses),
             "discovery": self.config.discovery,
-            "banned": {name: clock.written(since) for name, since in core.view.banned.items()},
+            "banned": {name: clock.written(since) for name, since in engine.view.banned.items()},
             "back": {
                 name: (clock.written(since), clock.written(until))
-                for name, (since, until) in core.view.put_back.items()
+                for name, (since, until) in engine.view.put_back.items()
             },
-            "ids": [*core.elsewhere, *core.answered, *core.by_cid],
+            "ids": [*engine.jobs.taken_elsewhere, *engine.jobs.answered, *engine.jobs.by_id],
             "begun": self.server.streamed(),
-            "learned": write_learned(core.module.learned(), core.view, clock),
+            "learned": write_learned(engine.decisions.learned(), engine.view, clock),
             "held": len(self.server.connections),
         }, os.dup(self.port.fileno())
 
     def inherit(self, state: dict[str, Any]) -> None:
         """Take what the process that runs hands over."""
-        view, clock = self.core.view, SharedClock.of_message(state, self.deadlines.offset)
+        view, clock = self.engine.view, SharedClock.of_message(state, self.deadlines.offset)
         view.banned.update((name, clock.read(since)) for name, since in state["banned"].items())
         view.put_back.update(
             (name, (clock.read(since), clock.read(until))) for name, (since, until) in state["back"].items()
         )
         self.discovery.starts.inherit(state.get("starts", {}), clock)
         for cid in state["ids"]:
-            self.core.taken_elsewhere(cid)
+            self.engine.jobs.taken_elsewhere.add(cid)
         self.server.inherit(state["begun"])
         self.server.elsewhere = state["held"]
 
@@ -315,8 +315,8 @@
             return
         newer = any(link.newer for link in others)
         part = OLD_PART if newer else 1 - OLD_PART if others else 1.0
-        if self.core.part != part:
-            self.core.share(part)
+        if self.engine.endpoints.budget_part != part:
+            self.engine.endpoints.share_budget(part)
         if self.handover.successor is None:
             if not newer:
                 self.handover.listen()
@@ -353,12 +353,14 @@
             self.server.elsewhere = message["held"]
             self.server.crowded()
         elif what == "id":
-            self.core.taken_elsewhere(message["id"])
+            self.engine.jobs.taken_elsewhere.add(message["id"])
         elif what == "callback":
             self.server.called(message["call"])  # whether or not it is a live one's, it was heard
             return message["call"]["id"] not in self.server.moving
         elif what in ("exclude", "include"):
-            return (self.core.exclude if what == "exclude" else self.core.include)(message["id"])
+            return (self.engine.endpoints.ban if what == "exclude" else self.engine.endpoints.end_ban)(
+                message["id"]
+            )
         else:
             raise ValueError(f"unknown message {what!r}")
         return True
@@ -387,7 +389,7 @@
         if transport is not None:
             self.server.adopted(transport.protocol, message)
         elif job is not None:
-            self.core.abandon(job)
+            self.engine.abandon_transfer(self.engine.decode_transfer(job))
 
     def ban(self, what: str, worker: str, patience: int = BAN_TRIES) -> Deferred[bool]:
         """Ban a worker or put it back, here and at the other process."""
@@ -397,7 +399,7 @@
                 LOOK_EVERY, lambda: self.ban(what, worker, patience - 1).addCallback(done.callback)
             )
             return done
-        good = (self.core.exclude if what == "exclude" else self.core.include)(worker)
+        good = (self.engine.endpoints.ban if what == "exclude" else self.engine.endpoints.end_ban)(worker)
         if self.handover is None:
             done.callback(good)
         else:
@@ -428,26 +430,27 @@
             new = reloaded(self.config, told)
         except UnreadableError as error:
             if tries == RELOAD_TRIES:
-                self.core.counts.load_errors += 1
+                self.engine.counters.load_errors += 1
                 self.log.write("reload", f"nothing changed: {error}")
             if tries:
                 self.reload_retry = self.deadlines.after(RELOAD_AGAIN, self.reload, tries - 1)
             return
         except ConfigError as error:
-            self.core.counts.load_errors += 1
+            self.engine.counters.load_errors += 1
             self.log.write("reload", f"nothing changed: {error}")
             return
-        self.core.counts.loads += 1
+        self.engine.counters.loads += 1
         if keys := fixed_keys(self.config, told):
             self.log.write("reload", f"only a restart changes {', '.join(keys)}")
         old, self.config = self.config, replace(new, known=None)
         moved = told.discovery != old.discovery
         self.limit()
         if (new.settings, new.slack_ms, new.max_open) != (old.settings, old.slack_ms, old.max_open):
-            self.core.retune(new.settings, new.slack_ms, new.max_open)
+            self.engine.change_settings(new.settings, new.slack_ms, new.max_open)
             self.server.retuned()
             self.log.write(
-                "reload", f"classes are {', '.join(self.core.classes)}; {new.settings.max_attempts} attempts"
+                "reload",
+                f"classes are {', '.join(self.engine.classes)}; {new.settings.max_attempts} attempts",
             )
         self.log.write("reload", f"discovery is at {told.discovery}" + ("" if moved else ", as before"))
         if moved:
@@ -470,9 +473,9 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.write("drain", f"{len(self.core.jobs)} jobs are out")
+        self.log.write("drain", f"{len(self.engine.jobs)} jobs are out")
         self.server.drain()
-        longest = min(max(c.deadline for c in self.core.classes.values()), LONGEST_MOST)
+        longest = min(max(c.deadline for c in self.engine.classes.values()), LONGEST_MOST)
         self.server.until = self.deadlines.now() + longest + SERVE_FOR - KILL_MARGIN
         self.stay = self.deadlines.now() + SERVE_FOR
         self.deadlines.after(SERVE_FOR, self.shorten)
@@ -500,7 +503,7 @@
         leaving = self.handover is not None and any(link.sent for link in self.handover.links)
         clients = any(c.client or c.passing is not None for c in self.server.connections)
         owed = (
-            len(self.core.jobs)
+            len(self.engine.jobs)
             or not self.server.quiet
             or clients
             or leaving
--- /dev/null
+++ b/elderstall/engine/engine.py
@@ -0,0 +1,291 @@
+"""One dispatcher's engine: puts the parts together, and is what the fronts and the program speak to."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from twisted.python.failure import Failure
+
+from elderstall.deadlines import Deadlines
+from elderstall.decisions import Dispatcher
+from elderstall.engine.answers import Answers
+from elderstall.engine.attempts import Attempts
+from elderstall.engine.decision_feed import DecisionFeed
+from elderstall.engine.endpoint_feed import EndpointFeed
+from elderstall.engine.job_transfer import JobTransfer
+from elderstall.engine.jobs import Attempt, Job, JobTable
+from elderstall.engine.lifecycle import AttemptEvent, JobEvent
+from elderstall.engine.rules import Rules
+from elderstall.figures import Figures
+from elderstall.interface import (
+    AttemptEnded,
+    Begin,
+    Ending,
+    Fail,
+    FollowList,
+    JobArrived,
+    JobInherited,
+    JobLeft,
+    Learned,
+    Listed,
+    ListScope,
+    Probe,
+    Probed,
+    Refuse,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+    WorkerState,
+)
+from elderstall.interface import Log as LogLine
+from elderstall.log import Log
+from elderstall.messages import Ask, Carrier, Client, Failed, Outcome, Refused
+from elderstall.routing.view import ENTRIES_MOST, FleetView
+
+NO_CAPACITY = "no room"  # why a front rejected a job, for the figures
+
+
+class Engine:
+    """One dispatcher: its decisions, its jobs and the rules."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        deadlines: Deadlines,
+        transport: Carrier,
+        log: Log,
+        slack: float = 8.0,
+        max_open: int = 20_000,
+        entries_most: int = ENTRIES_MOST,
+    ) -> None:
+        self.settings, self.deadlines, self.transport, self.log = settings, deadlines, transport, log
+        self.decisions = Dispatcher(settings, seed)
+        self.feed = DecisionFeed(self.decisions, deadlines, log)
+        self.counters = Figures([job_class.name for job_class in settings.classes])
+        self.view = FleetView(settings, entries_most, log.write)
+        self.jobs = JobTable(max_open)
+        self.rules = Rules(settings, deadlines, self.view)
+        self.endpoints = EndpointFeed(
+            settings, self.view, deadlines, self.feed, self.counters, transport.renew
+        )
+        self.answers = Answers(
+            self.jobs,
+            self.rules,
+            self.feed,
+            self.counters,
+            deadlines,
+            log,
+            abort_attempt=self._abort_attempt,
+        )
+        self.attempts = Attempts(
+            settings,
+            self.jobs,
+            self.rules,
+            self.answers,
+            transport,
+            self.feed,
+            self.endpoints,
+            deadlines,
+            log,
+        )
+        self.answers.slack = slack
+        self._take_names(settings)
+        self.feed.handlers = {
+            Send: self.attempts.send,
+            Probe: self._poll,
+            Refuse: self.answers.reject,
+            Fail: self.answers.fail,
+            SetTimer: self._set_timer,
+            FollowList: lambda _: self.endpoints.call(),
+            LogLine: lambda action: self.log.write("module", action.text),
+        }
+
+    def _abort_attempt(self, attempt: Attempt) -> None:
+        """Give the attempt of a closed job up; ``Answers`` stands below ``Attempts``, and is handed this."""
+        self.attempts.abort(attempt)
+
+    def _take_names(self, settings: Settings) -> None:
+        self.classes = {job_class.name: job_class for job_class in settings.classes}
+        self.tenants = {tenant.name for tenant in settings.tenants}
+
+    # ---- start and settings ----
+
+    def start(self, known: tuple[Listed, ...], learned: dict[str, Any] | None = None) -> None:
+        """Begin, with the list as this dispatcher last had it, and what the former process had learned."""
+        self.feed.feed(Begin())
+        self.endpoints.take(ListScope.WHOLE, known)
+        self.endpoints.started = True
+        if learned is not None:
+            self.feed.feed(Learned(learned))
+
+    def change_settings(self, settings: Settings, slack: float, max_open: int) -> None:
+        """Take new settings; jobs under way keep their class."""
+        self.settings = self.rules.settings = self.attempts.settings = settings
+        self.answers.slack = slack
+        self.jobs.limit(max_open)
+        self._take_names(settings)
+        known = self.counters.classes
+        known += [name for name in self.classes if name not in known]
+        self.endpoints.change_settings(settings)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        """Carry out SetTimer."""
+        delay = max(self.settings.tick, action.delay)
+        self.deadlines.after(delay, self.feed.feed, TimerFired(action.token))
+
+    # ---- figures ----
+
+    def figures(self) -> Figures:
+        """Give the figures as they stand."""
+        figures, view, now = self.counters, self.view, self.deadlines.now()
+        figures.jobs, figures.listed = len(self.jobs), len(view.entries)
+        figures.avoided = sum(name in view.entries for name in self.decisions.unavailable(now))
+        figures.in_view = len(view.entries) if view.subset is None else len(view.members)
+        figures.widened = 0 if view.subset is None else view.subset.widened
+        figures.zones_lost = len(view.lost_zones)
+        figures.lists_refused = view.counts.lists_refused
+        figures.odd_entries = view.counts.odd_entries.total()
+        figures.forgotten = view.counts.forgotten
+        figures.list_age = now - figures.heard_at if figures.heard_at >= 0 else -1.0
+        return figures
+
+    def count_written(self) -> None:
+        """Count an attempt whose last byte the transport has written."""
+        self.counters.tries += 1
+
+    def count_rejected(self, job_class: str) -> None:
+        """Count a job that a front has rejected for want of capacity."""
+        self.counters.refused[job_class] += 1
+        self.counters.reasons[job_class, NO_CAPACITY] += 1
+
+    # ---- jobs ----
+
+    def accept(self, request: Ask, client: Client) -> int:
+        """Take a job on; from here it is owed one final answer. Gives its number.
+
+        Raises RepeatedIdError or TooManyJobsError.
+        """
+        self.jobs.check_new(request.cid)
+        now = self.deadlines.now()
+        job = Job(request, client, self.classes[request.job_class], now, now + request.budget)
+        self.jobs.add(job)
+        self.answers.guard(job)
+        self.feed.feed(
+            JobArrived(
+                job.number,
+                request.job_class,
+                request.budget,
+                request.tenant,
+                request.key,
+                request.work_hint,
+                request.slots,
+            )
+        )
+        return job.number
+
+    def client_left(self, number: int) -> None:
+        """Note that the client of a job has left."""
+        self.answers.client_left(number)
+
+    # ---- an upgrade: jobs that move from one process to the next ----
+
+    def export_job(self, number: int) -> JobTransfer | None:
+        """Let go of a job for the process that takes over, and give its state.
+
+        Not of one whose attempt no worker has confirmed, or whose worker is yet to be told to give one up.
+        """
+        job = self.jobs.get(number)
+        if job is None or job.cancels or job.deferred_send is not None:
+            return None
+        attempt = job.attempt
+        if attempt is not None and not self._movable(attempt):
+            return None
+        transfer = JobTransfer.of(job)
+        job.advance(JobEvent.CLOSED)
+        job.attempt = None
+        for timer in (job.guard, attempt.timer if attempt is not None else None):
+            if timer is not None:
+                timer.cancel()
+        self.jobs.export_job(job)
+        self.feed.feed(JobLeft(number))
+        if attempt is not None:
+            attempt.advance(AttemptEvent.ENDED)
+            ended = AttemptEnded(number, attempt.number, attempt.worker, Ending.CANCELLED, True)
+            self.feed.feed(ended)
+        return transfer
+
+    @staticmethod
+    def _movable(attempt: Attempt) -> bool:
+        """Say whether a worker has an attempt for sure, with nothing of it left on a connection here."""
+        return attempt.accepted and attempt.sending is not None and attempt.sending.called
+
+    def import_job(self, transfer: JobTransfer, original: object, client: Client) -> int:
+        """Take over a job that another process has let go of. Gives its number."""
+        job = transfer.to_job(original, client)
+        self.jobs.import_job(job)
+        self.answers.guard(job)
+        attempt = transfer.to_attempt(job)
+        if attempt is not None:
+            attempt.advance(AttemptEvent.ACCEPTED)
+            job.start_attempt(attempt)
+            self.attempts.watch(attempt)
+        self.feed.feed(
+            JobInherited(
+                job.number,
+                job.cls,
+                job.arrived,
+                job.deadline,
+                job.request.key,
+                job.request.work_hint,
+                job.request.slots,
+                job.attempts,
+                min(job.may_still_speak, default=None),
+                None if attempt is None else attempt.worker,
+                0.0 if attempt is None else attempt.sent_at,
+            )
+        )
+        return job.number
+
+    def encode_transfer(self, transfer: JobTransfer) -> dict[str, Any]:
+        """Write a job for a message to the other process."""
+        return transfer.encode(self.deadlines.shared())
+
+    def decode_transfer(self, message: dict[str, Any]) -> JobTransfer:
+        """Read a job from a message of the other process."""
+        return JobTransfer.decode(message, self.deadlines.offset, self.deadlines.now())
+
+    def abandon_transfer(self, transfer: JobTransfer) -> None:
+        """Give up the attempt of a job that moves, as its client has left."""
+        if transfer.attempt is not None and self.settings.cancels:
+            self.transport.recall(transfer.attempt.worker, transfer.request_id)
+
+    def reject_transfer(self, transfer: JobTransfer, client: Client) -> None:
+        """Answer a job that has come from another process where no more are taken, and end its attempt."""
+        name, harmless = transfer.cls.name, transfer.harmless_to_reject
+        (self.counters.refused if harmless else self.counters.failed)[name] += 1
+        self.counters.reasons[name, NO_CAPACITY] += 1
+        client.answered(Refused() if harmless else Failed())
+        self.abandon_transfer(transfer)
+
+    # ---- load reports ----
+
+    def _poll(self, action: Probe) -> None:
+        """Carry out Probe; a worker that is notified as draining or gone is left alone."""
+        if self.view.state(action.worker) is not WorkerState.UP:
+            self.feed.feed(Probed(action.worker, Ending.NEVER_SENT))
+            return
+        self.counters.probes += 1
+        polling = self.transport.probe(action.worker)
+        polling.addCallback(self._polled, action.worker).addErrback(self._not_polled, action.worker)
+
+    def _polled(self, outcome: Outcome, worker: str) -> None:
+        """Take a worker's load report."""
+        self.endpoints.learn_reach(worker, outcome)
+        self.feed.feed(Probed(worker, outcome.ending, outcome.report))
+
+    def _not_polled(self, failure: Failure, worker: str) -> None:
+        """Take an error in the transport: jobs wait for this report."""
+        self.log.failure("carrier", failure.value)
+        self.feed.feed(Probed(worker, Ending.BROKEN))
--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -20,8 +20,9 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from elderstall.core import Core, RepeatedIdError, TooManyJobsError
 from elderstall.deadlines import Deadline, Deadlines
+from elderstall.engine import Engine, RepeatedIdError, TooManyJobsError
+from elderstall.engine.job_transfer import JobTransfer
 from elderstall.interface import Effect, Ending
 from elderstall.log import Log
 from elderstall.messages import Answer, Ask, Client, Outcome, Refused, Served
@@ -83,7 +84,7 @@
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def ask_of(message: http.Message, core: Core) -> Ask:
+def ask_of(message: http.Message, engine: Engine) -> Ask:
     """Read a client's job, or say what is wrong with it."""
     headers = message.headers
     try:
@@ -93,11 +94,11 @@
         raise RequestError(400, "bad target") from None
     path_class = url.path.lstrip("/").split("/", 1)[0]
     job_class = headers.get("X-Call-Class")
-    if path_class not in core.classes and job_class is None:
+    if path_class not in engine.classes and job_class is None:
         raise RequestError(404, "no such path")
     if message.method != "POST":
         raise RequestError(405, "jobs come by POST", (("Allow", "POST"),))
-    if job_class not in core.classes or job_class != path_class:
+    if job_class not in engine.classes or job_class != path_class:
         raise RequestError(400, "X-Call-Class is missing, unknown or not that of the path")
     cid = headers.get("X-Call-Id")
     if not cid or len(cid) > 256:
@@ -106,12 +107,12 @@
     if budget is None:
         raise RequestError(400, "X-Budget-Ms is missing")
     tenant = headers.get("X-Caller")
-    if core.tenants and tenant not in core.tenants:
+    if engine.tenants and tenant not in engine.tenants:
         raise RequestError(400, "X-Caller is missing or unknown")
     cost = number_of(headers.get("X-Call-Cost"), "X-Call-Cost")
     info = info_of(headers.get("X-Call-Info"))
     slots = number_of(info.get("cores_needed") or info.get("slots"), "X-Call-Info") or 1
-    repeatable = core.classes[job_class].effect is Effect.SAFE
+    repeatable = engine.classes[job_class].effect is Effect.SAFE
     return Ask(
         cid,
         job_class,
@@ -162,7 +163,7 @@
         self.close_after = self.sent_away = False
         self.passing: int | None = None  # a copy of its descriptor, for the process that takes it over
         self.parcel: http.Message | None = None  # the request of the job that is out
-        self.moved: dict[str, Any] | None = None  # the job that goes with it
+        self.moved: JobTransfer | None = None  # the job that goes with it
         self.stream: Stream | None = None  # of the job that is out, where its client asked for events
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -270,7 +271,7 @@
         self.weight = weight
         if weight and not self.busy and not self.closing and self.server.weight > self.server.weight_most:
             if self.message is not None and self.ask is not None:
-                self.server.core.turned_away(self.ask.job_class)
+                self.server.engine.count_rejected(self.ask.job_class)
             self.finish(503, "memory", b"too much is being read\n", retry_after(self.server.busy_retry))
 
     def take(self, event: http.Event) -> None:
@@ -364,11 +365,11 @@
         plain = self.busy and self.job is not None and self.stream is None and self.parser.idle
         if not plain or self.blocked or self.paused or self.closing or not self.server.may_pass():
             return False
-        moved = self.server.core.release(self.job or 0)
+        moved = self.server.engine.export_job(self.job or 0)
         if moved is None:
             return False
         self.moved, self.job = moved, None
-        self.server.moving.add(moved["cid"])
+        self.server.moving.add(moved.request_id)
         if not self.let_go():  # no descriptor is free for its copy: it goes on here
             self.server.take_back(self)
         return self.passing is not None
@@ -455,7 +456,7 @@
         """Close at once, for want of descriptors; who is amid a request is told to come back."""
         if not self.closing and (self.message is not None or not self.parser.idle):
             if self.ask is not None:
-                self.server.core.turned_away(self.ask.job_class)
+                self.server.engine.count_rejected(self.ask.job_class)
             self.transport.write(
                 http.response(503, b"too many connections\n", retry_after(self.server.busy_retry), close=True)
             )
@@ -539,7 +540,7 @@
         job, self.job = self.job, None
         if job is not None:
             self.reason = "client-gone"
-            self.server.core.left(job)
+            self.server.engine.client_left(job)
         self.size = 0
         self.weigh()
         self.server.move(self, None)
@@ -561,7 +562,7 @@
 
     def __init__(
         self,
-        core: Core,
+        engine: Engine,
         deadlines: Deadlines,
         log: Log,
         report_of: ReportOf,
@@ -574,7 +575,7 @@
         write_for: float = 20_000.0,
         busy_retry: float = 1_000.0,
     ) -> None:
-        self.core, self.deadlines, self.log, self.report_of = core, deadlines, log, report_of
+        self.engine, self.deadlines, self.log, self.report_of = engine, deadlines, log, report_of
         # Accepting stops one step before the table is full; the reactor may hand over a few in one go.
         self.connections: Slots[ServerConnection] = Slots()
         self.most, self.soft = most, soft
@@ -673,7 +674,7 @@
         path = message.target.split("?", 1)[0]
         method = {"/up": "GET", "/callback": "POST"}.get(path)
         if method is None:
-            return ask_of(message, self.core)
+            return ask_of(message, self.engine)
         if message.method != method:
             raise RequestError(405, f"{method} only", (("Allow", method),))
         return None
@@ -720,7 +721,7 @@
 
     def turned_away(self, ask: Ask, why: str) -> RequestError:
         """Refuse a job that there is no room for: for the figures it is one refused."""
-        self.core.turned_away(ask.job_class)
+        self.engine.count_rejected(ask.job_class)
         return RequestError(503, why, retry_after(self.busy_retry))
 
     def submit(self, c: ServerConnection, message: http.Message, ask: Ask) -> None:
@@ -728,9 +729,9 @@
         self.enter(c, c, ask, message)
 
     def enter(self, c: ServerConnection, client: Client, ask: Ask, message: http.Message) -> None:
-        """Hand a job to the core."""
+        """Hand a job to the engine."""
         try:
-            number = self.core.take(ask, client)
+            number = self.engine.accept(ask, client)
         except RepeatedIdError:
             raise RequestError(400, "a job with this X-Call-Id is live or was answered") from None
         except TooManyJobsError:
@@ -752,7 +753,7 @@
         cid, worker, state = call.get("id"), call.get("from"), call.get("state")
         if not (isinstance(cid, str) and isinstance(worker, str) and isinstance(state, str)):
             raise RequestError(400, "id, from and state are text")
-        if not self.core.knows(cid) and (others := self.ask_others(call)) is not None:
+        if not self.engine.jobs.knows(cid) and (others := self.ask_others(call)) is not None:
             c.worker = True
             return others
         if self.called(call):
@@ -768,17 +769,17 @@
     def called(self, call: Any) -> bool:
         """Act on what a worker tells of a job here; say whether its attempt is live."""
         cid, worker, state = call["id"], call["from"], call["state"]
-        attempt = self.core.live(cid, worker)
+        attempt = self.engine.jobs.live_attempt(cid, worker)
         if attempt is None:
             return False
         if state in ("started", "running"):
             share = call.get("share")
             done = float(share) if isinstance(share, int | float) and 0 <= share <= 1 else 0.0
-            self.core.called_on(attempt, done, state == "started")
+            self.engine.attempts.worker_started(attempt, done, started=state == "started")
         elif state in ENDINGS:
             result = call.get("result", "")
             text = result if isinstance(result, str) else json.dumps(result)
-            self.core.called_back(
+            self.engine.attempts.worker_ended(
                 attempt,
                 Outcome(
                     ENDINGS[state], text.encode("utf-8", "surrogatepass"), self.report_of(call.get("load"))
@@ -811,11 +812,11 @@
         """Go on with a job that could not leave."""
         moved, c.moved = c.moved, None
         if moved is not None and c.parcel is not None:
-            self.moving.discard(moved["cid"])
-            if self.core.jobs.full:
-                self.core.turn_away_moved(moved, c)
+            self.moving.discard(moved.request_id)
+            if self.engine.jobs.live.full:
+                self.engine.reject_transfer(moved, c)
                 return
-            number = self.core.adopt(moved, c.parcel, c)
+            number = self.engine.import_job(moved, c.parcel, c)
             if c.busy:
                 c.job = number
 
@@ -825,7 +826,7 @@
         if fd is None:
             return
         if c.moved is not None:
-            self.moving.discard(c.moved["cid"])
+            self.moving.discard(c.moved.request_id)
         fields: dict[str, Any] = {
             "client": c.client,
             "worker": c.worker,
@@ -833,11 +834,15 @@
             "age": self.deadlines.now() - c.began,
         }
         if c.moved is not None and c.parcel is not None:
-            fields |= {"job": c.moved, "parcel": c.parcel.plain(), "last": c.close_after}
+            fields |= {
+                "job": self.engine.encode_transfer(c.moved),
+                "parcel": c.parcel.plain(),
+                "last": c.close_after,
+            }
         if not whole:  # its client is gone
             os.close(fd)
             if c.moved is not None:
-                self.core.abandon(c.moved)
+                self.engine.abandon_transfer(c.moved)
         elif not self.hand(fd, **fields):  # the other process is gone meanwhile
             self.keep(fd, fields)
 
@@ -847,7 +852,7 @@
         if "job" in fields:
             c.parcel = http.Message.from_plain(fields["parcel"])
             c.busy, c.close_after, c.size = True, fields["last"], len(c.parcel.body)
-            c.moved = fields["job"]
+            c.moved = self.engine.decode_transfer(fields["job"])
             self.move(c, None)
             if c.timer is not None:
                 c.timer.cancel()
--- a/elderstall/rehearsal/clients.py
+++ b/elderstall/rehearsal/clients.py
@@ -104,7 +104,7 @@
         self.served_by: Errand | None = None
 
     def answered(self, answer: Answer) -> None:
-        """Take the one final answer; see ``core.Client``."""
+        """Take the one final answer; see ``messages.Client``."""
         self.world.audit.answered(self, answer)
         if self.process is not None:
             self.process.answered.append(self.cid)
@@ -113,10 +113,10 @@
             self.world.clients.heard(self, answer)
 
     def progressed(self, share: float, text: str) -> None:
-        """Take news of a running attempt; see ``core.Client``."""
+        """Take news of a running attempt; see ``messages.Client``."""
 
     def here(self) -> bool:
-        """Say whether it waits; leaving is told at once here. See ``core.Client``."""
+        """Say whether it waits; leaving is told at once here. See ``messages.Client``."""
         return not self.over
 
     def lost(self) -> None:
@@ -309,7 +309,7 @@
             if tried is not None and not tried.over and tried.process is not None and tried.process.alive:
                 tried.over = True
                 self.world.audit.left(tried)
-                tried.process.core.left(tried.job)
+                tried.process.engine.client_left(tried.job)
                 tried.process.answered.append(tried.cid)
 
     def close(self, request: Request, ending: str, at: float) -> None:
--- a/elderstall/rehearsal/station.py
+++ b/elderstall/rehearsal/station.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from elderstall import interface as i
-from elderstall.core import Core, TooManyJobsError
 from elderstall.deadlines import Deadlines
+from elderstall.engine import Engine, TooManyJobsError
 from elderstall.log import Log
 from elderstall.messages import Ask
 from elderstall.rehearsal.script import EPOCH
@@ -46,7 +46,7 @@
         self.alive, self.leaving = True, False
         self.wire = Wire(self)
         rules = world.night.rules
-        self.core = Core(
+        self.engine = Engine(
             world.night.settings(station.rank),
             seed,
             self.deadlines,
@@ -55,7 +55,7 @@
             rules.slack,
             rules.max_open,
         )
-        self.core.follow = lambda: world.listing.follow(self)
+        self.engine.endpoints.follow = lambda: world.listing.follow(self)
         self.version = 0  # of the list as it was last told
         self.tries: dict[str, Try] = {}
         self.answered: deque[str] = deque()  # whose attempts can be forgotten
@@ -65,7 +65,7 @@
         self.version, entries = self.station.known
         self.world.audit.told(self, i.ListScope.WHOLE, entries)
         self.wire.listed(entries, whole=True)
-        self.core.start(entries)
+        self.engine.start(entries)
 
     def told(self, scope: i.ListScope, entries: tuple[i.Listed, ...], version: int) -> None:
         """Take news of the list."""
@@ -75,7 +75,7 @@
             self.version = version
             self.world.audit.told(self, scope, entries)
             self.wire.listed(entries, whole=scope is i.ListScope.WHOLE)
-        self.core.listed(scope, entries)
+        self.engine.endpoints.take(scope, entries)
 
     def take(self, tried: Try, budget: float) -> bool:
         """Take a client's try on; says no where there is no room."""
@@ -98,7 +98,7 @@
         )
         self.tries[tried.cid] = tried
         try:
-            tried.job = self.core.take(ask, tried)
+            tried.job = self.engine.accept(ask, tried)
         except TooManyJobsError:
             self.tries.pop(tried.cid, None)
             return False
@@ -164,9 +164,9 @@
             def empty() -> None:
                 self.world.loop.after(0.0, self.kill, process, back_in)
 
-            process.core.on_empty = empty
+            process.engine.answers.on_idle = empty
             self.world.loop.after(KILLED_AFTER, self.kill, process, back_in)
-            if not len(process.core.jobs):
+            if not len(process.engine.jobs):
                 self.kill(process, back_in)
 
     def kill(self, process: Process | None, back_in: float) -> None:
@@ -174,7 +174,7 @@
         process = process or self.process
         if process is None or not process.alive:
             return
-        self.known = process.version, tuple(process.core.view.entries.values())
+        self.known = process.version, tuple(process.engine.view.entries.values())
         self.process = None
         process.die()
         self.world.loop.after(back_in, self.start)
--- a/elderstall/rehearsal/wire.py
+++ b/elderstall/rehearsal/wire.py
@@ -143,7 +143,7 @@
         """Write the job; from its last byte on it may run."""
         self.link, self.written, self.wrote_at = link, True, self.wire.loop.now
         link.errand = self
-        self.wire.process.core.wrote()
+        self.wire.process.engine.count_written()
         self.wire.process.world.tally.attempts += 1
         self.wire.loop.after(self.machine.delay(), self.machine.receive, self, link)
 
@@ -389,21 +389,24 @@
 
     def called_back(self, errand: Errand, outcome: Outcome) -> None:
         """Take the end that a worker tells; acted on only if it is of the live attempt."""
-        core = self.process.core
+        engine = self.process.engine
         if not self.process.alive:
             return
-        attempt = core.live(errand.ask.cid, errand.machine.name)
+        attempt = engine.jobs.live_attempt(errand.ask.cid, errand.machine.name)
         if attempt is not None:
             self.process.audit_ended(errand, outcome.ending)
             if outcome.ending is i.Ending.SERVED:
                 errand.tried.served_by = errand
-            core.called_back(attempt, outcome)
+            engine.attempts.worker_ended(attempt, outcome)
 
     def noted(self, errand: Errand, share: float, started: bool = False) -> None:
         """Take a start or progress."""
-        core = self.process.core
-        if self.process.alive and (attempt := core.live(errand.ask.cid, errand.machine.name)) is not None:
-            core.noted(attempt, share, started=started)
+        engine = self.process.engine
+        if (
+            self.process.alive
+            and (attempt := engine.jobs.live_attempt(errand.ask.cid, errand.machine.name)) is not None
+        ):
+            engine.attempts.progressed(attempt, share, started=started)
 
     def ended(self, cid: str) -> None:
         """Forget a job's attempts once it is answered."""
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -41,7 +41,7 @@
         side = self.client()
         side.send(self.job(cid, job_class, budget, accept))
         self.ends[cid] = self.app.deadlines.now() + budget
-        self.until(lambda: cid in self.app.core.by_cid or self.app.core.knows(cid))
+        self.until(lambda: cid in self.app.engine.jobs.by_id or self.app.engine.jobs.knows(cid))
         return side
 
     def heard(self, cid: str) -> tuple[Side, float]:
@@ -148,13 +148,13 @@
                     self.turn()
                 self.held = None if kept else []
                 self.send("a2")
-                self.until(lambda: "a2" in self.app.core.by_cid)
-                job = self.app.core.by_cid["a2"]
+                self.until(lambda: "a2" in self.app.engine.jobs.by_id)
+                job = self.app.engine.jobs.by_id["a2"]
                 if kept:
                     self.heard("a2")
                 outcomes: list[Any] = []
                 ends = self.app.deadlines.now() + (0.0 if kept else 300.0)
-                sending = self.app.workers.send("w1", job.ask, ends, lambda *_: None, lambda: None)
+                sending = self.app.workers.send("w1", job.request, ends, lambda *_: None, lambda: None)
                 sending.addCallback(outcomes.append)
                 if not kept:
                     self.turn()
@@ -275,16 +275,16 @@
 
     def test_a_job_that_another_process_has_taken(self) -> None:
         self.begin()
-        core = self.app.core
-        core.exclude("w1")
+        engine = self.app.engine
+        engine.endpoints.ban("w1")
         self.send("a1")
-        job = core.by_cid["a1"]
-        state = core.release(job.number)  # it is held, as no worker may have it
+        job = engine.jobs.by_id["a1"]
+        state = engine.export_job(job.number)  # it is held, as no worker may have it
         assert state is not None
-        core.elsewhere.clear()
-        core.include("w1")
+        engine.jobs.taken_elsewhere.clear()
+        engine.endpoints.end_ban("w1")
         self.hold_up()
-        core.adopt(state, job.ask.parcel, job.client)
+        engine.import_job(state, job.request.parcel, job.client)
         for _ in range(300):
             if self.came():
                 break
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -35,7 +35,7 @@
         client = self.client()
         accept = "text/event-stream" if self.progress else "*/*"
         client.send(self.job(cid, job_class, accept=accept))
-        self.until(lambda: cid in self.app.core.by_cid)
+        self.until(lambda: cid in self.app.engine.jobs.by_id)
         return client
 
     def occupy(self) -> None:
@@ -66,7 +66,7 @@
         for _ in range(10):
             self.wait(50)
             self.assertEqual([], [what for what, _ in self.came() if what.startswith("POST")])
-        self.assertNotIn("gone", self.app.core.by_cid)
+        self.assertNotIn("gone", self.app.engine.jobs.by_id)
 
 
 class Departure(Leaving):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -24,8 +24,9 @@
 from elderstall.app import App
 from elderstall.clocks import wall_offset
 from elderstall.config import config_of
-from elderstall.core import CLOCK_SLACK, LEFT_UNKNOWN, Core
 from elderstall.deadlines import Deadlines
+from elderstall.engine import Engine
+from elderstall.engine.job_transfer import CLOCK_SLACK, LEFT_UNKNOWN
 from elderstall.net import http
 from elderstall.net.discovery import told_as
 from elderstall.net.monotonic_reactor import MonotonicReactor
@@ -233,7 +234,7 @@
         self.turn()
 
     def cold(self, worker: str) -> bool:
-        module = self.app.core.module
+        module = self.app.engine.decisions
         module.context.now = self.app.deadlines.now()
         return module.slow_start.binds(module.endpoints.workers[worker])
 
@@ -255,26 +256,29 @@
         self.begin(workers=2)
         self.list_starts(42, whole=True, w1=0, w2=self.wall() - 1_000.0)
         since_ms = self.wall() - 1_000.0
-        started, place = self.app.core.module.endpoints.workers["w2"].started, self.app.workers.places["w2"]
+        started, place = (
+            self.app.engine.decisions.endpoints.workers["w2"].started,
+            self.app.workers.places["w2"],
+        )
         self.off_by = -QUARTER
         self.watches[-1].sock.close()
         count = len(self.asked_lists())
         self.until(lambda: self.wait(50) or len(self.asked_lists()) > count)  # type: ignore[func-returns-value]
         self.list_starts(43, whole=True, w1=0, w2=since_ms)
-        self.assertEqual(started, self.app.core.module.endpoints.workers["w2"].started)
+        self.assertEqual(started, self.app.engine.decisions.endpoints.workers["w2"].started)
         self.assertIs(place, self.app.workers.places["w2"])
 
     def test_a_ban_lifted_after_a_step(self) -> None:
         """Starts and bans are compared: a step back had a new process pass for one of before the ban."""
         self.begin()
         self.list_starts(42, whole=True, w1=0)
-        self.app.core.exclude("w1")
+        self.app.engine.endpoints.ban("w1")
         self.jump(1_000.0)
         self.off_by = -QUARTER
         self.list_starts(43, w1=self.wall())  # started anew while banned
         self.jump(500.0)
-        self.app.core.include("w1")
-        started = self.app.core.module.endpoints.workers["w1"].started
+        self.app.engine.endpoints.end_ban("w1")
+        started = self.app.engine.decisions.endpoints.workers["w1"].started
         self.assertAlmostEqual(500.0, self.app.deadlines.now() - (started or 0), 1)
 
 
@@ -315,14 +319,14 @@
         }
         self.watches[-1].send(http.chunk(json.dumps(line).encode() + b"\n"))
         self.turn()
-        self.app.core.exclude("w2")
-        self.app.core.exclude("w3")
+        self.app.engine.endpoints.ban("w2")
+        self.app.engine.endpoints.ban("w3")
         self.jump(1_000.0)
-        self.app.core.include("w3")
-        worker = self.app.core.module.endpoints.workers["w1"]
+        self.app.engine.endpoints.end_ban("w3")
+        worker = self.app.engine.decisions.endpoints.workers["w1"]
         worker.warm_up_sends.append((now, 55.0))
         worker.backoff_until, worker.peak_slots = now + 10, 7
-        self.app.core.module.endpoints.workers["w3"].peak_slots = 9
+        self.app.engine.decisions.endpoints.workers["w3"].peak_slots = 9
 
     def test_bans_starts_and_what_was_learned(self) -> None:
         for step in (0.0, *STEPS):
@@ -331,38 +335,38 @@
                 old, new = self.app, self.after(step)
                 shift = new.deadlines.offset - old.deadlines.offset
                 self.assertEqual(step, shift)
-                self.assertAlmostEqual(old.core.view.banned["w2"] + shift, new.core.view.banned["w2"], 1)
-                banned, until = old.core.view.put_back["w3"]
-                self.assertAlmostEqual(banned + shift, new.core.view.put_back["w3"][0], 1)
-                self.assertAlmostEqual(until + shift, new.core.view.put_back["w3"][1], 1)
+                self.assertAlmostEqual(old.engine.view.banned["w2"] + shift, new.engine.view.banned["w2"], 1)
+                banned, until = old.engine.view.put_back["w3"]
+                self.assertAlmostEqual(banned + shift, new.engine.view.put_back["w3"][0], 1)
+                self.assertAlmostEqual(until + shift, new.engine.view.put_back["w3"][1], 1)
                 for name in ("w1", "w3"):
                     before, now = (
-                        old.core.module.endpoints.workers[name],
-                        new.core.module.endpoints.workers[name],
+                        old.engine.decisions.endpoints.workers[name],
+                        new.engine.decisions.endpoints.workers[name],
                     )
                     self.assertAlmostEqual((before.started or 0) + shift, now.started or 0, 1)
                     self.assertEqual(before.peak_slots, now.peak_slots)
-                self.assertEqual(7, new.core.module.endpoints.workers["w1"].peak_slots)
-                at, work = new.core.module.endpoints.workers["w1"].warm_up_sends[0]
+                self.assertEqual(7, new.engine.decisions.endpoints.workers["w1"].peak_slots)
+                at, work = new.engine.decisions.endpoints.workers["w1"].warm_up_sends[0]
                 self.assertAlmostEqual(
-                    old.core.module.endpoints.workers["w1"].warm_up_sends[0][0] + shift, at, 1
+                    old.engine.decisions.endpoints.workers["w1"].warm_up_sends[0][0] + shift, at, 1
                 )
                 self.assertEqual(55.0, work)
                 self.assertAlmostEqual(
-                    old.core.module.endpoints.workers["w1"].backoff_until + shift,
-                    new.core.module.endpoints.workers["w1"].backoff_until,
+                    old.engine.decisions.endpoints.workers["w1"].backoff_until + shift,
+                    new.engine.decisions.endpoints.workers["w1"].backoff_until,
                     1,
                 )
 
     def test_with_no_step_a_process_of_the_version_before_is_understood(self) -> None:
         self.prepare()
         new = self.after(0.0, of_before=True)
-        self.assertEqual(self.app.core.view.banned, new.core.view.banned)
-        self.assertEqual(self.app.core.view.put_back, new.core.view.put_back)
+        self.assertEqual(self.app.engine.view.banned, new.engine.view.banned)
+        self.assertEqual(self.app.engine.view.put_back, new.engine.view.put_back)
         for name in ("w1", "w3"):
             before, now = (
-                self.app.core.module.endpoints.workers[name],
-                new.core.module.endpoints.workers[name],
+                self.app.engine.decisions.endpoints.workers[name],
+                new.engine.decisions.endpoints.workers[name],
             )
             self.assertEqual(
                 (before.started, before.peak_slots, before.warm_up_sends),
@@ -377,7 +381,7 @@
             old.unix = lambda step=step: old.now() + step  # type: ignore[misc]
             state, fd = self.app.state()
             os.close(fd)
-            self.assertAlmostEqual(self.app.core.view.banned["w2"] + step, state["banned"]["w2"], 1)
+            self.assertAlmostEqual(self.app.engine.view.banned["w2"] + step, state["banned"]["w2"], 1)
             learned = state["learned"]["workers"]
             listed = {e["name"]: e["since_ms"] for e in state["known"]["endpoints"]}
             self.assertEqual(listed["w1"], learned["w1"]["started"])  # it compares the two
@@ -393,45 +397,47 @@
 class MovingJobs(One):
     """A job moves to a process whose clock readings differ, after a step."""
 
-    def next_core(self, step: float) -> Core:
-        old = self.core.deadlines
+    def next_core(self, step: float) -> Engine:
+        old = self.engine.deadlines
         old.unix = lambda: old.now() + step
         deadlines = Deadlines(self.clock, self.clock.seconds, old.now() + step)
-        core = Core(self.core.s, 1, deadlines, self.carrier, self.core.log)
-        core.listed(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
-        core.module.handle = lambda now, event: []  # type: ignore[method-assign]
-        return core
+        engine = Engine(self.engine.settings, 1, deadlines, self.carrier, self.engine.log)
+        engine.endpoints.take(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
+        engine.decisions.handle = lambda now, event: []  # type: ignore[method-assign]
+        return engine
 
-    def moved(self, step: float, **changes: Any) -> tuple[dict[str, Any], Core, Client]:
+    def moved(self, step: float, **changes: Any) -> tuple[dict[str, Any], Engine, Client]:
         """Release a job 300 ms after its arrival, and have the next process adopt it."""
         number = self.job("safe")
         self.clock.advance(0.3)
-        core = self.next_core(step)
-        state = self.core.release(number)
-        assert state is not None
+        engine = self.next_core(step)
+        transfer = self.engine.export_job(number)
+        assert transfer is not None
+        state = self.engine.encode_transfer(transfer)
         state = json.loads(json.dumps(state)) | changes
         client = Client()
-        core.adopt({name: value for name, value in state.items() if value != "left out"}, None, client)
-        return state, core, client
+        told = {name: value for name, value in state.items() if value != "left out"}
+        engine.import_job(engine.decode_transfer(told), None, client)
+        return state, engine, client
 
     def test_it_keeps_the_time_that_it_has_left(self) -> None:
         for step in (0.0, *STEPS):
             with self.subTest(step):
                 self.setUp()
-                state, core, client = self.moved(step)
-                job = core.by_cid["a1"]
-                self.assertAlmostEqual(1_700.0, job.deadline - core.deadlines.now(), 1)
-                self.assertAlmostEqual(300.0, core.deadlines.now() - job.arrived, 1)
+                state, engine, client = self.moved(step)
+                job = engine.jobs.by_id["a1"]
+                self.assertAlmostEqual(1_700.0, job.deadline - engine.deadlines.now(), 1)
+                self.assertAlmostEqual(300.0, engine.deadlines.now() - job.arrived, 1)
                 # As a process of the version before reads it, which takes it for a reading of its own:
-                self.assertAlmostEqual(core.deadlines.now() - 300.0, state["arrived"], 1)
+                self.assertAlmostEqual(engine.deadlines.now() - 300.0, state["arrived"], 1)
                 self.clock.advance(1.65)
                 self.assertEqual([], client.answers)
                 self.clock.advance(0.1)
                 self.assertEqual(1, len(client.answers))
 
     def test_with_no_step_one_of_the_version_before_is_understood(self) -> None:
-        _, core, _ = self.moved(0.0, clock="left out")
-        self.assertAlmostEqual(1_700.0, core.by_cid["a1"].deadline - core.deadlines.now(), 1)
+        _, engine, _ = self.moved(0.0, clock="left out")
+        self.assertAlmostEqual(1_700.0, engine.jobs.by_id["a1"].deadline - engine.deadlines.now(), 1)
 
     def test_one_of_the_version_before_with_a_step_still_has_its_answer_in_time(self) -> None:
         """Its time left is not known: it is answered before it could be lost."""
@@ -440,12 +446,13 @@
                 self.setUp()
                 number = self.job("safe")
                 self.clock.advance(0.3)
-                core, client = self.next_core(step), Client()
-                self.core.deadlines.unix = self.core.deadlines.now  # it knows of no step
-                state = self.core.release(number)
-                assert state is not None
+                engine, client = self.next_core(step), Client()
+                self.engine.deadlines.unix = self.engine.deadlines.now  # it knows of no step
+                transfer = self.engine.export_job(number)
+                assert transfer is not None
+                state = self.engine.encode_transfer(transfer)
                 del state["clock"]
-                core.adopt(state, None, client)
+                engine.import_job(engine.decode_transfer(state), None, client)
                 self.assertEqual([], client.answers)
                 self.clock.advance((LEFT_UNKNOWN + 8) / 1000)
                 self.assertEqual(1, len(client.answers))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -47,7 +47,7 @@
     def serve(self, client: Side, cid: str) -> http.Message:
         self.take(f"POST {cid}").send(http.response(202))
         self.turn()
-        attempt = self.app.core.by_cid[cid].attempt
+        attempt = self.app.engine.jobs.by_id[cid].attempt
         assert attempt is not None
         self.call_back(cid, worker=attempt.worker)
         message = self.answer(client)
@@ -130,7 +130,7 @@
         self.turn()
         self.assertTrue(self.closed(client))
         self.assertTrue(unread(c.transport))
-        self.assertFalse(self.app.core.knows("a2"))
+        self.assertFalse(self.app.engine.jobs.knows("a2"))
         self.assertEqual([], client.messages)
         client.sock.close()
         self.wait(2 * LOOK_AGAIN)
@@ -171,9 +171,9 @@
         self.take("POST a1").send(http.response(202))
         self.turn()
         client.send(self.job("a2", budget=900))
-        attempt = self.app.core.by_cid["a1"].attempt
+        attempt = self.app.engine.jobs.by_id["a1"].attempt
         assert attempt is not None
-        self.app.core.called_back(attempt, Outcome(Ending.SERVED, b"deck a1"))
+        self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"deck a1"))
         self.assertEqual(200, self.answer(client).status)
         self.serve(client, "a2")
 
@@ -216,9 +216,9 @@
             client.send(self.job(cid))
             self.take(f"POST {cid}").send(http.response(202))
             self.turn()
-            attempt = self.app.core.live(cid, "w1")
+            attempt = self.app.engine.jobs.live_attempt(cid, "w1")
             assert attempt is not None
-            self.app.core.called_back(attempt, Outcome(Ending.SERVED, b"x" * 5_000))
+            self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"x" * 5_000))
             self.turn()
         client.send(b"nothing\r\n\r\n")
         self.turn()
@@ -286,9 +286,9 @@
         self.turn()
         c = self.connection(client)
         c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
-        attempt = self.app.core.live("a1", "w1")
+        attempt = self.app.engine.jobs.live_attempt("a1", "w1")
         assert attempt is not None
-        self.app.core.called_back(attempt, Outcome(Ending.SERVED, b"x" * 60_000))
+        self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"x" * 60_000))
         self.turn()
         self.assertTrue(c.closing)
         self.wait(YOUNG + 10)
@@ -333,7 +333,7 @@
         may_pass, server.may_pass = server.may_pass, lambda: True
         server.pass_all()
         server.may_pass = may_pass
-        self.assertEqual(0, len(self.app.core.jobs))
+        self.assertEqual(0, len(self.app.engine.jobs))
         self.turn()
         self.finish(client)
 
@@ -355,10 +355,10 @@
     def test_other_process_dies_with_the_descriptor_on_its_way(self) -> None:
         client = self.job_out()
         link = self.successor()
-        self.assertEqual(0, len(self.app.core.jobs))
+        self.assertEqual(0, len(self.app.engine.jobs))
         link.close()
         self.turn()
-        self.assertEqual(1, len(self.app.core.jobs))
+        self.assertEqual(1, len(self.app.engine.jobs))
         self.finish(client)
 
     def test_other_process_dies_after_it_confirmed_the_descriptor(self) -> None:
@@ -371,7 +371,7 @@
             os.close(fd)
         link.close()
         self.turn()
-        self.assertEqual(0, len(self.app.core.jobs))  # its connection was the other's alone
+        self.assertEqual(0, len(self.app.engine.jobs))  # its connection was the other's alone
         self.assertTrue(self.closed(client))
 
     def test_descriptor_taken_is_confirmed_though_the_next_message_is_faulty(self) -> None:
@@ -386,7 +386,7 @@
         socket.send_fds(link, [line.encode() + b"\nno message\n"], [fd])
         os.close(fd)
         self.turn()
-        self.assertTrue(self.app.core.knows("a2"))
+        self.assertTrue(self.app.engine.jobs.knows("a2"))
         self.assertEqual(b'{"m": "got"}\n', link.recv(1_000))
         self.assertEqual(b"", link.recv(1_000))
         client.sock.close()
@@ -476,7 +476,7 @@
         for effect, attempt, status in (("safe", True, 503), ("unsafe", True, 502), ("unsafe", False, 503)):
             with self.subTest(effect=effect, attempt=attempt):
                 self.begin()
-                self.app.core.jobs.most = 0
+                self.app.engine.jobs.live.most = 0
                 now = self.app.deadlines.now()
                 fields, fd, client = self.moved(
                     cls={**safe, "effect": effect}, attempt=["w1", now, now + 900] if attempt else None
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -168,12 +168,12 @@
 
     module: Dispatcher
     settings: i.Settings
-    part: float = 1.0  # of its rank's cold budget, as ``Core.share`` sets it
+    part: float = 1.0  # of its rank's cold budget, as ``Engine.share`` sets it
     told: dict[str, float] = field(default_factory=dict)  # the start that it was told of each worker
     owed: int = 0
 
     def retuned(self) -> i.Retuned:
-        """Give the settings as ``Core.share`` hands them on."""
+        """Give the settings as ``Engine.share`` hands them on."""
         multiple = self.settings.push_multiple * self.part
         return i.Retuned(replace(self.settings, push_multiple=multiple))
 
@@ -276,7 +276,7 @@
             self.feed(process, process.retuned())
 
     def share(self, process: Process, part: float) -> None:
-        """Leave the other process its part, as ``Core.share`` does."""
+        """Leave the other process its part, as ``Engine.share`` does."""
         process.part = part
         self.feed(process, process.retuned())
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -245,7 +245,7 @@
     def test_a_worker_put_back_counts_as_just_started_until_the_list_tells(self) -> None:
         """Guards rule 4: discovery may show the former start for seconds after a restart."""
         self.begin()
-        module, clock = self.world.app.core.module, self.world.app.deadlines
+        module, clock = self.world.app.engine.decisions, self.world.app.deadlines
         self.play("""
             wait 100
             o send POST /api/exclude?id=w1
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,13 +5,14 @@
 import json
 import unittest
 from collections.abc import Callable
+from typing import Any
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
 from elderstall import interface as i
-from elderstall.core import Core, RepeatedIdError
 from elderstall.deadlines import Deadlines
+from elderstall.engine import Engine, RepeatedIdError
 from elderstall.log import Log
 from elderstall.messages import Answer, Ask, Failed, Outcome, Refused, Served
 
@@ -79,11 +80,11 @@
         deadlines = Deadlines(self.clock, self.clock.seconds, 0.0)
         log = Log(deadlines.now)
         log.print = lambda now, code, text: None  # type: ignore[method-assign]
-        self.core = Core(i.Settings(CLASSES, max_attempts=2), 1, deadlines, self.carrier, log)
+        self.engine = Engine(i.Settings(CLASSES, max_attempts=2), 1, deadlines, self.carrier, log)
         self.events: list[i.Event] = []
         self.asked: list[i.Action] = []
-        self.core.module.handle = self.handle  # type: ignore[method-assign]
-        self.core.listed(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
+        self.engine.decisions.handle = self.handle  # type: ignore[method-assign]
+        self.engine.endpoints.take(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         self.events.append(event)
@@ -91,11 +92,11 @@
         return actions
 
     def job(self, job_class: str) -> int:
-        return self.core.take(Ask("a1", job_class, 2_000.0, None), self.client)
+        return self.engine.accept(Ask("a1", job_class, 2_000.0, None), self.client)
 
     def ask(self, *actions: i.Action) -> None:
         self.asked = list(actions)
-        self.core.feed(i.TimerFired(9))
+        self.engine.feed.feed(i.TimerFired(9))
 
     def never_sent(self) -> int:
         ends = [e for e in self.events if isinstance(e, i.AttemptEnded)]
@@ -113,19 +114,19 @@
 
     def test_nothing_goes_to_a_worker_told_draining(self) -> None:
         job = self.job("safe")
-        self.core.listed(i.ListScope.CHANGES, (i.Listed("w", state=i.WorkerState.DRAINING),))
-        self.core.listed(i.ListScope.WHOLE, (i.Listed("w", state=i.WorkerState.DRAINING),))
+        self.engine.endpoints.take(i.ListScope.CHANGES, (i.Listed("w", state=i.WorkerState.DRAINING),))
+        self.engine.endpoints.take(i.ListScope.WHOLE, (i.Listed("w", state=i.WorkerState.DRAINING),))
         self.clock.advance(1.0)
-        self.core.listed(i.ListScope.CHANGES, (i.Listed("w", state=i.WorkerState.GONE),))
+        self.engine.endpoints.take(i.ListScope.CHANGES, (i.Listed("w", state=i.WorkerState.GONE),))
         self.clock.advance(0.6)  # the later news does not set the clock back
         self.ask(i.Send(job, "w"), i.Send(job, "v"))
         self.assertEqual(([], 2), (self.carrier.sent, self.never_sent()))
 
     def test_the_time_for_drains_is_that_of_the_settings(self) -> None:
         """A deployment may allow 500 ms; the core held each to what the first one allows."""
-        self.core.retune(i.Settings(CLASSES, max_attempts=2, drain_within=500.0), 8.0, 100)
+        self.engine.change_settings(i.Settings(CLASSES, max_attempts=2, drain_within=500.0), 8.0, 100)
         job = self.job("safe")
-        self.core.listed(i.ListScope.CHANGES, (i.Listed("w", state=i.WorkerState.DRAINING),))
+        self.engine.endpoints.take(i.ListScope.CHANGES, (i.Listed("w", state=i.WorkerState.DRAINING),))
         self.clock.advance(0.4)
         self.ask(i.Send(job, "w"))
         self.assertEqual(([], 1), (self.carrier.sent, self.never_sent()))
@@ -175,7 +176,7 @@
         self.carrier.sent[0][1].callback(None)
         self.clock.advance(0.31)
         self.ask(i.Send(job, "v"))
-        self.core.left(job)
+        self.engine.client_left(job)
         ends = [e for e in self.events if isinstance(e, i.AttemptEnded) and e.number == 1]
         self.assertEqual([("v", i.Ending.NEVER_SENT, True)], [(e.worker, e.ending, e.final) for e in ends])
         self.carrier.recalls[0].callback(True)
@@ -186,14 +187,14 @@
         self.client.gone = True
         self.ask(i.Send(job, "w"))
         self.assertEqual(([], [], 1), (self.carrier.sent, self.client.answers, self.never_sent()))
-        self.assertEqual(0, len(self.core.jobs))
+        self.assertEqual(0, len(self.engine.jobs))
 
     def test_a_ban_is_no_news_of_discoverys(self) -> None:
-        self.core.started = True
-        self.core.listed(i.ListScope.CHANGES, (i.Listed("w"),))
+        self.engine.endpoints.started = True
+        self.engine.endpoints.take(i.ListScope.CHANGES, (i.Listed("w"),))
         self.clock.advance(1.0)
-        self.core.exclude("w")
-        self.assertEqual(1_000.0, self.core.figures().list_age)
+        self.engine.endpoints.ban("w")
+        self.assertEqual(1_000.0, self.engine.figures().list_age)
 
     def test_a_carrier_that_fails_leaves_the_job_as_one_that_may_have_run(self) -> None:
         job = self.job("unsafe")
@@ -206,46 +207,52 @@
 class Moves(One):
     """A job goes from one process to the next."""
 
-    def moved(self, job_class: str) -> tuple[Core, list[i.Event]]:
+    def moved(self, job_class: str) -> tuple[Engine, list[i.Event]]:
         number = self.job(job_class)
-        self.assertIsNotNone(self.core.jobs.get(number))
+        self.assertIsNotNone(self.engine.jobs.get(number))
         self.ask(i.Send(number, "w"))
-        self.assertIsNone(self.core.release(number), "its worker has not confirmed it")
+        self.assertIsNone(self.engine.export_job(number), "its worker has not confirmed it")
         self.carrier.sent[-1][1].callback(None)
         return self.next_process(number)
 
-    def next_process(self, number: int) -> tuple[Core, list[i.Event]]:
-        state = json.loads(json.dumps(self.core.release(number)))
-        self.assertEqual((0, False), (len(self.core.jobs), self.core.knows("a1")))
-        deadlines = self.core.deadlines
-        other = Core(i.Settings(CLASSES, max_attempts=2), 2, deadlines, self.carrier, self.core.log)
+    def exported(self, number: int) -> dict[str, Any]:
+        """Let go of a job; gives the message."""
+        transfer = self.engine.export_job(number)
+        assert transfer is not None
+        return self.engine.encode_transfer(transfer)
+
+    def next_process(self, number: int) -> tuple[Engine, list[i.Event]]:
+        state = json.loads(json.dumps(self.exported(number)))
+        self.assertEqual((0, False), (len(self.engine.jobs), self.engine.jobs.knows("a1")))
+        deadlines = self.engine.deadlines
+        other = Engine(i.Settings(CLASSES, max_attempts=2), 2, deadlines, self.carrier, self.engine.log)
         events: list[i.Event] = []
-        other.module.handle = lambda now, event: events.append(event) or []  # type: ignore
-        other.listed(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
-        other.taken_elsewhere("a1")
-        other.adopt(state, None, self.client)
+        other.decisions.handle = lambda now, event: events.append(event) or []  # type: ignore
+        other.endpoints.take(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
+        other.jobs.taken_elsewhere.add("a1")
+        other.import_job(other.decode_transfer(state), None, self.client)
         return other, events
 
     def test_its_attempt_goes_on_there_and_its_client_is_answered_once(self) -> None:
         other, events = self.moved("unsafe")
         self.assertEqual(["w"], [e.worker for e in events if isinstance(e, i.JobInherited)])
         with self.assertRaises(RepeatedIdError):
-            self.core.take(Ask("a1", "unsafe", 2_000.0, None), self.client)
-        live = other.live("a1", "w")
+            self.engine.accept(Ask("a1", "unsafe", 2_000.0, None), self.client)
+        live = other.jobs.live_attempt("a1", "w")
         assert live is not None
-        other.called_back(live, Outcome(i.Ending.SERVED, b"deck"))
+        other.attempts.worker_ended(live, Outcome(i.Ending.SERVED, b"deck"))
         self.clock.advance(10)
         self.assertEqual([Served(b"deck")], self.client.answers)
 
     def test_there_it_is_not_sent_again_if_it_may_have_run(self) -> None:
         other, _ = self.moved("unsafe")
-        live = other.live("a1", "w")
+        live = other.jobs.live_attempt("a1", "w")
         assert live is not None
-        other.called_back(live, Outcome(i.Ending.BROKEN))
-        job = other.by_cid["a1"]
-        other.send(i.Send(job.number, "v"))
+        other.attempts.worker_ended(live, Outcome(i.Ending.BROKEN))
+        job = other.jobs.by_id["a1"]
+        other.attempts.send(i.Send(job.number, "v"))
         self.assertEqual(1, len(self.carrier.sent))
-        other.refuse(i.Refuse(job.number))
+        other.answers.reject(i.Refuse(job.number))
         self.assertEqual([Failed()], self.client.answers)
 
     def test_its_time_runs_out_there(self) -> None:
@@ -260,18 +267,18 @@
         number = self.job("safe")
         self.ask(i.Send(number, "w"))
         self.carrier.sent[-1][1].callback(None)
-        live = self.core.live("a1", "w")
+        live = self.engine.jobs.live_attempt("a1", "w")
         assert live is not None
-        self.core.called_back(live, Outcome(i.Ending.FULL))
+        self.engine.attempts.worker_ended(live, Outcome(i.Ending.FULL))
         other, events = self.next_process(number)
         self.assertEqual([None], [e.ran_on for e in events if isinstance(e, i.JobInherited)])
-        self.assertEqual({"w"}, other.by_cid["a1"].back)
+        self.assertEqual({"w"}, other.jobs.by_id["a1"].handed_back)
 
     def test_with_its_client_gone_its_worker_is_told(self) -> None:
         number = self.job("unsafe")
         self.ask(i.Send(number, "w"))
         self.carrier.sent[-1][1].callback(None)
-        state = self.core.release(number)
+        state = self.engine.export_job(number)
         assert state is not None
-        self.core.abandon(state)
+        self.engine.abandon_transfer(state)
         self.assertEqual(1, len(self.carrier.recalls))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -45,7 +45,7 @@
     def sent(self, cid: str, job_class: str = "album", accept: str = "*/*") -> Side:
         side = self.client()
         side.send(self.job(cid, job_class, accept=accept) + MUCH)
-        self.until(lambda: cid in self.app.core.by_cid)
+        self.until(lambda: cid in self.app.engine.jobs.by_id)
         return side
 
     def occupy(self) -> None:
@@ -62,7 +62,7 @@
         self.call_back("first")
         self.wait(200)
         self.nothing()
-        self.assertNotIn("gone", self.app.core.by_cid)
+        self.assertNotIn("gone", self.app.engine.jobs.by_id)
 
     def test_on_the_front_for_streams(self) -> None:
         self.begin(progress=True)
@@ -97,7 +97,7 @@
         side.sock.close()
         self.wait(GONE_FOR)  # the silent workers were waited for, and the job decided on, long before
         self.assertEqual([], [what for what, _ in self.came() if what.startswith("POST")])
-        self.assertNotIn("gone", self.app.core.by_cid)
+        self.assertNotIn("gone", self.app.engine.jobs.by_id)
 
     def test_between_attempts(self) -> None:
         self.begin()
@@ -189,7 +189,7 @@
                 side.sock.close()
                 left[cid] = self.app.deadlines.now()
             if len(running) > 1:  # of two in a row the first is handed back and goes on to another worker
-                attempt = self.app.core.by_cid[running[0]].attempt
+                attempt = self.app.engine.jobs.by_id[running[0]].attempt
                 assert attempt is not None
                 self.call_back(running.pop(0), "returned" if n % 2 else "done", attempt.worker)
             for what, worker in self.came():
@@ -436,9 +436,9 @@
         self.tell(50, whole=True, w1="draining", w2="up")
         self.tell(49, whole=True, w1="up", w2="up")
         self.tell(48, w1="up")
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
         self.tell(51, w1="up")
-        self.assertEqual("up", self.app.core.view.state("w1").value)
+        self.assertEqual("up", self.app.engine.view.state("w1").value)
 
     def test_a_new_watch_may_begin_with_a_whole_list_of_a_lower_version(self) -> None:
         self.begin(workers=2)
@@ -447,7 +447,7 @@
         self.wait(300)
         self.until(lambda: len(self.asked_lists()) == 2)
         self.tell(3, whole=True, w1="draining", w2="up")
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_still_being_opened_at_the_end_is_given_up(self) -> None:
         self.begin()
@@ -461,7 +461,7 @@
 
     def test_a_list_past_what_memory_holds_leaves_addresses_and_workers_as_they_were(self) -> None:
         self.begin(workers=2)
-        self.app.core.view.entries_most = 50
+        self.app.engine.view.entries_most = 50
         self.tell(43, whole=True, w1="up", w2="up")
         places = dict(self.app.workers.places)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
@@ -470,10 +470,10 @@
         )
         self.turn()
         self.assertEqual(places, self.app.workers.places)
-        self.assertEqual({"w1", "w2"}, set(self.app.core.view.entries))
-        self.assertEqual(1, self.app.core.figures().lists_refused)
+        self.assertEqual({"w1", "w2"}, set(self.app.engine.view.entries))
+        self.assertEqual(1, self.app.engine.figures().lists_refused)
         self.tell(45, w1="draining")  # the watch goes on
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_numbers_that_are_none_end_the_watch(self) -> None:
         self.begin()
@@ -628,17 +628,17 @@
         new.send(self.job("new").replace(b"norte", b"clinic"))
         self.take("POST new").sock.close()  # the class of that name is not to be repeated now
         self.assertEqual(502, self.answer(new).status)
-        module = self.app.core.module
+        module = self.app.engine.decisions
         self.assertEqual({"deck-fetch", "scan"}, set(module.context.mode.classes))
         self.assertEqual(
             (300.0, 2, 100.0),
             (
-                self.app.core.s.drain_within,
+                self.app.engine.settings.drain_within,
                 module.context.settings.max_attempts,
                 self.app.workers.connect_for,
             ),
         )
-        self.assertEqual({"clinic"}, self.app.core.tenants)
+        self.assertEqual({"clinic"}, self.app.engine.tenants)
         self.nothing()
 
 
@@ -657,7 +657,7 @@
             quiet += 50
             self.assertLess(quiet, 6_000 - 500)
         self.tell(60, whole=True, w1="draining", w2="up")
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     FLEETS: tuple[dict[str, Any], ...] = (
         {},
@@ -678,7 +678,7 @@
 
     def told_on_the_newest_call(self) -> None:
         self.tell(60, whole=True, w1="draining", w2="up")
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_and_the_call_after_it_are_both_silent(self) -> None:
         """What the watch misses counts as told 6 s after its last line, whatever becomes of the next call."""
@@ -716,14 +716,14 @@
         self.quiet_until_called(6_000)
         self.watches[-2].sock.close()
         self.turn()
-        self.assertEqual(0, self.app.core.figures().list_failed)
+        self.assertEqual(0, self.app.engine.figures().list_failed)
         self.told_on_the_newest_call()
 
     def test_both_calls_silent_are_one_failure_and_end_both(self) -> None:
         self.begin(workers=2)
         self.wait(4_100)
         self.asked_lists()
-        self.assertEqual(1, self.app.core.figures().list_failed)
+        self.assertEqual(1, self.app.engine.figures().list_failed)
         self.assertEqual([True, True], [side.ended for side in self.watches[:2]])
 
     def test_moved_amid_two_calls_only_the_new_address_is_called(self) -> None:
@@ -813,7 +813,7 @@
                     if len(self.asked_lists()) > called:
                         break
                 self.tell(60, whole=True, w1="draining", w2="up")
-                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 crowd += self.idle_clients(self.SOCKETS)
                 self.wait(1_000)
                 self.assertFalse(self.watches[-1].ended)
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -10,7 +10,7 @@
 import unittest
 from typing import Any
 
-from elderstall.core import HELD_UP
+from elderstall.engine.rules import HELD_UP
 from elderstall.net import http
 from elderstall.recovery.listing import RETRY_MOST, ListCalls
 from tests.loopback import Loopback, Side
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -22,9 +22,9 @@
 
     def test_progress_reaches_client_and_module_and_one_result_closes(self) -> None:
         self.begin()
-        core, seen = self.world.app.core, list[i.Event]()
-        handle = core.module.handle
-        core.module.handle = lambda now, e: (seen.append(e), handle(now, e))[1]  # type: ignore
+        engine, seen = self.world.app.engine, list[i.Event]()
+        handle = engine.decisions.handle
+        engine.decisions.handle = lambda now, e: (seen.append(e), handle(now, e))[1]  # type: ignore
         self.play(f"""
             {OPEN}
             c expect nothing
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -80,7 +80,7 @@
                     ["/discovery/hosts?watch=1&from=0"], [m.target for m in calls[4][0].messages]
                 )
                 self.say(former, 43, w1="draining")
-                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 self.say(calls[4][0], 7, whole=True, w1="draining", w2="up")
                 former.read()
                 self.assertTrue(former.ended)
@@ -101,7 +101,7 @@
         self.say(self.watches[-1], 44, whole=True, w1="draining", w2="up")
         former.read()
         self.assertTrue(former.ended)
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_job_under_way_and_one_that_is_being_read_get_their_answers(self) -> None:
         self.begin(workers=2)
@@ -140,7 +140,7 @@
         self.reload(last)
         self.wait(50)
         self.assertEqual([0, 1], [len(self.calls_at(place)) for place in (first, last)])
-        self.assertEqual(2, self.app.core.counts.load_errors)
+        self.assertEqual(2, self.app.engine.counters.load_errors)
 
 
 class InQuickSuccession(Reloading):
@@ -162,12 +162,12 @@
                         self.assertLessEqual(self.open_calls(), 3)  # the former and two calls
                     calls += [side for place in places for side in self.calls_at(place)]
                 self.say(former, 43, w1="draining")
-                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 for side in calls:
                     side.read()
                 self.assertLessEqual(len([side for side in calls if not side.ended]), 2)
                 self.say([side for side in calls if not side.ended][-1], 3, whole=True, w1="up", w2="up")
-                self.assertEqual("up", self.app.core.view.state("w1").value)
+                self.assertEqual("up", self.app.engine.view.state("w1").value)
 
     def test_addresses_that_refuse_are_called_again_and_the_next_one_at_once(self) -> None:
         for more in FLEETS:
@@ -184,7 +184,7 @@
                 self.wait(50)
                 (call,) = self.calls_at(last)
                 self.say(call, 3, whole=True, w1="draining", w2="up")
-                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_what_the_former_one_told_last_is_not_undone_by_its_end(self) -> None:
         self.begin(workers=2)
@@ -198,10 +198,10 @@
         self.wait(100)
         self.reload(last)
         self.wait(100)
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
         (call,) = self.calls_at(last)
         self.say(call, 1, whole=True, w1="draining", w2="up")
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_sigterm_between_them(self) -> None:
         self.begin(workers=2)
@@ -232,7 +232,7 @@
                     self.assertFalse(self.watches[0].ended)
                     self.watches[0].send(data[at : at + step])
                     self.wait(100)
-                self.assertEqual(400, len(self.app.core.view.entries))
+                self.assertEqual(400, len(self.app.engine.view.entries))
 
     def test_a_long_list_that_stops_on_its_way_is_asked_for_anew_in_time(self) -> None:
         self.begin(workers=2)
@@ -277,7 +277,7 @@
                         waited += 50
                         self.assertLessEqual(waited, 10_000)
                 self.tell(60, whole=True, w1="draining", w2="up")
-                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
 
 class RestingConnections(Reloading):
--- a/tests/test_rehearsal_night.py
+++ b/tests/test_rehearsal_night.py
@@ -16,7 +16,11 @@
 from hypothesis import strategies as st
 
 from elderstall import interface as i
-from elderstall.core import Core
+from elderstall.engine import Engine
+from elderstall.engine.answers import Answers
+from elderstall.engine.attempts import Attempts
+from elderstall.engine.endpoint_feed import EndpointFeed
+from elderstall.engine.rules import Rules
 from elderstall.messages import Outcome, Refused
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.audit import KEPT, lines_of
@@ -326,22 +330,22 @@
 
 def test_the_auditor_sees_a_double_run(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core that lets what may have run go again."""
-    monkeypatch.setattr(Core, "may_send", lambda self, job, action: None)
-    ended = Core.ended
+    monkeypatch.setattr(Rules, "forbids", lambda self, job, send: None)
+    ended = Attempts._ended
 
-    def forgetful(self: Core, a: Any, outcome: Outcome) -> None:
+    def forgetful(self: Attempts, a: Any, outcome: Outcome) -> None:
         """Take a failure for proof that the job never ran."""
         ended(self, a, Outcome(i.Ending.FULL) if outcome.ending is i.Ending.ERROR else outcome)
 
-    monkeypatch.setattr(Core, "ended", forgetful)
+    monkeypatch.setattr(Attempts, "_ended", forgetful)
     found = broken(World(night(Trouble("fail", 2_000.0, 6_000.0, chance=0.5)), 1))
     assert any(rule == 2 and "may have run" in what for rule, what in found)
     assert any(rule == 2 and "has run 2 times" in what for rule, what in found)
 
 
 def test_the_auditor_sees_a_late_answer_and_one_that_never_comes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Core, "overdue", lambda self, job: None)
-    monkeypatch.setattr(Core, "timed_out", lambda self, a: None)
+    monkeypatch.setattr(Answers, "_overdue", lambda self, job: None)
+    monkeypatch.setattr(Attempts, "timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
     found = broken(World(night(Trouble("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
     assert any(rule == 1 and "past its deadline" in what for rule, what in found)
@@ -349,15 +353,15 @@
 
 def test_the_auditor_sees_a_send_to_a_drained_worker(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core whose list never learns of drains, while the auditor does."""
-    monkeypatch.setattr(Core, "listed", lambda self, scope, entries=(): None)
-    listed = Core.start
+    monkeypatch.setattr(EndpointFeed, "take", lambda self, scope, entries=(): None)
+    listed = Engine.start
 
-    def start(self: Core, known: tuple[i.Listed, ...], learned: Any = None) -> None:
+    def start(self: Engine, known: tuple[i.Listed, ...], learned: Any = None) -> None:
         monkeypatch.undo()
         listed(self, known, learned)
-        self.listed = lambda scope, entries=(): None  # type: ignore[method-assign]
+        self.endpoints.take = lambda scope, entries=(): None  # type: ignore[method-assign]
 
-    monkeypatch.setattr(Core, "start", start)
+    monkeypatch.setattr(Engine, "start", start)
     world = World(
         night(Trouble("drain", 2_000.0, 9_000.0, workers=("w-1",)), dispatchers=s.Dispatchers((1.0,))), 1
     )
@@ -387,15 +391,19 @@
     world.loop.run(3_000.0)
     process = world.stations[0].process
     assert process is not None
-    job = next(j for j in process.core.jobs if j.attempt is not None and j.cls.effect is i.Effect.UNSAFE)
+    job = next(
+        j for j in process.engine.jobs.live if j.attempt is not None and j.cls.effect is i.Effect.UNSAFE
+    )
     other = next(name for name in world.machines if name != job.attempt.worker)  # type: ignore[union-attr]
-    process.wire.send(other, job.ask, process.deadlines.now() + 100.0, lambda share, text: None, lambda: None)
-    process.core.close(job, Refused())
+    process.wire.send(
+        other, job.request, process.deadlines.now() + 100.0, lambda share, text: None, lambda: None
+    )
+    process.engine.answers.close(job, Refused())
     found = [b.what for b in world.audit.broken]
     assert any("second copy" in what for what in found) and any(
         "refused, but it may have run" in what for what in found
     )
-    assert any("sent to" in line for line in lines_of(job.ask.parcel.request))  # type: ignore[attr-defined]
+    assert any("sent to" in line for line in lines_of(job.request.parcel.request))  # type: ignore[attr-defined]
 
 
 def test_playing_twice_in_one_process_gives_the_same() -> None:
--- a/tests/test_rehearsal_script.py
+++ b/tests/test_rehearsal_script.py
@@ -171,8 +171,8 @@
         .replace("factor 3", "factor 60")
         .replace("deadline 2s", "deadline 400ms")
     )
-    monkeypatch.setattr("elderstall.core.Core.overdue", lambda self, job: None)
-    monkeypatch.setattr("elderstall.core.Core.timed_out", lambda self, a: None)
+    monkeypatch.setattr("elderstall.engine.answers.Answers._overdue", lambda self, job: None)
+    monkeypatch.setattr("elderstall.engine.attempts.Attempts.timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
     assert door(["rehearse", "run", str(script)]) == 1
     told = capsys.readouterr().err
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -33,13 +33,13 @@
     def setUp(self) -> None:
         self.dispatcher = dispatcher_of(Size(WORKERS, 60))
         self.events: list[i.Event] = []
-        handle = self.dispatcher.core.module.handle
+        handle = self.dispatcher.engine.decisions.handle
 
         def noted(now: float, event: i.Event) -> i.Actions:
             self.events.append(event)
             return handle(now, event)
 
-        self.dispatcher.core.module.handle = noted  # type: ignore[method-assign]
+        self.dispatcher.engine.decisions.handle = noted  # type: ignore[method-assign]
 
     def entries_told(self) -> int:
         return sum(len(e.entries) for e in self.events if isinstance(e, i.WorkerList))
@@ -48,7 +48,7 @@
         return next(n for n in range(WORKERS) if entry(n).worker == name)
 
     def test_a_change_outside_the_subset_tells_the_module_nothing(self) -> None:
-        subset = self.dispatcher.core.view.subset
+        subset = self.dispatcher.engine.view.subset
         assert subset is not None
         far = [w for w in self.dispatcher.outside() if not any(arc.covers(w) for arc in subset.arcs())]
         for name in far[:30]:
@@ -77,7 +77,7 @@
             dispatcher.load(100, 40.0)
             cold = [replace(entry(workers + n), started=EPOCH + dispatcher.loop.now) for n in range(3)]
             for n, joining in enumerate(cold, 1):
-                dispatcher.core.listed(i.ListScope.CHANGES, (entry(n, i.WorkerState.GONE), joining))
+                dispatcher.engine.endpoints.take(i.ListScope.CHANGES, (entry(n, i.WorkerState.GONE), joining))
             with patch.object(Worker, "warmth", autospec=True, side_effect=Worker.warmth) as warmth:
                 dispatcher.change(entry(9, i.WorkerState.GONE))
                 for name in dispatcher.members[:1]:
@@ -97,7 +97,7 @@
             dispatcher.load(40, 40.0)
             joining = replace(entry(workers + second), started=EPOCH + dispatcher.loop.now)
             leaving = entry(7 * second, i.WorkerState.GONE)
-            dispatcher.core.listed(i.ListScope.CHANGES, (leaving, joining))
+            dispatcher.engine.endpoints.take(i.ListScope.CHANGES, (leaving, joining))
         return len(dispatcher.carrier.reached)
 
     def test_jobs_reach_no_more_than_twice_the_workers_of_a_usual_fleet(self) -> None:
@@ -139,14 +139,14 @@
     """After more churn no more is held than after some."""
 
     def held(self, dispatcher: HollowDispatcher) -> Counter[str]:
-        view = dispatcher.core.view
+        view = dispatcher.engine.view
         return Counter(
             listed=len(view.entries),
             gone=len(view.gone),
             closed=len(view.closed),
             unavailable=len(view.unavailable),
             members=len(view.members),
-            module=len(dispatcher.core.module.endpoints.workers),
+            module=len(dispatcher.engine.decisions.endpoints.workers),
             waiting=len(view.waiting),
         )
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -378,7 +378,7 @@
         self.forbid()
         side.sock.close()
         self.nothing()
-        self.assertNotIn("a1", self.app.core.by_cid)
+        self.assertNotIn("a1", self.app.engine.jobs.by_id)
 
 
 if __name__ == "__main__":
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -129,7 +129,7 @@
             self.world.raw["discovery"] = "127.0.0.1:7"
             with self.subTest(key=key, value=value):
                 self.retune(classes)
-                self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.core.classes))
+                self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.engine.classes))
         for name in ("probes", "cancel"):
             with self.subTest(name), self.assertRaisesRegex(ConfigError, name):
                 raw = platform()
@@ -139,8 +139,10 @@
             self.world.raw = copy.deepcopy(good)
             with self.subTest(attempts=attempts):
                 self.retune([LATE], max_attempts=attempts)
-                self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.core.classes))
-        self.assertEqual((0, 11), (self.world.app.core.counts.loads, self.world.app.core.counts.load_errors))
+                self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.engine.classes))
+        self.assertEqual(
+            (0, 11), (self.world.app.engine.counters.loads, self.world.app.engine.counters.load_errors)
+        )
         self.line("d", "expect", "watch 41")  # the one of the start: none at the faulty files' address
 
     def test_a_file_that_lacks_a_key_of_the_one_in_use_is_turned_down_by_its_name(self) -> None:
@@ -166,7 +168,7 @@
             self.world.raw = raw
             with self.subTest(path=path):
                 self.line("hup", "send", "")
-                self.assertEqual(1, self.world.app.core.counts.load_errors)
+                self.assertEqual(1, self.world.app.engine.counters.load_errors)
                 self.assertTrue(
                     [x for x in self.world.lines if x.startswith("reload nothing changed: ") and last in x],
                     self.world.lines,
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -65,7 +65,7 @@
             if serve and what.startswith("POST"):
                 self.turn()
                 cid = what.split()[1]
-                job = self.app.core.by_cid.get(cid)
+                job = self.app.engine.jobs.by_id.get(cid)
                 if job is not None and job.attempt is not None:
                     self.call_back(cid, worker=job.attempt.worker)
         self.turn()
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -72,7 +72,7 @@
         self.wait(LINGER)
         self.assertEqual([], list(self.app.server.connections))
         self.assertEqual(0, self.app.server.weight)
-        self.assertEqual({}, self.app.core.by_cid)
+        self.assertEqual({}, self.app.engine.jobs.by_id)
 
     def served(self, side: Side, cid: str = "good") -> None:
         side.send(self.job(cid))
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -456,9 +456,9 @@
         old = self.app.config
         self.app.sighup()
         self.assertIs(old, self.app.config)
-        self.assertEqual((1, 0), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.assertEqual((1, 0), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
         self.wait(4 * RELOAD_AGAIN)
-        self.assertEqual((1, 1), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.assertEqual((1, 1), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
         self.assertEqual(4, self.reads)
         self.assertEqual(1, len([line for line in self.lines if "nothing changed" in line]))
 
@@ -467,9 +467,9 @@
         self.app.sighup()
         self.wait(RELOAD_AGAIN * (RELOAD_TRIES + 5))
         self.assertEqual(RELOAD_TRIES + 1, self.reads)
-        self.assertEqual((1, 0), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.assertEqual((1, 0), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
         self.app.sighup()
-        self.assertEqual((1, 1), (self.app.core.counts.load_errors, self.app.core.counts.loads))
+        self.assertEqual((1, 1), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
 
     def test_signals_in_a_row_make_one_row_of_tries(self) -> None:
         self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EMFILE")] * 5)
@@ -477,7 +477,7 @@
             self.app.sighup()
         self.assertEqual(5, self.reads)
         self.wait(4 * RELOAD_AGAIN)
-        self.assertEqual((6, 1), (self.reads, self.app.core.counts.loads))
+        self.assertEqual((6, 1), (self.reads, self.app.engine.counters.loads))
 
 
 class Reading(unittest.TestCase):
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -332,10 +332,10 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.core.retune(replace(SETTINGS, classes=CORE_CLASSES, max_attempts=3), 8.0, 1_000)
-        self.core.listed(ListScope.WHOLE, entries(LARGE))
-        assert self.core.view.subset is not None
-        self.member = next(iter(self.core.view.members))
+        self.engine.change_settings(replace(SETTINGS, classes=CORE_CLASSES, max_attempts=3), 8.0, 1_000)
+        self.engine.endpoints.take(ListScope.WHOLE, entries(LARGE))
+        assert self.engine.view.subset is not None
+        self.member = next(iter(self.engine.view.members))
         self.events.clear()
 
     def out(self, job_class: str = "safe") -> Deferred[Any]:
@@ -345,10 +345,10 @@
 
     def leave_subset(self) -> None:
         """Have the worker leave the subset while it is up, as when others come back in its place."""
-        view = self.core.view
+        view = self.engine.view
         del view.members[self.member]
         told = replace(view.entry_of(self.member), state=GONE)
-        self.core.tell_all([i.WorkerList(ListScope.CHANGES, (told,))])
+        self.engine.endpoints.notify([i.WorkerList(ListScope.CHANGES, (told,))])
 
     def test_its_answer_counts(self) -> None:
         sending = self.out()
@@ -368,36 +368,36 @@
     def test_the_clock_of_its_drain_runs_on(self) -> None:
         self.leave_subset()
         number = int(self.member[1:])
-        self.core.listed(ListScope.CHANGES, (entry(number, DRAINING),))
+        self.engine.endpoints.take(ListScope.CHANGES, (entry(number, DRAINING),))
         self.clock.advance(2.1)
         job = self.job("safe")
         self.ask(i.Send(job, self.member))
         self.assertEqual([], self.carrier.sent)
 
     def test_the_module_is_told_of_its_sharers_before_the_list(self) -> None:
-        self.core.listed(ListScope.WHOLE, entries(2 * LARGE))
+        self.engine.endpoints.take(ListScope.WHOLE, entries(2 * LARGE))
         kinds = [type(event) for event in self.events]
         self.assertLess(kinds.index(i.Retuned), kinds.index(i.WorkerList))
         retuned = next(event for event in self.events if isinstance(event, i.Retuned))
-        self.assertAlmostEqual(self.core.view.sharing, retuned.settings.sharers)
+        self.assertAlmostEqual(self.engine.view.sharing, retuned.settings.sharers)
 
     def test_an_answer_of_discovery_with_nothing_for_the_module_ends_its_call_all_the_same(self) -> None:
-        self.core.call()
-        far = next(w for w in self.core.view.entries if w not in self.core.view.members)
-        self.core.listed(ListScope.CHANGES, (entry(int(far[1:]), started=1.0),))
-        self.core.listed(ListScope.CHANGES, (entry(int(far[1:]), started=2.0),))
+        self.engine.endpoints.call()
+        far = next(w for w in self.engine.view.entries if w not in self.engine.view.members)
+        self.engine.endpoints.take(ListScope.CHANGES, (entry(int(far[1:]), started=1.0),))
+        self.engine.endpoints.take(ListScope.CHANGES, (entry(int(far[1:]), started=2.0),))
         self.assertEqual([i.WorkerList(ListScope.CHANGES)], self.events)
 
     def test_those_that_wait_to_enter_come_by_themselves(self) -> None:
-        members = [int(name[1:]) for name in self.core.view.members]
+        members = [int(name[1:]) for name in self.engine.view.members]
         self.clock.advance(10.0)
-        self.core.listed(ListScope.CHANGES, tuple(entry(n, GONE) for n in members[:400]))
-        before = len(self.core.view.members)
-        self.assertTrue(self.core.view.waiting)
+        self.engine.endpoints.take(ListScope.CHANGES, tuple(entry(n, GONE) for n in members[:400]))
+        before = len(self.engine.view.members)
+        self.assertTrue(self.engine.view.waiting)
         for _ in range(12):
             self.clock.advance(1.1)
-        self.assertFalse(self.core.view.waiting)
-        self.assertEqual(before + 400 - int(ENTER_PART * SUBSET_LEAST), len(self.core.view.members))
+        self.assertFalse(self.engine.view.waiting)
+        self.assertEqual(before + 400 - int(ENTER_PART * SUBSET_LEAST), len(self.engine.view.members))
 
 
 class ForgottenByTheModule(unittest.TestCase):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -214,7 +214,7 @@
             w send 200
             log expect end:client-gone
         """)
-        self.assertEqual(0, len(self.world.app.core.jobs))
+        self.assertEqual(0, len(self.world.app.engine.jobs))
 
     def test_a_late_end_of_an_earlier_attempt_does_not_make_two_copies(self) -> None:
         """Guards against 'lost' of a broken attempt being taken for the end of the live one."""
@@ -238,7 +238,7 @@
 
     def test_the_hard_guard_answers_what_the_module_forgets(self) -> None:
         self.begin()
-        self.world.app.core.module.handle = lambda now, event: []  # type: ignore[method-assign]
+        self.world.app.engine.decisions.handle = lambda now, event: []  # type: ignore[method-assign]
         self.play("""
             c send job a1 deck-fetch budget=300
             wait 303
@@ -254,7 +254,7 @@
         def fails(now: float, event: object) -> list[object]:
             raise KeyError("no such thing")
 
-        self.world.app.core.module.handle = fails  # type: ignore[method-assign, assignment]
+        self.world.app.engine.decisions.handle = fails  # type: ignore[method-assign, assignment]
         self.play("""
             c send job a1 deck-fetch budget=300
             wait 310
@@ -420,7 +420,7 @@
         }
         for n, (text, status) in enumerate(cases.items()):
             self.play(f"c{n} send raw {text}\nc{n} expect {status}\nw expect nothing")
-        self.assertEqual(0, len(self.world.app.core.jobs))
+        self.assertEqual(0, len(self.world.app.engine.jobs))
 
     def test_a_live_id_is_not_taken_twice(self) -> None:
         self.play("""
@@ -471,8 +471,8 @@
             """)
             self.assertLessEqual(len(self.world.app.workers.connections), 2)
         self.assertFalse(self.world.app.workers.ending)
-        self.assertEqual(10, self.world.app.core.counts.tries)
-        self.assertFalse(self.world.app.core.counts.refused["deck-fetch"])
+        self.assertEqual(10, self.world.app.engine.counters.tries)
+        self.assertFalse(self.world.app.engine.counters.refused["deck-fetch"])
 
     def test_over_the_limit_of_jobs_the_answer_is_503(self) -> None:
         self.begin(limits={"max_open": 1})
@@ -556,7 +556,7 @@
             c3 send raw f-done
             log expect end:silent
         """)
-        self.assertEqual(1, len(self.world.app.core.jobs))
+        self.assertEqual(1, len(self.world.app.engine.jobs))
 
     def test_a_refused_head_ends_its_connection_and_the_rest_is_not_read(self) -> None:
         """Guards against hundreds of bad requests in one go, and the same again after each answer."""
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -14,7 +14,7 @@
 
 from twisted.python import log
 
-from elderstall.core import Core
+from elderstall.engine.endpoint_feed import EndpointFeed
 from elderstall.net import http
 from elderstall.net.workers import is_local
 from tests.faulty_sockets import SHORT, Fault, FaultPlan, descriptors, hand_in, no_descriptor_leaked
@@ -97,7 +97,7 @@
     def submit(self, cid: str, job_class: str = SAFE) -> Side:
         client = self.client()
         client.send(self.job(cid, job_class))
-        self.until(lambda: self.app.core.knows(cid))
+        self.until(lambda: self.app.engine.jobs.knows(cid))
         return client
 
     def finish(self, client: Side, ms: float = 3_000) -> http.Message:
@@ -225,14 +225,14 @@
     def test_want_of_something_here_says_nothing_of_a_workers_zone(self) -> None:
         """Guards against zones taken for out of reach, as no connection could be opened."""
         told: list[bool] = []
-        learn = Core.learn_reach
+        learn = EndpointFeed.learn_reach
 
-        def note(core: Core, worker: str, outcome: Any) -> None:
+        def note(feed: EndpointFeed, worker: str, outcome: Any) -> None:
             told.append(outcome.unreached)
-            learn(core, worker, outcome)
+            learn(feed, worker, outcome)
 
-        Core.learn_reach = note  # type: ignore[method-assign, assignment]
-        self.addCleanup(setattr, Core, "learn_reach", learn)
+        EndpointFeed.learn_reach = note  # type: ignore[method-assign, assignment]
+        self.addCleanup(setattr, EndpointFeed, "learn_reach", learn)
         local = {*SOCKET_ERRORS, errno.EADDRNOTAVAIL}
         for call, errors in (("socket", SOCKET_ERRORS), ("connect", CONNECT_ERRORS)):
             for error in errors:
@@ -385,7 +385,7 @@
                 self.until_asked(asked + 1)
                 self.assertEqual(1, fault.happened)
                 self.tell(44, whole=True, w1="draining")
-                self.assertEqual("draining", self.app.core.view.state("w1").value)
+                self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 self.no_trouble(fault)
                 self.end()
 
@@ -401,7 +401,7 @@
         self.tell(43, whole=True, w1="draining")
         self.turn(200)
         self.assertEqual(100, fault.happened)
-        self.assertEqual("draining", self.app.core.view.state("w1").value)
+        self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_no_connection_for_some_seconds(self) -> None:
         for call, errors in (("connect", CONNECT_ERRORS), ("socket", SOCKET_ERRORS)):
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -150,7 +150,7 @@
                     side.send(self.job("a1", job_class))
                     status, _ = self.answered_after(side, 5_000 + SOCKET_SLACK)
                     self.assertEqual(503, status)  # it never ran
-                    self.assertLessEqual(self.app.core.counts.tries, 0)
+                    self.assertLessEqual(self.app.engine.counters.tries, 0)
                     self.assertLessEqual(len(self.connects), 5 + 3 * 3)  # attempts, and questions to workers
                     self.assertEqual([], self.bugs())
 
@@ -255,7 +255,7 @@
                 side_of_worker.read()
                 side_of_worker.messages.clear()
             self.assertEqual(
-                set(), {w.name for w in self.app.core.module.endpoints.workers.values() if w.probation}
+                set(), {w.name for w in self.app.engine.decisions.endpoints.workers.values() if w.probation}
             )
             self.wait(200)
             self.served(f"a{n}", "deck-build")
