--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -50,13 +50,13 @@
 # ---- the mapping of names: today's on the left, canonical on the right ----
 
 ACTIONS: dict[str, tuple[str, dict[str, str]]] = {
-    "Send": ("send", {"job": "job", "worker": "worker", "time_out": "time_out"}),
-    "Probe": ("probe", {"worker": "worker"}),
-    "Refuse": ("refuse", {"job": "job", "retry_after": "retry_after", "why": "why"}),
-    "Fail": ("fail", {"job": "job"}),
+    "SendAttempt": ("send", {"job": "job", "worker": "worker", "time_out": "time_out"}),
+    "PollLoad": ("probe", {"worker": "worker"}),
+    "RejectJob": ("refuse", {"job": "job", "retry_after": "retry_after", "why": "why"}),
+    "FailJob": ("fail", {"job": "job"}),
     "SetTimer": ("set_timer", {"token": "token", "delay": "delay"}),
-    "FollowList": ("follow_list", {}),
-    "Log": ("log", {"text": "text"}),
+    "WatchEndpoints": ("follow_list", {}),
+    "LogLine": ("log", {"text": "text"}),
 }
 REASONS = {"": "", "full fleet": "full fleet"}  # the texts of ``Refuse.why``
 REASON_FIELDS, TEXT_FIELDS = ("why",), ("text",)  # canonical names
--- a/benchmarks/random_events.py
+++ b/benchmarks/random_events.py
@@ -9,44 +9,74 @@
 import random
 from typing import Any
 
-from elderstall import interface as i
 from elderstall.decisions import Dispatcher
+from elderstall.interface import (
+    AttemptEnded,
+    AttemptProgressed,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    FailJob,
+    JobArrived,
+    JobClass,
+    JobReleased,
+    ListScope,
+    LoadPolled,
+    PollLoad,
+    RejectJob,
+    Scope,
+    SendAttempt,
+    SetTimer,
+    Settings,
+    SettingsChanged,
+    Started,
+    Tenant,
+    TimerFired,
+    WorkerState,
+)
 
 STEPS = 3_000
 WORKERS, KINDS, ZONES, CELL = 30, ("large", "small"), ("a", "b"), 3
 CLASSES = (
-    i.JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0),
-    i.JobClass("keyed", 3.0, 300.0, 3_000.0, i.Effect.KEYED, i.Scope.CELL, 1_500.0, 2.0, 0.3),
-    i.JobClass("keyed-all", 2.0, 300.0, 3_000.0, i.Effect.KEYED, i.Scope.ALL, 1_500.0, 2.0),
-    i.JobClass("unsafe", 5.0, 500.0, 4_000.0, i.Effect.UNSAFE, late_share=0.2),
+    JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0),
+    JobClass("keyed", 3.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.CELL, 1_500.0, 2.0, 0.3),
+    JobClass("keyed-all", 2.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.ALL, 1_500.0, 2.0),
+    JobClass("unsafe", 5.0, 500.0, 4_000.0, Effect.NOT_IDEMPOTENT, late_share=0.2),
 )
 COMMON: dict[str, Any] = {
     "classes": CLASSES,
     "dispatchers": 2,
     "zone": "a",
     "max_attempts": 4,
-    "cold_share": 0.3,
-    "cold_for": 5_000.0,
+    "slow_start_share": 0.3,
+    "slow_start_duration": 5_000.0,
     "connect_timeout": 100.0,
-    "push_window": 1_000.0,
-    "over_share_worth": 0.2,
-    "must_follow": True,
-    "tenants": (i.Tenant("north", 40.0), i.Tenant("south", 10.0)),
+    "slow_start_window": 1_000.0,
+    "over_quota_weight": 0.2,
+    "watches_list": True,
+    "tenants": (Tenant("north", 40.0), Tenant("south", 10.0)),
 }
 SETTINGS: dict[str, dict[str, Any]] = {
-    "events-starts": {"tells_start": True},
+    "events-starts": {"notifies_start": True},
     "events-polled": {"dispatchers": 40, "probes": True, "report_free_slots": 0},
     "events-pulled": {"pulled": True, "probes": True, "report_free_slots": 0},
-    "events-keys": {"fetch_price": 1.0, "crossing_price": 1.0, "report_free_slots": 0, "by_work": True},
+    "events-keys": {
+        "fetch_price": 1.0,
+        "cross_zone_price": 1.0,
+        "report_free_slots": 0,
+        "weight_by_work": True,
+    },
     "events-subset": {"dispatchers": 40, "sharing": 12.0, "probes": True, "report_free_slots": 0},
 }
-ENDINGS = [i.Ending.SERVED] * 12 + list(i.Ending)
+ENDINGS = [Ending.SERVED] * 12 + list(Ending)
 
 
 class Driver:
     """One dispatcher, what it has out, and random draws for what becomes of it."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = random.Random(seed)
         self.settings, self.now = settings, 5_000.0
         self.dispatcher = Dispatcher(settings, seed)
@@ -56,14 +86,14 @@
         self.timers: list[tuple[float, int]] = []
         self.started: dict[str, float | None] = {f"w{n}": None for n in range(WORKERS)}
         self.counts = dict.fromkeys(("requests", "sends", "refused", "failed", "probes"), 0)
-        self.feed(i.Begin())
-        self.feed(i.WorkerList(i.ListScope.WHOLE, tuple(self.entry(name) for name in self.started)))
+        self.feed(Started())
+        self.feed(EndpointListUpdate(ListScope.WHOLE, tuple(self.entry(name) for name in self.started)))
 
-    def entry(self, name: str, state: i.WorkerState = i.WorkerState.UP) -> i.Listed:
+    def entry(self, name: str, state: WorkerState = WorkerState.UP) -> Endpoint:
         """Write a worker's entry of the list."""
         n = int(name[1:])
         place = n / WORKERS if self.settings.sharing else None
-        return i.Listed(
+        return Endpoint(
             name,
             KINDS[n % 2],
             ZONES[n // 2 % 2],
@@ -74,20 +104,20 @@
             place,
         )
 
-    def feed(self, event: i.Event) -> None:
+    def feed(self, event: Event) -> None:
         """Hand the dispatcher an event, and note what it asks for."""
         for action in self.dispatcher.handle(self.now, event):
-            if isinstance(action, i.Send):
+            if isinstance(action, SendAttempt):
                 self.out[action.job, self.sent[action.job]] = action.worker
                 self.sent[action.job] += 1
                 self.counts["sends"] += 1
-            elif isinstance(action, i.Probe):
+            elif isinstance(action, PollLoad):
                 self.probed.append(action.worker)
                 self.counts["probes"] += 1
-            elif isinstance(action, i.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.timers.append((self.now + max(self.settings.tick, action.delay), action.token))
-            elif isinstance(action, i.Refuse | i.Fail):
-                self.counts["refused" if isinstance(action, i.Refuse) else "failed"] += 1
+            elif isinstance(action, RejectJob | FailJob):
+                self.counts["refused" if isinstance(action, RejectJob) else "failed"] += 1
 
     def report(self) -> tuple[float, ...]:
         """Draw a load report: free slots."""
@@ -103,7 +133,7 @@
         cls = rng.choice(CLASSES)
         self.counts["requests"] += 1
         self.feed(
-            i.JobArrived(
+            JobArrived(
                 job,
                 cls.name,
                 rng.choice((cls.deadline, cls.deadline, 30.0)),
@@ -118,30 +148,28 @@
         """End an attempt."""
         key = self.rng.choice(list(self.out))
         ending = self.rng.choice(ENDINGS)
-        self.feed(i.AttemptEnded(*key, self.out.pop(key), ending, ending is i.Ending.SERVED, self.report()))
+        self.feed(AttemptEnded(*key, self.out.pop(key), ending, ending is Ending.SERVED, self.report()))
 
     def note(self) -> None:
         """Tell the start of an attempt."""
         key = self.rng.choice(list(self.out))
-        self.feed(i.AttemptNoted(*key, self.out[key], 0.0, started=True))
+        self.feed(AttemptProgressed(*key, self.out[key], 0.0, started=True))
 
     def answer(self) -> None:
         """Answer the oldest poll."""
-        ending = self.rng.choice((i.Ending.SERVED, i.Ending.SERVED, i.Ending.SERVED, i.Ending.UNREACHABLE))
-        self.feed(i.Probed(self.probed.pop(0), ending, self.report() if ending is i.Ending.SERVED else ()))
+        ending = self.rng.choice((Ending.SERVED, Ending.SERVED, Ending.SERVED, Ending.UNREACHABLE))
+        self.feed(LoadPolled(self.probed.pop(0), ending, self.report() if ending is Ending.SERVED else ()))
 
     def change_list(self) -> None:
         """Change one worker's entry, or fail the list."""
         name = self.rng.choice(list(self.started))
         if self.rng.random() < 0.2:
-            self.feed(i.WorkerList(self.rng.choice((i.ListScope.FAILED, i.ListScope.SILENT))))
+            self.feed(EndpointListUpdate(self.rng.choice((ListScope.FAILED, ListScope.SILENT))))
             return
         if self.rng.random() < 0.5:
             self.started[name] = self.now
-        state = self.rng.choice(
-            (i.WorkerState.UP, i.WorkerState.UP, i.WorkerState.DRAINING, i.WorkerState.GONE)
-        )
-        self.feed(i.WorkerList(i.ListScope.CHANGES, (self.entry(name, state),)))
+        state = self.rng.choice((WorkerState.UP, WorkerState.UP, WorkerState.DRAINING, WorkerState.GONE))
+        self.feed(EndpointListUpdate(ListScope.CHANGES, (self.entry(name, state),)))
 
     def advance(self, by: float) -> None:
         """Let time pass, and timers fire."""
@@ -150,7 +178,7 @@
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            self.feed(i.TimerFired(first[1]))
+            self.feed(TimerFired(first[1]))
         self.now = until
 
     def step(self, number: int) -> None:
@@ -167,20 +195,20 @@
         elif draw < 0.87:
             self.change_list()
         elif draw < 0.88 and self.sent:
-            self.feed(i.JobLeft(self.rng.choice(list(self.sent))))
+            self.feed(JobReleased(self.rng.choice(list(self.sent))))
         else:
             self.advance(self.rng.choice((1.0, 5.0, 30.0, 120.0)))
 
 
 def drive(name: str, seed: int) -> dict[str, Any]:
     """Drive a dispatcher under settings by name; gives what it did in counts."""
-    driver = Driver(i.Settings(**COMMON | SETTINGS[name]), seed)
+    driver = Driver(Settings(**COMMON | SETTINGS[name]), seed)
     for number in range(STEPS):
         driver.step(number)
     half = [driver.entry(worker) for worker in list(driver.started)[::2]]
-    driver.feed(i.WorkerList(i.ListScope.WHOLE, tuple(half)))
-    driver.feed(i.AttemptEnded(STEPS, 0, "nobody", i.Ending.SERVED))  # an attempt that is not known
+    driver.feed(EndpointListUpdate(ListScope.WHOLE, tuple(half)))
+    driver.feed(AttemptEnded(STEPS, 0, "nobody", Ending.SERVED))  # an attempt that is not known
     driver.advance(1_000.0)
-    driver.feed(i.Retuned(i.Settings(**COMMON | SETTINGS[name] | {"dispatchers": 3})))
+    driver.feed(SettingsChanged(Settings(**COMMON | SETTINGS[name] | {"dispatchers": 3})))
     driver.advance(10_000.0)
     return {**driver.counts}
--- a/benchmarks/scale/fleets.py
+++ b/benchmarks/scale/fleets.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from dataclasses import replace
 
-from elderstall import interface as i
+from elderstall.interface import Endpoint, WorkerState
 
 REGIONS, ZONES, KINDS = 11, 41, 4
 REPLACED_A_DAY = 8_240  # worker processes, of 23,000: the target's 240 failures and 8,000 replacements
@@ -28,12 +28,12 @@
     return f"region-{zone % REGIONS}-{zone}"
 
 
-def entry(number: int, state: i.WorkerState = i.WorkerState.UP, started: float | None = None) -> i.Listed:
+def entry(number: int, state: WorkerState = WorkerState.UP, started: float | None = None) -> Endpoint:
     """Give one worker's entry."""
-    return i.Listed(name_of(number), f"kind-{number % KINDS}", zone_of(number), number // 4, started, state)
+    return Endpoint(name_of(number), f"kind-{number % KINDS}", zone_of(number), number // 4, started, state)
 
 
-def entries(count: int) -> tuple[i.Listed, ...]:
+def entries(count: int) -> tuple[Endpoint, ...]:
     """Give the whole list of a fleet."""
     return tuple(entry(number) for number in range(count))
 
@@ -56,7 +56,7 @@
     return json.dumps({"index": 41, "snapshot": True, "endpoints": endpoints}, indent=indent).encode()
 
 
-def replacements(count: int, days: float, rng: random.Random) -> Iterator[tuple[float, i.Listed]]:
+def replacements(count: int, days: float, rng: random.Random) -> Iterator[tuple[float, Endpoint]]:
     """Give the changes of so many days of churn, each with its time: workers drain, go, and others come."""
     listed = list(range(count))
     number, gap = count, DAY / (REPLACED_A_DAY * count / TARGET)
@@ -64,7 +64,7 @@
     while (at := at + gap) < EPOCH + days * DAY:
         place = rng.randrange(count)
         old, listed[place] = listed[place], number
-        yield at, entry(old, i.WorkerState.DRAINING)
-        yield at + gap / 4, entry(old, i.WorkerState.GONE)
+        yield at, entry(old, WorkerState.DRAINING)
+        yield at + gap / 4, entry(old, WorkerState.GONE)
         yield at + gap / 2, replace(entry(number), started=at + gap / 2)
         number += 1
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -8,38 +8,38 @@
 from twisted.internet.defer import Deferred
 
 from benchmarks.scale.fleets import EPOCH
-from elderstall import interface as i
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine
+from elderstall.interface import Effect, Ending, Endpoint, JobClass, ListScope, Settings, Tenant
 from elderstall.log import Log
-from elderstall.messages import Answer, Ask, Outcome
+from elderstall.messages import Answer, JobRequest, Outcome
 from elderstall.rehearsal.loop import VirtualTime
 
 MEAN_WORK = 300.0  # ms
 CLASSES = (
-    i.JobClass("short", 2.0, 400.0, 5_000.0, stretch=2.0),
-    i.JobClass("long", 5.0, 900.0, 15_000.0, i.Effect.UNSAFE, stretch=2.5),
-    i.JobClass("urgent", 10.0, 500.0, 4_500.0, i.Effect.UNSAFE, stretch=1.5),
+    JobClass("short", 2.0, 400.0, 5_000.0, stretch=2.0),
+    JobClass("long", 5.0, 900.0, 15_000.0, Effect.NOT_IDEMPOTENT, stretch=2.5),
+    JobClass("urgent", 10.0, 500.0, 4_500.0, Effect.NOT_IDEMPOTENT, stretch=1.5),
 )
 
 
-def settings_of(dispatchers: int, teams: int = 0, classes: int = len(CLASSES)) -> i.Settings:
+def settings_of(dispatchers: int, teams: int = 0, classes: int = len(CLASSES)) -> Settings:
     """Give settings of a size; further classes are like the first three."""
     more = tuple(
-        i.JobClass(f"class-{n}", 1.0 + n % 7, 400.0 + n, 5_000.0, stretch=2.0)
+        JobClass(f"class-{n}", 1.0 + n % 7, 400.0 + n, 5_000.0, stretch=2.0)
         for n in range(classes - len(CLASSES))
     )
-    return i.Settings(
+    return Settings(
         CLASSES + more,
-        tuple(i.Tenant(f"team-{n}", 11.0) for n in range(teams)),
+        tuple(Tenant(f"team-{n}", 11.0) for n in range(teams)),
         dispatchers=dispatchers,
         rank=7,
         zone="region-1-1",
-        must_follow=True,
-        cold_share=0.42,
-        cold_for=9_000.0,
-        push_multiple=4.0,
-        push_window=2_000.0,
+        watches_list=True,
+        slow_start_share=0.42,
+        slow_start_duration=9_000.0,
+        slow_start_multiple=4.0,
+        slow_start_window=2_000.0,
         max_attempts=5,
         connect_timeout=250.0,
         report_free_slots=0,
@@ -75,16 +75,16 @@
     def send(
         self,
         worker: str,
-        ask: Ask,
+        ask: JobRequest,
         ends: float,
         note: Callable[[float, str], None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
         """Run a job."""
         self.sent += 1
         self.reached.add(worker)
         done: Deferred[Outcome | None] = Deferred(lambda _: None)
-        outcome = Outcome(i.Ending.SERVED, b"done", (2.0,))
+        outcome = Outcome(Ending.SERVED, b"done", (2.0,))
         self.deadlines.after(ask.work_hint or MEAN_WORK, self.end, done, outcome)
         return done
 
@@ -98,16 +98,16 @@
         self.asked += 1
         self.reached.add(worker)
         done: Deferred[Outcome] = Deferred()
-        self.deadlines.after(1.0, done.callback, Outcome(i.Ending.SERVED, report=(2.0,)))
+        self.deadlines.after(1.0, done.callback, Outcome(Ending.SERVED, report=(2.0,)))
         return done
 
-    def recall(self, worker: str, cid: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
         """Confirm that a job is given up."""
         done: Deferred[bool] = Deferred()
         self.deadlines.after(1.0, done.callback, True)
         return done
 
-    def renew(self, worker: str) -> None:
+    def drop_idle(self, worker: str) -> None:
         """Have no connections to drop."""
 
 
@@ -128,19 +128,19 @@
 class HollowDispatcher:
     """One dispatcher with a fleet listed, on a clock of its own."""
 
-    def __init__(self, settings: i.Settings, listed: tuple[i.Listed, ...], seed: int = 5) -> None:
+    def __init__(self, settings: Settings, listed: tuple[Endpoint, ...], seed: int = 5) -> None:
         self.loop = VirtualTime()
         self.deadlines = Deadlines(self.loop, self.loop.seconds, EPOCH)
         self.rng = random.Random(seed)
         self.carrier = HollowCarrier(self.deadlines, self.rng)
         self.engine = Engine(settings, seed, self.deadlines, self.carrier, QuietLog())
-        self.engine.endpoints.follow = lambda: self.engine.endpoints.take(i.ListScope.CHANGES)
+        self.engine.endpoints.follow = lambda: self.engine.endpoints.take(ListScope.CHANGES)
         self.jobs = 0
         self.engine.start(listed)
 
-    def change(self, entry: i.Listed) -> None:
+    def change(self, entry: Endpoint) -> None:
         """Have discovery tell one change."""
-        self.engine.endpoints.take(i.ListScope.CHANGES, (entry,))
+        self.engine.endpoints.take(ListScope.CHANGES, (entry,))
 
     def idle(self, ms: float) -> None:
         """Let time pass."""
@@ -153,7 +153,7 @@
         tenants = self.engine.settings.tenants
         tenant = self.rng.choice(tenants).name if tenants else None
         self.engine.accept(
-            Ask(
+            JobRequest(
                 f"job-{self.jobs}",
                 cls.name,
                 cls.deadline,
--- a/benchmarks/scale/measures.py
+++ b/benchmarks/scale/measures.py
@@ -16,7 +16,7 @@
 
 from benchmarks.scale.fleets import EPOCH, entries, list_text, replacements
 from benchmarks.scale.hollow import HollowDispatcher, settings_of
-from elderstall import interface as i
+from elderstall.interface import WorkerState
 from elderstall.net.discovery import list_of
 from elderstall.routing import subset
 
@@ -131,7 +131,7 @@
 
     def tell() -> None:
         for entry in lost:
-            dispatcher.change(replace(entry, state=i.WorkerState.GONE))
+            dispatcher.change(replace(entry, state=WorkerState.GONE))
 
     return cpu_ms(tell)
 
--- a/benchmarks/scale/play.py
+++ b/benchmarks/scale/play.py
@@ -17,8 +17,8 @@
 
 from benchmarks.scale.fleets import REGIONS, ZONES, name_of, zone_of
 from benchmarks.scale.measures import know_all_workers
-from elderstall import interface as i
 from elderstall.atomic_file import write_text_atomically
+from elderstall.interface import Effect, JobClass
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.world import World
 
@@ -27,10 +27,12 @@
 WARM = 1.5  # times the mean work, before anything is counted
 KIND = s.Kind("box", cores=2, slots=2, queue=4, cold_for=6_000.0, connections=600)
 CLASSES = (
-    s.ClassLoad(i.JobClass("batch", 2.0, 10_000.0, 120_000.0, stretch=1.5), 6.0, WORK, 0.5),
-    s.ClassLoad(i.JobClass("train", 5.0, 10_000.0, 120_000.0, i.Effect.UNSAFE, stretch=1.5), 3.0, WORK, 0.5),
+    s.ClassLoad(JobClass("batch", 2.0, 10_000.0, 120_000.0, stretch=1.5), 6.0, WORK, 0.5),
     s.ClassLoad(
-        i.JobClass("urgent", 10.0, 4_500.0, 60_000.0, i.Effect.UNSAFE, stretch=1.2), 1.0, WORK / 2, 0.5
+        JobClass("train", 5.0, 10_000.0, 120_000.0, Effect.NOT_IDEMPOTENT, stretch=1.5), 3.0, WORK, 0.5
+    ),
+    s.ClassLoad(
+        JobClass("urgent", 10.0, 4_500.0, 60_000.0, Effect.NOT_IDEMPOTENT, stretch=1.2), 1.0, WORK / 2, 0.5
     ),
 )
 
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -122,7 +122,7 @@
                 self.deadlines, self.log, reactor, config.folder, f"elderstall-{config.host}-{config.port}"
             )
             h.state, h.told, h.on_links, h.on_room = self.state, self.told, self.linked, self.server.pass_all
-            self.engine.jobs.on_taken = lambda cid: h.announce("id", id=cid)
+            self.engine.jobs.on_taken = lambda request_id: h.announce("id", id=request_id)
             self.server.may_pass, self.server.hand = lambda: h.room, self.hand
             self.server.keep = h.on_returned = self.take_over
             self.server.ask_others = lambda call: h.tell("callback", call=call) if h.linked else None
@@ -299,8 +299,8 @@
             (name, (clock.read(since), clock.read(until))) for name, (since, until) in state["back"].items()
         )
         self.discovery.starts.inherit(state.get("starts", {}), clock)
-        for cid in state["ids"]:
-            self.engine.jobs.taken_elsewhere.add(cid)
+        for request_id in state["ids"]:
+            self.engine.jobs.taken_elsewhere.add(request_id)
         self.server.inherit(state["begun"])
         self.server.elsewhere = state["held"]
 
--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -7,26 +7,49 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from elderstall import interface as i
 from elderstall.decisions import Dispatcher
+from elderstall.interface import (
+    Action,
+    AttemptEnded,
+    AttemptProgressed,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    FailJob,
+    JobArrived,
+    JobReleased,
+    ListScope,
+    LoadPolled,
+    LogLine,
+    PollLoad,
+    RejectJob,
+    ResponseStarted,
+    SendAttempt,
+    SetTimer,
+    Started,
+    TimerFired,
+    WatchEndpoints,
+    WorkerState,
+)
 from elderstall.settings import Fields, settings_of
 
 ENDINGS = {
-    "served": i.Ending.SERVED,
-    "server_error": i.Ending.ERROR,
-    "turned_away": i.Ending.FULL,
-    "no_answer": i.Ending.TIMED_OUT,
-    "no_connection": i.Ending.UNREACHABLE,
-    "connection_lost": i.Ending.BROKEN,
-    "called_off": i.Ending.CANCELLED,
-    "not_sent": i.Ending.NEVER_SENT,
+    "served": Ending.SERVED,
+    "server_error": Ending.ERROR,
+    "turned_away": Ending.FULL,
+    "no_answer": Ending.TIMED_OUT,
+    "no_connection": Ending.UNREACHABLE,
+    "connection_lost": Ending.BROKEN,
+    "called_off": Ending.CANCELLED,
+    "not_sent": Ending.NEVER_SENT,
 }
-STATES = {"IN": i.WorkerState.UP, "LAME": i.WorkerState.DRAINING, "OUT": i.WorkerState.GONE}
+STATES = {"IN": WorkerState.UP, "LAME": WorkerState.DRAINING, "OUT": WorkerState.GONE}
 LISTS = {
-    "Partial": i.ListScope.CHANGES,
-    "Complete": i.ListScope.WHOLE,
-    "Persisted": i.ListScope.WHOLE,
-    "Error": i.ListScope.FAILED,
+    "Partial": ListScope.CHANGES,
+    "Complete": ListScope.WHOLE,
+    "Persisted": ListScope.WHOLE,
+    "Error": ListScope.FAILED,
 }
 
 
@@ -42,9 +65,9 @@
         raise WireError(f"unknown {field}: {code!r}") from None
 
 
-def listed_of(e: Fields, live: bool) -> i.Listed:
+def listed_of(e: Fields, live: bool) -> Endpoint:
     """Translate one line of a list; weights that are not live say nothing of the jobs held."""
-    return i.Listed(
+    return Endpoint(
         e["worker"],
         e.get("generation_hw") or "",
         e.get("area"),
@@ -55,9 +78,9 @@
     )
 
 
-def job_of(e: Fields) -> i.Event:
+def job_of(e: Fields) -> Event:
     """Translate a request."""
-    return i.JobArrived(
+    return JobArrived(
         e["id"],
         e["priority"],
         e["budget"],
@@ -68,9 +91,9 @@
     )
 
 
-def ended_of(e: Fields) -> i.Event:
+def ended_of(e: Fields) -> Event:
     """Translate an outcome."""
-    return i.AttemptEnded(
+    return AttemptEnded(
         e["id"],
         e["send_no"],
         e["worker"],
@@ -80,35 +103,35 @@
     )
 
 
-def noted_of(e: Fields) -> i.Event:
+def noted_of(e: Fields) -> Event:
     """Translate a progress note."""
-    return i.AttemptNoted(e["id"], e["send_no"], e["worker"], e.get("value") or 0.0, e["what"] == 1)
+    return AttemptProgressed(e["id"], e["send_no"], e["worker"], e.get("value") or 0.0, e["what"] == 1)
 
 
-def probed_of(e: Fields) -> i.Event:
+def probed_of(e: Fields) -> Event:
     """Translate the answer to a question."""
-    return i.Probed(e["worker"], lookup(ENDINGS, e["ending"], "ending"), tuple(e.get("stats") or ()))
+    return LoadPolled(e["worker"], lookup(ENDINGS, e["ending"], "ending"), tuple(e.get("stats") or ()))
 
 
-EVENTS: dict[str, Callable[[Fields], i.Event]] = {
+EVENTS: dict[str, Callable[[Fields], Event]] = {
     "Request": job_of,
     "Resolved": ended_of,
     "Progress": noted_of,
-    "Due": lambda e: i.TimerFired(e["token"]),
-    "Left": lambda e: i.JobLeft(e["id"]),
+    "Due": lambda e: TimerFired(e["token"]),
+    "Left": lambda e: JobReleased(e["id"]),
     "Probed": probed_of,
-    "AckFirst": lambda e: i.AnswerBegan(e["id"], e["send_no"], e["worker"]),
+    "AckFirst": lambda e: ResponseStarted(e["id"], e["send_no"], e["worker"]),
 }
 UNUSED = ("Peer",)  # peers are never listened to
 QUOTE = json.dumps
 ACTIONS: dict[type, Callable[[Any], str]] = {
-    i.Send: lambda a: f'"m":"Issue","id":{a.job},"worker":{QUOTE(a.worker)},"try_for":{a.time_out!r}',
-    i.Probe: lambda a: f'"m":"Check","worker":{QUOTE(a.worker)}',
-    i.Refuse: lambda a: f'"m":"OverloadReply","id":{a.job},"come_back":{a.retry_after!r}',
-    i.Fail: lambda a: f'"m":"FinishError","id":{a.job}',
-    i.SetTimer: lambda a: f'"m":"SetAlarm","token":{a.token},"offset":{a.delay!r}',
-    i.FollowList: lambda a: '"m":"Follow","want":true',
-    i.Log: lambda a: f'"m":"SayLog","body_text":{QUOTE(a.text)}',
+    SendAttempt: lambda a: f'"m":"Issue","id":{a.job},"worker":{QUOTE(a.worker)},"try_for":{a.time_out!r}',
+    PollLoad: lambda a: f'"m":"Check","worker":{QUOTE(a.worker)}',
+    RejectJob: lambda a: f'"m":"OverloadReply","id":{a.job},"come_back":{a.retry_after!r}',
+    FailJob: lambda a: f'"m":"FinishError","id":{a.job}',
+    SetTimer: lambda a: f'"m":"SetAlarm","token":{a.token},"offset":{a.delay!r}',
+    WatchEndpoints: lambda a: '"m":"Follow","want":true',
+    LogLine: lambda a: f'"m":"SayLog","body_text":{QUOTE(a.text)}',
 }
 
 
@@ -120,20 +143,20 @@
         self.now = 0.0
         self.serial = 0
         self.dispatchers: dict[int, Dispatcher] = {}
-        self.lists: dict[int, tuple[i.Listed, ...]] = {}
+        self.lists: dict[int, tuple[Endpoint, ...]] = {}
         self.live = False  # whether the lists' weights follow the jobs held
 
-    def reply(self, who: int, actions: Iterable[i.Action]) -> None:
+    def reply(self, who: int, actions: Iterable[Action]) -> None:
         """Write the actions of one dispatcher."""
         self.out.writelines(f'{{"who":{who},{ACTIONS[type(a)](a)}}}\n' for a in actions)
 
-    def tell(self, who: int, event: i.Event) -> None:
+    def tell(self, who: int, event: Event) -> None:
         """Hand one dispatcher its event and write what it asks for."""
         if (dispatcher := self.dispatchers.get(who)) is not None:
             actions = dispatcher.handle(self.now, event)
             self.out.writelines(f'{{"who":{who},{ACTIONS[type(a)](a)}}}\n' for a in actions)
 
-    def translate(self, e: Fields) -> tuple[int, i.Event] | None:
+    def translate(self, e: Fields) -> tuple[int, Event] | None:
         """Take one line of a batch; give the event in it, if it is one for a dispatcher."""
         m = e["m"]
         if (event_of := EVENTS.get(m)) is not None:
@@ -145,13 +168,15 @@
             self.out.flush()
         elif m == "Members":
             scope = lookup(LISTS, e["scope"], "scope")
-            return e["who"], i.WorkerList(scope, () if scope is i.ListScope.FAILED else self.lists[e["slot"]])
+            return e["who"], EndpointListUpdate(
+                scope, () if scope is ListScope.FAILED else self.lists[e["slot"]]
+            )
         elif m == "Roster":
             self.lists[e["slot"]] = tuple(listed_of(item, self.live) for item in e["items"])
         elif m == "NewInstance":
             self.live = e["conf"].get("weight_source") == "live"
             self.dispatchers[e["who"]] = Dispatcher(settings_of(e["conf"]), e["salt"])
-            return e["who"], i.Begin()
+            return e["who"], Started()
         elif m in UNUSED:
             pass
         elif m == "Kill":
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from elderstall import interface as i
+from elderstall.interface import Settings
 from elderstall.net.console import CALLERS
 from elderstall.net.discovery import ListError, list_of
 from elderstall.settings import settings_of
@@ -56,7 +56,7 @@
     port: int
     discovery: str
     seed: int
-    settings: i.Settings
+    settings: Settings
     known: Any
     live_weights: bool
     report_fields: tuple[str, ...]
@@ -150,7 +150,7 @@
         settings = settings_of(settings_raw)
         # On sockets a watch is the only way to changes, also where an agent pushes them: what it has counts
         # as told whether or not we watch.
-        settings = replace(settings, must_follow=True, own_list=not settings.must_follow)
+        settings = replace(settings, watches_list=True, list_is_pushed=not settings.watches_list)
     except KeyError as error:
         raise ConfigError(f"settings: {error} is missing") from None
     except (ValueError, TypeError, AttributeError) as error:
--- a/elderstall/decisions/answers.py
+++ b/elderstall/decisions/answers.py
@@ -7,7 +7,7 @@
 from elderstall.decisions.endpoints import Endpoints
 from elderstall.decisions.load_shedding import LoadShedding
 from elderstall.decisions.records import Job
-from elderstall.interface import Effect, Fail, Refuse, Scope
+from elderstall.interface import Effect, FailJob, RejectJob, Scope
 
 RETRY_AFTER_LEAST = 200.0  # ms: less only adds to what is overloaded
 RETRY_AFTER_MOST = 2_000.0  # ms: more is not heeded
@@ -32,9 +32,9 @@
         """Give the final answer: a rejection where trying again is harmless, else a failure."""
         self.close(job)
         if self._harmless(job):
-            self.context.act(Refuse(job.id, self.retry_after(), why))
+            self.context.act(RejectJob(job.id, self.retry_after(), why))
         else:
-            self.context.act(Fail(job.id))
+            self.context.act(FailJob(job.id))
 
     def close(self, job: Job) -> None:
         """Mark a job as answered; its attempts may still be in flight."""
@@ -51,11 +51,11 @@
     def _harmless(job: Job) -> bool:
         """Say whether a client may be told to try again."""
         job_class = job.cls
-        if job_class.effect is Effect.SAFE:
+        if job_class.effect is Effect.IDEMPOTENT:
             return True
         if job.ran_on is None and job.in_flight == 0:
             return True
-        return job_class.effect is Effect.KEYED and job_class.scope is Scope.ALL
+        return job_class.effect is Effect.IDEMPOTENCY_KEY and job_class.scope is Scope.ALL
 
     def retry_after(self) -> float:
         """Give the time, ms, in which our part of the fleet works off what we owe.
--- a/elderstall/decisions/capacity.py
+++ b/elderstall/decisions/capacity.py
@@ -49,7 +49,7 @@
 
     def count_workers(self, workers: int) -> None:
         """Take how many workers are up: of many, few are our own."""
-        self.near_part = min(1.0, max(self.context.settings.least_part, OWN_WORKERS / max(1, workers)))
+        self.near_part = min(1.0, max(self.context.settings.least_own_part, OWN_WORKERS / max(1, workers)))
         self._workers = workers
         self._size_preferred()
 
@@ -82,7 +82,7 @@
         """Work out workers' speed, slots, capacity and our part; kinds stand in for what is not seen yet."""
         settings, now = self.context.settings, self.context.now
         prior, sharers = PRIOR_JOBS * self.estimates.typical, settings.sharers
-        slow_start = settings.cold_for + settings.push_window
+        slow_start = settings.slow_start_duration + settings.slow_start_window
         by_kind: dict[str, tuple[float, float]] = {}
         for worker in workers:
             if worker.kind not in by_kind:
@@ -111,7 +111,7 @@
 
     def open_slots(self, worker: Worker) -> int:
         """Give the slots open to us: where starts are not notified, by our part of it if one is free."""
-        if self.context.settings.tells_start or worker.free_slots < FREE_LEAST:
+        if self.context.settings.notifies_start or worker.free_slots < FREE_LEAST:
             return worker.slot_limit
         return max(worker.slot_limit, min(OWN_JOBS_MOST, int(1 + 2 * worker.slots * self.claim)))
 
--- a/elderstall/decisions/context.py
+++ b/elderstall/decisions/context.py
@@ -45,21 +45,23 @@
     @classmethod
     def of(cls, settings: Settings) -> OperatingMode:
         """Derive the mode from settings."""
-        shares = (1.0, settings.over_share_worth) if settings.tenants else (1.0,)
+        shares = (1.0, settings.over_quota_weight) if settings.tenants else (1.0,)
         large_fleet = settings.dispatchers * WHOLE_SLOTS_BELOW > ASSUMED_SLOTS
         reports_free = settings.report_free_slots is not None
-        polls_before = large_fleet and reports_free and not settings.tells_start and settings.probes
+        polls_before = large_fleet and reports_free and not settings.notifies_start and settings.probes
         polls_for_queued = (
             settings.pulled
             and reports_free
-            and not settings.tells_start
+            and not settings.notifies_start
             and settings.probes
             and not polls_before
         )
         return cls(
             classes={job_class.name: job_class for job_class in settings.classes},
             tier_edges=tuple(
-                tier_edges(job_class.worth * share for job_class in settings.classes for share in shares)
+                tier_edges(
+                    job_class.priority_weight * share for job_class in settings.classes for share in shares
+                )
             ),
             large_fleet=large_fleet,
             polls_before_placing=polls_before,
--- a/elderstall/decisions/dispatcher.py
+++ b/elderstall/decisions/dispatcher.py
@@ -39,22 +39,22 @@
 from elderstall.decisions.urgency import Urgency
 from elderstall.interface import (
     Actions,
-    AnswerBegan,
     AttemptEnded,
-    AttemptNoted,
-    Begin,
+    AttemptProgressed,
+    EndpointListUpdate,
     Event,
     JobArrived,
-    JobInherited,
-    JobLeft,
-    Learned,
+    JobReleased,
+    JobTakenOver,
+    LearnedStateReceived,
     ListScope,
-    Log,
-    Probed,
-    Retuned,
+    LoadPolled,
+    LogLine,
+    ResponseStarted,
     Settings,
+    SettingsChanged,
+    Started,
     TimerFired,
-    WorkerList,
     WorkersForgotten,
 )
 from elderstall.limits.shares import Shares
@@ -141,19 +141,19 @@
             self.solver,
         )
         self._handlers: dict[type, Callable[[Any], None]] = {
-            Begin: self._begin,
-            WorkerList: self._endpoint_list,
+            Started: self._begin,
+            EndpointListUpdate: self._endpoint_list,
             WorkersForgotten: lambda event: self.endpoints.forget(event.workers),
             JobArrived: self.intake.arrived,
-            JobInherited: self.inheritance.take_job,
-            JobLeft: lambda event: self.answers.abandoned(event.job),
-            AnswerBegan: lambda event: self.answers.abandoned(event.job),
-            AttemptNoted: self.outcomes.noted,
+            JobTakenOver: self.inheritance.take_job,
+            JobReleased: lambda event: self.answers.abandoned(event.job),
+            ResponseStarted: lambda event: self.answers.abandoned(event.job),
+            AttemptProgressed: self.outcomes.noted,
             AttemptEnded: self.outcomes.ended,
-            Probed: self._load_report,
+            LoadPolled: self._load_report,
             TimerFired: self._timer_fired,
-            Retuned: self._settings_changed,
-            Learned: lambda event: self.inheritance.take_learned(event.data),
+            SettingsChanged: self._settings_changed,
+            LearnedStateReceived: lambda event: self.inheritance.take_learned(event.data),
         }
         self._adopt()
 
@@ -176,12 +176,12 @@
         """Take the settings in force in every part."""
         settings, mode = self.context.settings, self.context.mode
         self.list_polling.adopt()
-        self.shedding.adopt(job_class.worth for job_class in settings.classes)
+        self.shedding.adopt(job_class.priority_weight for job_class in settings.classes)
         self.estimates.adopt(settings.classes)
         self.solver.update_typical_work()
         self.quotas.adopt(settings.tenants, settings.dispatchers, mode.large_fleet)
 
-    def _begin(self, _: Begin) -> None:
+    def _begin(self, _: Started) -> None:
         """Start the cadences, and ask for the endpoint list."""
         self.context.set_timer(TIMER_SOLVE, INTERVAL)
         self.list_polling.begin()
@@ -207,13 +207,13 @@
             return
         running, queued = self.in_flight.slots_running, len(self.queue)
         self.context.act(
-            Log(
+            LogLine(
                 f"{summary.policy}, our part {summary.own_slots:.0f} slots, {running} run, "
                 f"pace {summary.pace:.2f}, {queued} jobs held"
             )
         )
 
-    def _endpoint_list(self, event: WorkerList) -> None:
+    def _endpoint_list(self, event: EndpointListUpdate) -> None:
         """Take a watch event, or that a call or a watch has failed."""
         if event.scope in (ListScope.FAILED, ListScope.SILENT):
             self.list_polling.failed(event.scope)
@@ -228,14 +228,14 @@
         self.endpoints.rebuild()
         self.pools.rescale()
 
-    def _load_report(self, event: Probed) -> None:
+    def _load_report(self, event: LoadPolled) -> None:
         """Take a polled worker's report, and place the jobs that waited for it alone."""
         worker = self.poller.record(event)
         if self.context.mode.polls_for_queued:
             self.queue.offer(worker)
         self.polled_placement.reported(worker)
 
-    def _settings_changed(self, event: Retuned) -> None:
+    def _settings_changed(self, event: SettingsChanged) -> None:
         """Take new settings and keep what was learned; a job keeps its class, and its place in the order."""
         queued, tiers = self.queue.queued_jobs(), self.context.mode.tiers
         self.context.adopt(event.settings)
--- a/elderstall/decisions/eligibility.py
+++ b/elderstall/decisions/eligibility.py
@@ -52,9 +52,9 @@
     def _may_repeat(self, worker: Worker, job: Job) -> bool:
         """Guard against a second effect: a job that may have run goes only where its repeat is dropped."""
         first, job_class = job.ran_on, job.cls
-        if first is None or job_class.effect is not Effect.KEYED:
+        if first is None or job_class.effect is not Effect.IDEMPOTENCY_KEY:
             return True
-        in_time = DEDUPLICATION_PART * job_class.memory_span
+        in_time = DEDUPLICATION_PART * job_class.deduplication_window
         if job.ran_at is None or self.context.now - job.ran_at >= in_time:
             return False
         if job_class.scope is not Scope.ALL and worker.zone != first.zone:
@@ -66,7 +66,7 @@
         faulty = sum(other.up for other in self.endpoints.on_probation.values())
         if faulty > FAULTY_MOST * self.endpoints.up_count:
             return True
-        if not worker.slots_in_flight and job.cls.effect is Effect.SAFE:
+        if not worker.slots_in_flight and job.cls.effect is Effect.IDEMPOTENT:
             return True
         if worker.slots_in_flight:
             return False
--- a/elderstall/decisions/endpoints.py
+++ b/elderstall/decisions/endpoints.py
@@ -11,7 +11,7 @@
 from elderstall.decisions.queue_model import TIER_WEIGHTS
 from elderstall.decisions.records import Attempt, Worker
 from elderstall.decisions.reserved_workers import ReservedWorkers
-from elderstall.interface import Listed, ListScope, WorkerList, WorkerState
+from elderstall.interface import Endpoint, EndpointListUpdate, ListScope, WorkerState
 
 HASH_ORDER = attrgetter("hash_order")  # of workers
 GOLDEN_RATIO = 0.6180339887  # its multiples fall evenly on any stretch of workers or dispatchers
@@ -56,7 +56,7 @@
         """The largest weight that the list gave a worker of each kind."""
         return self._largest_weight
 
-    def apply(self, event: WorkerList) -> bool:
+    def apply(self, event: EndpointListUpdate) -> bool:
         """Take a watch event; a worker missing from a whole list is gone. Says whether any came or went."""
         whole = event.scope is ListScope.WHOLE
         before = self._states(self.workers if whole else [entry.worker for entry in event.entries])
@@ -76,7 +76,7 @@
         known = (worker for name in names if (worker := self.workers.get(name)) is not None)
         return {worker.name: (worker.up, worker.started) for worker in known}
 
-    def _apply_entry(self, entry: Listed) -> None:
+    def _apply_entry(self, entry: Endpoint) -> None:
         up = entry.state is WorkerState.UP
         worker = self.workers.get(entry.worker)
         if worker is None:
--- a/elderstall/decisions/estimates.py
+++ b/elderstall/decisions/estimates.py
@@ -11,7 +11,7 @@
 
 def first_guess(job_class: JobClass) -> float:
     """Guess a class's mean work, ms on a standard core, before any of its jobs has completed."""
-    return max(1.0, job_class.aim / 2)
+    return max(1.0, job_class.latency_objective / 2)
 
 
 class WorkEstimates:
--- a/elderstall/decisions/forwarding.py
+++ b/elderstall/decisions/forwarding.py
@@ -7,7 +7,7 @@
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.records import Attempt, Job, Worker
 from elderstall.decisions.slow_start import SlowStart
-from elderstall.interface import Effect, Send
+from elderstall.interface import Effect, SendAttempt
 
 SURELY_LATE = 1.5  # times its hinted work: a job given up then would not have been in time, as hints err
 
@@ -39,14 +39,14 @@
         self.in_flight.add(attempt)
         self.slow_start.record(worker, job)
         time_out = max(settings.tick, self._ends(job) - self.context.now)
-        self.context.act(Send(job.id, worker.name, time_out))
+        self.context.act(SendAttempt(job.id, worker.name, time_out))
 
     def _ends(self, job: Job) -> float:
         """Say when an attempt is given up, ms."""
         job_class = job.cls
         polls = self.context.mode.polls_before_placing
-        if polls and not job_class.late_share and job_class.effect is Effect.UNSAFE:
+        if polls and not job_class.late_share and job_class.effect is Effect.NOT_IDEMPOTENT:
             # Guards queues against jobs that can earn nothing any more; harmless ones would only come again.
-            wanted = job.arrived + job_class.aim + job_class.stretch * job.work * SURELY_LATE
+            wanted = job.arrived + job_class.latency_objective + job_class.stretch * job.work * SURELY_LATE
             return min(job.deadline, wanted)
         return job.deadline
--- a/elderstall/decisions/hill_climb.py
+++ b/elderstall/decisions/hill_climb.py
@@ -41,7 +41,7 @@
 
 def climb(
     start: Policy,
-    worth: Callable[[Policy], float],
+    priority_weight: Callable[[Policy], float],
     tiers: int,
     budget: int,
     rng: random.Random,
@@ -56,7 +56,7 @@
 
     def score(policy: Policy) -> float:
         if policy not in seen:
-            seen[policy] = worth(policy)
+            seen[policy] = priority_weight(policy)
         return seen[policy]
 
     if resize:
--- a/elderstall/decisions/in_flight.py
+++ b/elderstall/decisions/in_flight.py
@@ -40,7 +40,7 @@
         """Take a new attempt."""
         key = attempt.job.id, attempt.number
         self.attempts[key] = attempt
-        if self.context.settings.tells_start:
+        if self.context.settings.notifies_start:
             attempt.worker.unstarted[key] = self.unstarted[key] = attempt
 
     def adopt(self, attempt: Attempt) -> None:
--- a/elderstall/decisions/inheritance.py
+++ b/elderstall/decisions/inheritance.py
@@ -13,7 +13,7 @@
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.records import Attempt, Job, Policy, Worker
 from elderstall.decisions.solver import Solver
-from elderstall.interface import JobInherited
+from elderstall.interface import JobTakenOver
 
 # The keys under which a worker's learned values are handed over: fixed, as two versions meet there.
 WORKER_KEYS = {
@@ -104,7 +104,7 @@
         self.solver.load, self.solver.intervals = data["load"], 1
         self.pools.adopt_policy(Policy(tuple(fractions), tuple(sizes)))
 
-    def take_job(self, event: JobInherited) -> None:
+    def take_job(self, event: JobTakenOver) -> None:
         """Take a job over from the former process, and go on with its attempt if one is in flight."""
         job = self._job_of(event)
         self.intake.answers.open[job.id] = job
@@ -117,14 +117,14 @@
         worker.slots_in_flight += job.slots
         self.pools.moved(worker)
 
-    def _job_of(self, event: JobInherited) -> Job:
+    def _job_of(self, event: JobTakenOver) -> Job:
         """Make a job of what is known of it."""
         work = event.work_hint if event.work_hint else self.estimates.of_class(event.cls)
         job = Job(
             event.job,
             event.cls,
-            event.cls.worth,
-            self.context.mode.tier_of(event.cls.worth),
+            event.cls.priority_weight,
+            self.context.mode.tier_of(event.cls.priority_weight),
             event.slots,
             work,
             event.key,
--- a/elderstall/decisions/intake.py
+++ b/elderstall/decisions/intake.py
@@ -54,9 +54,9 @@
         context = self.context
         job_class = context.mode.classes[event.job_class]
         over_quota = 1.0 - self.quotas.within(context.now, event.tenant)
-        lowered = context.settings.over_share_worth
-        weight = job_class.worth * (1.0 - over_quota * (1.0 - lowered))
-        tier = context.mode.tier_of(job_class.worth * (lowered if over_quota > 0.5 else 1.0))
+        lowered = context.settings.over_quota_weight
+        weight = job_class.priority_weight * (1.0 - over_quota * (1.0 - lowered))
+        tier = context.mode.tier_of(job_class.priority_weight * (lowered if over_quota > 0.5 else 1.0))
         work = event.work_hint if event.work_hint else self.estimates.mean[job_class.name]
         deadline = context.now + event.time_left
         return Job(event.job, job_class, weight, tier, event.slots, work, event.key, context.now, deadline)
--- a/elderstall/decisions/list_polling.py
+++ b/elderstall/decisions/list_polling.py
@@ -5,7 +5,7 @@
 import math
 
 from elderstall.decisions.context import TIMER_POLL_ENDPOINTS, DecisionContext
-from elderstall.interface import FollowList, ListScope, Log
+from elderstall.interface import ListScope, LogLine, WatchEndpoints
 from elderstall.recovery.listing import ListCalls
 
 RENEW_PART = 0.25  # of ``ask_within``: an unanswered call is made again after so long
@@ -22,11 +22,11 @@
     def adopt(self) -> None:
         """Take the settings in force."""
         self.calls.dispatchers = self.context.settings.callers
-        self.calls.ask_within = self.context.settings.ask_within
+        self.calls.poll_interval = self.context.settings.poll_interval
 
     def begin(self) -> None:
         """Make the first call; where many dispatchers start at once their calls are spread."""
-        if not self.context.settings.must_follow:
+        if not self.context.settings.watches_list:
             return
         delay = self.calls.first(self.context.rng)
         if delay:
@@ -41,14 +41,14 @@
 
     def call(self) -> None:
         """Ask for the list and its changes, and again should no answer come at all."""
-        self.context.act(FollowList())
+        self.context.act(WatchEndpoints())
         self.calls.call(self.context.now)
-        self._call_in(self.context.settings.ask_within * RENEW_PART)
+        self._call_in(self.context.settings.poll_interval * RENEW_PART)
 
     def failed(self, scope: ListScope) -> None:
         """Plan the next call after one, or a watch, has failed or fallen silent."""
         self._call_in(self.calls.fail(self.context.rng, self.context.now, scope is ListScope.SILENT))
-        self.context.act(Log(f"list out of reach; asked again within {self.calls.waited:.0f} ms"))
+        self.context.act(LogLine(f"list out of reach; asked again within {self.calls.waited:.0f} ms"))
 
     def answered(self) -> None:
         """Take a list; the one known at the start answers no call."""
--- a/elderstall/decisions/outcomes.py
+++ b/elderstall/decisions/outcomes.py
@@ -11,7 +11,7 @@
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.queue import JobQueue
 from elderstall.decisions.records import BACKOFF_LEAST, Attempt, Job
-from elderstall.interface import NEVER_RAN, AttemptEnded, AttemptNoted, Effect, Ending
+from elderstall.interface import NEVER_RAN, AttemptEnded, AttemptProgressed, Effect, Ending
 
 PROBATION_JOBS = 4  # served in a row: one that fails half of its jobs would pass by chance in one of 16 rows
 REPORT_TRUST = 0.9  # of reported free slots are believed, for reports are noisy
@@ -20,7 +20,7 @@
 BRIEF = 100.0  # ms: a worker may drop what has so little time left without a word; that is no fault of it
 GIVEN_UP_BACKOFF = 500.0  # ms a worker is left alone for a job given up as late: that says little
 
-NOT_THE_WORKERS_FAULT = frozenset({Ending.NEVER_SENT, Ending.CANCELLED, Ending.CUT})
+NOT_THE_WORKERS_FAULT = frozenset({Ending.NEVER_SENT, Ending.CANCELLED, Ending.STALE_CONNECTION})
 
 
 class Outcomes:
@@ -41,7 +41,7 @@
         self.pools, self.in_flight = pools, in_flight
         self.answers, self.intake, self.queue = answers, intake, queue
 
-    def noted(self, event: AttemptNoted) -> None:
+    def noted(self, event: AttemptProgressed) -> None:
         """Take a start: prompt, it shows a free slot and tries for one more; late, that there was none."""
         attempt = self.in_flight.started((event.job, event.number)) if event.started else None
         if attempt is None:
@@ -131,7 +131,7 @@
         spent = job.attempts >= settings.max_attempts
         no_time = self.context.now >= job.deadline - 2 * settings.tick
         # Guards against a second effect.
-        unsure = job.ran_on is not None and job.cls.effect is Effect.UNSAFE
+        unsure = job.ran_on is not None and job.cls.effect is Effect.NOT_IDEMPOTENT
         if spent or no_time or unsure or ending is Ending.TIMED_OUT:
             self.answers.finish(job)
         else:
--- a/elderstall/decisions/placement.py
+++ b/elderstall/decisions/placement.py
@@ -23,7 +23,7 @@
 def long_run(job: Job) -> tuple[float, float]:
     """Give the running time at speed 1, ms, that a long job of a job's kind has, and when it is wanted."""
     run = LONG_JOB * job.work
-    return run, job.cls.aim + job.cls.stretch * LONG_JOB * job.work
+    return run, job.cls.latency_objective + job.cls.stretch * LONG_JOB * job.work
 
 
 class Placement:
@@ -66,7 +66,7 @@
 
     def _on_probation(self, job: Job) -> Worker | None:
         """Guard against a worker kept out which no job asks for its probation: a harmless one does."""
-        if job.cls.effect is not Effect.SAFE:
+        if job.cls.effect is not Effect.IDEMPOTENT:
             return None
         for worker in self.endpoints.probation_candidates():
             if self.eligibility.accepts(worker, job):
@@ -105,7 +105,7 @@
             or (not worker.slot_share and not worker.in_slow_start(self.context.now, settings))
         )
         rank = 2 * past_share + slow
-        crossing = rank < 2 and worker.zone != settings.zone and settings.crossing_price > 0
+        crossing = rank < 2 and worker.zone != settings.zone and settings.cross_zone_price > 0
         return rank, crossing, turn, place
 
     def _by_key(self, order: list[int], job: Job) -> Worker | None:
--- a/elderstall/decisions/polling.py
+++ b/elderstall/decisions/polling.py
@@ -18,7 +18,7 @@
 from elderstall.decisions.queue import JobQueue
 from elderstall.decisions.records import BACKOFF_LEAST, Job, Worker
 from elderstall.decisions.urgency import Urgency
-from elderstall.interface import Ending, Probe, Probed
+from elderstall.interface import Ending, LoadPolled, PollLoad
 
 POLLED_AT_ONCE = 3  # workers polled before a job goes to one: two are often both full, four gain nothing
 POLL_ROUNDS = 3  # times that a job polls, each time others, while all are full
@@ -49,7 +49,7 @@
             self.pools.moved(worker)
             if not worker.poll_pending and self.context.now - worker.reported_at > REPORT_FRESH_FOR:
                 worker.poll_pending = True
-                self.context.act(Probe(worker.name))
+                self.context.act(PollLoad(worker.name))
 
     def poll_next_own(self) -> None:
         """Poll the next of our own workers, to learn how full the fleet is."""
@@ -69,7 +69,7 @@
         )
         self.poll(sorted(candidates, key=lambda worker: worker.reported_at)[:POLLED_FOR_QUEUED])
 
-    def record(self, event: Probed) -> Worker:
+    def record(self, event: LoadPolled) -> Worker:
         """Take a load report, or that none came; gives the worker."""
         worker = self.endpoints.workers[event.worker]
         worker.poll_pending = False
--- a/elderstall/decisions/pools.py
+++ b/elderstall/decisions/pools.py
@@ -29,7 +29,9 @@
         self.pools: list[list[Worker]] = [[] for _ in mode.tier_edges]
         self.rotations = Rotations(self.pools, self.rotation_group)
         # Pools start alike; many dispatchers are long in solving, so there work over quota gets little.
-        used = {mode.tier_of(job_class.worth) for job_class in mode.classes.values() if mode.large_fleet}
+        used = {
+            mode.tier_of(job_class.priority_weight) for job_class in mode.classes.values() if mode.large_fleet
+        }
         sizes = tuple(1 if used and tier not in used else EQUAL_SIZE for tier in range(mode.tiers))
         self.adopt_policy(Policy((0,) * len(pairs(mode.tiers)), sizes))
 
--- a/elderstall/decisions/queue.py
+++ b/elderstall/decisions/queue.py
@@ -69,7 +69,7 @@
         """Say in which bucket a job waits: by the weight that a slot's time earns."""
         mode = self.context.mode
         slot_time = job.work * job.slots / self.estimates.typical
-        weight = mode.tier_edges[job.tier] / (1.0 if self.context.settings.by_work else slot_time)
+        weight = mode.tier_edges[job.tier] / (1.0 if self.context.settings.weight_by_work else slot_time)
         return next((n for n, edge in enumerate(mode.tier_edges[:-1]) if weight >= edge), mode.tiers - 1)
 
     def review(self) -> None:
--- a/elderstall/decisions/queue_model.py
+++ b/elderstall/decisions/queue_model.py
@@ -45,10 +45,10 @@
             if part > 0:
                 run = load.run[t] / speed
                 response += part * (wait + run)
-                late = min(1.0, alpha * math.exp(-max(0.0, load.aim[t] - run) * drain))
+                late = min(1.0, alpha * math.exp(-max(0.0, load.latency_objective[t] - run) * drain))
                 in_time += part * keep * (1 - late)
         gain += load.rate[t] * in_time
-        value += TIER_WEIGHTS[t] / (1 + math.exp(min(50.0, (response - load.aim[t]) / 1000)))
+        value += TIER_WEIGHTS[t] / (1 + math.exp(min(50.0, (response - load.latency_objective[t]) / 1000)))
     return gain * value
 
 
--- a/elderstall/decisions/records.py
+++ b/elderstall/decisions/records.py
@@ -9,7 +9,7 @@
 from itertools import accumulate
 
 from elderstall.hashing import HASH_MULTIPLIER, HASH_SPACE, stable_hash
-from elderstall.interface import JobClass, Listed, Settings
+from elderstall.interface import Endpoint, JobClass, Settings
 
 
 def portions(total: int, weights: Sequence[float]) -> tuple[int, ...]:
@@ -32,7 +32,7 @@
     rate: tuple[float, ...]  # jobs a ms, all dispatchers
     work: tuple[float, ...]  # slot-ms a job on a standard core
     run: tuple[float, ...]  # ms a job runs on a standard core
-    aim: tuple[float, ...]  # ms from arrival
+    latency_objective: tuple[float, ...]  # ms from arrival
     power: tuple[float, ...]  # cumulative speed x slots of the cut order
     slots: tuple[float, ...]  # cumulative slots of the cut order
     shared_power: float = 0.0  # of workers that serve every tier
@@ -112,7 +112,7 @@
     warm_up_sends: deque[tuple[float, float]] = field(default_factory=deque)  # time and work, while cold
 
     @classmethod
-    def of(cls, entry: Listed) -> Worker:
+    def of(cls, entry: Endpoint) -> Worker:
         """Make one of an entry of the endpoint list."""
         order = (stable_hash(entry.worker), entry.worker)
         return cls(entry.worker, entry.kind, entry.zone, entry.cell, entry.started, order)
@@ -124,14 +124,17 @@
 
     def warmth(self, now: float, settings: Settings) -> float:
         """Share of its capacity that it surely has by its age."""
-        if self.started is None or settings.cold_for <= 0:
+        if self.started is None or settings.slow_start_duration <= 0:
             return 1.0
-        age = max(0.0, now - self.started) / settings.cold_for
-        return min(1.0, settings.cold_share + (1 - settings.cold_share) * age)
+        age = max(0.0, now - self.started) / settings.slow_start_duration
+        return min(1.0, settings.slow_start_share + (1 - settings.slow_start_share) * age)
 
     def in_slow_start(self, now: float, settings: Settings) -> bool:
         """Say whether the slow-start rule still binds for it."""
-        return self.started is not None and now - self.started <= settings.cold_for + settings.push_window
+        return (
+            self.started is not None
+            and now - self.started <= settings.slow_start_duration + settings.slow_start_window
+        )
 
     def grow_backoff(self, least: float) -> None:
         """Double the time, ms, that it is left alone after a failure."""
--- a/elderstall/decisions/reserved_workers.py
+++ b/elderstall/decisions/reserved_workers.py
@@ -48,7 +48,7 @@
 
     def is_urgent(self, job: Job) -> bool:
         """Say whether a job's wanted time leaves little beyond its work."""
-        return spare_time(job.cls.aim, job.cls.stretch, job.work) < self.limit
+        return spare_time(job.cls.latency_objective, job.cls.stretch, job.work) < self.limit
 
     def excludes(self, worker: Worker, job: Job) -> bool:
         """Say whether a job is kept off a worker: a long one that is not urgent, off a reserved one."""
--- a/elderstall/decisions/slow_start.py
+++ b/elderstall/decisions/slow_start.py
@@ -48,7 +48,7 @@
 
     def _sent_in_window(self, worker: Worker) -> float:
         """Give the work, ms, that we have sent it in the window that ends now."""
-        sends, since = worker.warm_up_sends, self.context.now - self.context.settings.push_window
+        sends, since = worker.warm_up_sends, self.context.now - self.context.settings.slow_start_window
         while sends and sends[0][0] <= since:
             sends.popleft()
         return sum(work for _, work in sends)
@@ -56,11 +56,11 @@
     def _budget(self, worker: Worker) -> float:
         """Give the work, ms, that all dispatchers together send it in a window."""
         settings = self.context.settings
-        allowed = BUDGET_USED * settings.push_multiple * settings.push_window
+        allowed = BUDGET_USED * settings.slow_start_multiple * settings.slow_start_window
         return allowed * self.capacity.cold_capacity(worker)
 
     def _window_hash(self, worker: Worker) -> int:
-        window = self.context.now // self.context.settings.push_window
+        window = self.context.now // self.context.settings.slow_start_window
         return stable_hash(f"{worker.name} {window}")
 
     def _turn_among_owners(self, worker: Worker) -> float:
--- a/elderstall/decisions/solver.py
+++ b/elderstall/decisions/solver.py
@@ -60,7 +60,7 @@
 
     def record_arrival(self, job: Job) -> None:
         """Count a job."""
-        objective = min(job.cls.aim + job.cls.stretch * job.work, job.cls.deadline)
+        objective = min(job.cls.latency_objective + job.cls.stretch * job.work, job.cls.deadline)
         tier = self.arriving[job.tier]
         for n, amount in enumerate((1.0, job.work * job.slots, job.work, objective)):
             tier[n] += amount
@@ -70,7 +70,7 @@
         self.estimates.update_typical()
         mean = self.estimates.mean
         self.endpoints.reserved.adopt(
-            spare_time(job_class.aim, job_class.stretch, mean[job_class.name])
+            spare_time(job_class.latency_objective, job_class.stretch, mean[job_class.name])
             for job_class in self.context.settings.classes
         )
 
--- a/elderstall/decisions/urgency.py
+++ b/elderstall/decisions/urgency.py
@@ -18,7 +18,7 @@
     def patience(self, job: Job) -> float:
         """Give the time, ms from arrival, after which a queued job of usual length would end late."""
         stretch = job.cls.stretch - self.capacity.ms_per_unit
-        return job.cls.aim + stretch * job.work * USUAL_PART
+        return job.cls.latency_objective + stretch * job.work * USUAL_PART
 
     def out_of_time(self, job: Job) -> bool:
         """Say whether a queued job can earn nothing any more."""
--- a/elderstall/engine/answers.py
+++ b/elderstall/engine/answers.py
@@ -10,9 +10,9 @@
 from elderstall.engine.lifecycle import JobEvent
 from elderstall.engine.rules import Rules
 from elderstall.figures import Figures
-from elderstall.interface import AttemptEnded, Ending, Fail, JobLeft, Refuse
+from elderstall.interface import AttemptEnded, Ending, FailJob, JobReleased, RejectJob
 from elderstall.log import Log
-from elderstall.messages import Answer, Failed, Refused, Served
+from elderstall.messages import Answer, Failed, Rejected, Served
 
 
 class Answers:
@@ -42,20 +42,20 @@
         if job.closed:
             return
         name = job.request.job_class
-        self.log.write("guard", f"job {job.request.cid} of {name} had no answer at its deadline")
-        self.decisions.feed(JobLeft(job.number))
+        self.log.write("guard", f"job {job.request.request_id} of {name} had no answer at its deadline")
+        self.decisions.feed(JobReleased(job.number))
         if not job.closed:
             harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Refused() if harmless else Failed(late=True))
+            self.close(job, Rejected() if harmless else Failed(late=True))
 
-    def reject(self, action: Refuse) -> None:
+    def reject(self, action: RejectJob) -> None:
         """Carry out Refuse; what may have run fails instead."""
         job = self.jobs.get(action.job)
         if job is not None:
             harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Refused(action.retry_after) if harmless else Failed(), action.why)
+            self.close(job, Rejected(action.retry_after) if harmless else Failed(), action.why)
 
-    def fail(self, action: Fail) -> None:
+    def fail(self, action: FailJob) -> None:
         """Carry out Fail."""
         job = self.jobs.get(action.job)
         if job is not None:
@@ -63,16 +63,16 @@
 
     def cannot_cancel(self, job: Job) -> None:
         """Answer a job that a worker may still have, which could not be told to give it up."""
-        self.decisions.feed(JobLeft(job.number))
+        self.decisions.feed(JobReleased(job.number))
         if not job.closed:
             harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Refused() if harmless else Failed(), "not to be given up")
+            self.close(job, Rejected() if harmless else Failed(), "not to be given up")
 
     def client_left(self, number: int) -> None:
         """Note that the client of a job has left: nothing is owed, its attempt is given up."""
         job = self.jobs.get(number)
         if job is not None:
-            self.decisions.feed(JobLeft(number))
+            self.decisions.feed(JobReleased(number))
             self.close(job, None)
 
     def close(self, job: Job, answer: Answer | None, why: str = "") -> None:
@@ -102,9 +102,11 @@
             self.figures.served[name] += 1
             return
         self.figures.reasons[name, why or job.last_ending] += 1
-        if isinstance(answer, Refused):
+        if isinstance(answer, Rejected):
             self.figures.refused[name] += 1
             return
         self.figures.failed[name] += 1
         after = self.deadlines.now() - job.arrived
-        self.log.write("failed", f"job {job.request.cid} of {name} after {after:.0f} ms: {job.last_end}")
+        self.log.write(
+            "failed", f"job {job.request.request_id} of {name} after {after:.0f} ms: {job.last_end}"
+        )
--- a/elderstall/engine/attempts.py
+++ b/elderstall/engine/attempts.py
@@ -12,9 +12,9 @@
 from elderstall.engine.jobs import Attempt, Job, JobTable
 from elderstall.engine.lifecycle import AttemptEvent, AttemptState, JobEvent
 from elderstall.engine.rules import Rules, Violation
-from elderstall.interface import AttemptEnded, AttemptNoted, Ending, Send, Settings
+from elderstall.interface import AttemptEnded, AttemptProgressed, Ending, SendAttempt, Settings
 from elderstall.log import Log
-from elderstall.messages import Carrier, Outcome, Served
+from elderstall.messages import AttemptTransport, Outcome, Served
 
 
 class Attempts:
@@ -26,7 +26,7 @@
         jobs: JobTable,
         rules: Rules,
         answers: Answers,
-        transport: Carrier,
+        transport: AttemptTransport,
         decisions: DecisionFeed,
         endpoints: EndpointFeed,
         deadlines: Deadlines,
@@ -38,7 +38,7 @@
 
     # ---- starting ----
 
-    def send(self, action: Send) -> None:
+    def send(self, action: SendAttempt) -> None:
         """Carry out Send, once every earlier attempt is known to be given up."""
         job = self.jobs.get(action.job)
         if job is None:
@@ -59,12 +59,12 @@
 
     def _not_sent(self, job: Job, number: int, worker: str, violation: Violation) -> None:
         """Tell the decisions of an attempt that a rule forbids."""
-        self.log.write("rule", f"job {job.request.cid} not sent to {worker}: {violation.value}")
+        self.log.write("rule", f"job {job.request.request_id} not sent to {worker}: {violation.value}")
         if violation is Violation.CLIENT_LEFT:
             self.answers.client_left(job.number)
         self.decisions.feed(AttemptEnded(job.number, number, worker, Ending.NEVER_SENT, job.closed))
 
-    def _start(self, job: Job, number: int, action: Send) -> None:
+    def _start(self, job: Job, number: int, action: SendAttempt) -> None:
         """Hand an attempt to the transport."""
         now = self.deadlines.now()
         ends_at = min(now + action.time_out, job.deadline) if action.time_out > 0 else job.deadline
@@ -100,13 +100,13 @@
             attempt.advance(AttemptEvent.ACCEPTED)
             return
         if attempt.job.attempt is attempt:
-            broken = outcome.ending in (Ending.BROKEN, Ending.CUT)
+            broken = outcome.ending in (Ending.BROKEN, Ending.STALE_CONNECTION)
             confirmed = attempt.state is AttemptState.CONFIRMED
-            if outcome.spoke or (broken and confirmed):
+            if outcome.answer_begun or (broken and confirmed):
                 attempt.advance(AttemptEvent.ACCEPTED)
                 self.give_up(attempt, outcome.ending if broken else Ending.BROKEN)
                 return
-            if outcome.unclear:
+            if outcome.maybe_accepted:
                 attempt.job.cancel_first = attempt.worker
         self._ended(attempt, outcome)
 
@@ -127,7 +127,7 @@
         if job.attempt is not attempt:
             return
         attempt.advance(AttemptEvent.ACCEPTED)
-        self.decisions.feed(AttemptNoted(job.number, attempt.number, attempt.worker, share, started))
+        self.decisions.feed(AttemptProgressed(job.number, attempt.number, attempt.worker, share, started))
         if not job.closed and not started:
             job.client.progressed(share, text)
 
@@ -189,7 +189,7 @@
         job.advance(JobEvent.CANCEL_STARTED)
         job.cancels += 1
         if self.settings.cancels:
-            cancelled: Deferred[bool] = self.transport.recall(worker, job.request.cid, must)
+            cancelled: Deferred[bool] = self.transport.cancel_job(worker, job.request.request_id, must)
             cancelled.addBoth(self._cancelled, job, must=must)
         else:  # the settings have no such word: as if it could not be told
             self.deadlines.after(0.0, lambda: self._cancelled(None, job, must=must))
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -8,7 +8,7 @@
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.engine.decision_feed import DecisionFeed
 from elderstall.figures import Figures
-from elderstall.interface import Event, Listed, ListScope, Retuned, Settings, WorkerList
+from elderstall.interface import Endpoint, EndpointListUpdate, Event, ListScope, Settings, SettingsChanged
 from elderstall.messages import Outcome
 from elderstall.routing.view import FleetView
 
@@ -25,10 +25,10 @@
         deadlines: Deadlines,
         decisions: DecisionFeed,
         figures: Figures,
-        renew: Callable[[str], None],
+        drop_idle: Callable[[str], None],
     ) -> None:
         self.settings, self.view, self.deadlines = settings, view, deadlines
-        self.decisions, self.figures, self.renew = decisions, figures, renew
+        self.decisions, self.figures, self.drop_idle = decisions, figures, drop_idle
         self.follow: Callable[[], None] = lambda: None  # asks for the list's changes
         self.started = False  # the list known at the start has been taken
         self.budget_part = 1.0  # of the dispatcher's slow-start budget, of this process
@@ -42,7 +42,7 @@
         self._calling = True
         self.follow()
 
-    def take(self, scope: ListScope, entries: tuple[Listed, ...] = ()) -> None:
+    def take(self, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> None:
         """Take a watch event, or that a call or a watch has failed."""
         now = self.deadlines.now()
         if scope in (ListScope.FAILED, ListScope.SILENT):
@@ -51,7 +51,9 @@
             self.figures.heard_at = now
         events: Sequence[Event] = self.view.take(now, scope, entries)
         if not events and self._calling:
-            events = [WorkerList(ListScope.CHANGES)]  # discovery has answered, with nothing for the decisions
+            events = [
+                EndpointListUpdate(ListScope.CHANGES)
+            ]  # discovery has answered, with nothing for the decisions
         self._calling = False
         self.notify(events)
 
@@ -85,9 +87,9 @@
     def share_budget(self, part: float) -> None:
         """Keep to a part of what cold workers may be sent: the other process of an upgrade has the rest."""
         self.budget_part = part
-        multiple = self.settings.push_multiple * part
-        settings = replace(self.settings, push_multiple=multiple, sharing=self._sharers)
-        self.decisions.feed(Retuned(settings))
+        multiple = self.settings.slow_start_multiple * part
+        settings = replace(self.settings, slow_start_multiple=multiple, sharing=self._sharers)
+        self.decisions.feed(SettingsChanged(settings))
 
     def ban(self, worker: str) -> bool:
         """Send nothing new to a worker until its ban ends; says no if it was never listed."""
@@ -104,7 +106,7 @@
             return False
         now = self.deadlines.now()
         if self.view.include(worker, now):
-            self.renew(worker)
+            self.drop_idle(worker)
             self.notify(self.view.refresh(worker, now))
         return True
 
--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -19,28 +19,28 @@
 from elderstall.figures import Figures
 from elderstall.interface import (
     AttemptEnded,
-    Begin,
     Ending,
-    Fail,
-    FollowList,
+    Endpoint,
+    FailJob,
     JobArrived,
-    JobInherited,
-    JobLeft,
-    Learned,
-    Listed,
+    JobReleased,
+    JobTakenOver,
+    LearnedStateReceived,
     ListScope,
-    Probe,
-    Probed,
-    Refuse,
-    Send,
+    LoadPolled,
+    LogLine,
+    PollLoad,
+    RejectJob,
+    SendAttempt,
     SetTimer,
     Settings,
+    Started,
     TimerFired,
+    WatchEndpoints,
     WorkerState,
 )
-from elderstall.interface import Log as LogLine
 from elderstall.log import Log
-from elderstall.messages import Ask, Carrier, Client, Failed, Outcome, Refused
+from elderstall.messages import AttemptTransport, Client, Failed, JobRequest, Outcome, Rejected
 from elderstall.routing.view import ENTRIES_MOST, FleetView
 
 NO_CAPACITY = "no room"  # why a front rejected a job, for the figures
@@ -54,7 +54,7 @@
         settings: Settings,
         seed: int,
         deadlines: Deadlines,
-        transport: Carrier,
+        transport: AttemptTransport,
         log: Log,
         slack: float = 8.0,
         max_open: int = 20_000,
@@ -68,7 +68,7 @@
         self.jobs = JobTable(max_open)
         self.rules = Rules(settings, deadlines, self.view)
         self.endpoints = EndpointFeed(
-            settings, self.view, deadlines, self.feed, self.counters, transport.renew
+            settings, self.view, deadlines, self.feed, self.counters, transport.drop_idle
         )
         self.answers = Answers(
             self.jobs,
@@ -93,12 +93,12 @@
         self.answers.slack = slack
         self._take_names(settings)
         self.feed.handlers = {
-            Send: self.attempts.send,
-            Probe: self._poll,
-            Refuse: self.answers.reject,
-            Fail: self.answers.fail,
+            SendAttempt: self.attempts.send,
+            PollLoad: self._poll,
+            RejectJob: self.answers.reject,
+            FailJob: self.answers.fail,
             SetTimer: self._set_timer,
-            FollowList: lambda _: self.endpoints.call(),
+            WatchEndpoints: lambda _: self.endpoints.call(),
             LogLine: lambda action: self.log.write("module", action.text),
         }
 
@@ -112,13 +112,13 @@
 
     # ---- start and settings ----
 
-    def start(self, known: tuple[Listed, ...], learned: dict[str, Any] | None = None) -> None:
+    def start(self, known: tuple[Endpoint, ...], learned: dict[str, Any] | None = None) -> None:
         """Begin, with the list as this dispatcher last had it, and what the former process had learned."""
-        self.feed.feed(Begin())
+        self.feed.feed(Started())
         self.endpoints.take(ListScope.WHOLE, known)
         self.endpoints.started = True
         if learned is not None:
-            self.feed.feed(Learned(learned))
+            self.feed.feed(LearnedStateReceived(learned))
 
     def change_settings(self, settings: Settings, slack: float, max_open: int) -> None:
         """Take new settings; jobs under way keep their class."""
@@ -162,12 +162,12 @@
 
     # ---- jobs ----
 
-    def accept(self, request: Ask, client: Client) -> int:
+    def accept(self, request: JobRequest, client: Client) -> int:
         """Take a job on; from here it is owed one final answer. Gives its number.
 
         Raises RepeatedIdError or TooManyJobsError.
         """
-        self.jobs.check_new(request.cid)
+        self.jobs.check_new(request.request_id)
         now = self.deadlines.now()
         job = Job(request, client, self.classes[request.job_class], now, now + request.budget)
         self.jobs.add(job)
@@ -209,7 +209,7 @@
             if timer is not None:
                 timer.cancel()
         self.jobs.export_job(job)
-        self.feed.feed(JobLeft(number))
+        self.feed.feed(JobReleased(number))
         if attempt is not None:
             attempt.advance(AttemptEvent.ENDED)
             ended = AttemptEnded(number, attempt.number, attempt.worker, Ending.CANCELLED, True)
@@ -232,7 +232,7 @@
             job.start_attempt(attempt)
             self.attempts.watch(attempt)
         self.feed.feed(
-            JobInherited(
+            JobTakenOver(
                 job.number,
                 job.cls,
                 job.arrived,
@@ -259,22 +259,22 @@
     def abandon_transfer(self, transfer: JobTransfer) -> None:
         """Give up the attempt of a job that moves, as its client has left."""
         if transfer.attempt is not None and self.settings.cancels:
-            self.transport.recall(transfer.attempt.worker, transfer.request_id)
+            self.transport.cancel_job(transfer.attempt.worker, transfer.request_id)
 
     def reject_transfer(self, transfer: JobTransfer, client: Client) -> None:
         """Answer a job that has come from another process where no more are taken, and end its attempt."""
         name, harmless = transfer.cls.name, transfer.harmless_to_reject
         (self.counters.refused if harmless else self.counters.failed)[name] += 1
         self.counters.reasons[name, NO_CAPACITY] += 1
-        client.answered(Refused() if harmless else Failed())
+        client.answered(Rejected() if harmless else Failed())
         self.abandon_transfer(transfer)
 
     # ---- load reports ----
 
-    def _poll(self, action: Probe) -> None:
+    def _poll(self, action: PollLoad) -> None:
         """Carry out Probe; a worker that is notified as draining or gone is left alone."""
         if self.view.state(action.worker) is not WorkerState.UP:
-            self.feed.feed(Probed(action.worker, Ending.NEVER_SENT))
+            self.feed.feed(LoadPolled(action.worker, Ending.NEVER_SENT))
             return
         self.counters.probes += 1
         polling = self.transport.probe(action.worker)
@@ -283,9 +283,9 @@
     def _polled(self, outcome: Outcome, worker: str) -> None:
         """Take a worker's load report."""
         self.endpoints.learn_reach(worker, outcome)
-        self.feed.feed(Probed(worker, outcome.ending, outcome.report))
+        self.feed.feed(LoadPolled(worker, outcome.ending, outcome.report))
 
     def _not_polled(self, failure: Failure, worker: str) -> None:
         """Take an error in the transport: jobs wait for this report."""
         self.log.failure("carrier", failure.value)
-        self.feed.feed(Probed(worker, Ending.BROKEN))
+        self.feed.feed(LoadPolled(worker, Ending.BROKEN))
--- a/elderstall/engine/job_transfer.py
+++ b/elderstall/engine/job_transfer.py
@@ -12,7 +12,7 @@
 from elderstall.clocks import SharedClock
 from elderstall.engine.jobs import Attempt, Job
 from elderstall.interface import Effect, JobClass, Scope
-from elderstall.messages import Ask, Client
+from elderstall.messages import Client, JobRequest
 
 CLOCK_SLACK = 500.0  # ms by which readings of a process of an earlier version may be off with no step
 LEFT_UNKNOWN = 400.0  # ms left to a job whose deadline is not known; it is lost 500 ms past that
@@ -55,7 +55,7 @@
             None if attempt is None else AttemptTransfer(attempt.worker, attempt.sent_at, attempt.ends_at)
         )
         return cls(
-            request_id=request.cid,
+            request_id=request.request_id,
             cls=job.cls,
             tenant=request.tenant,
             key=request.key,
@@ -75,15 +75,15 @@
     @property
     def harmless_to_reject(self) -> bool:
         """Whether its client may be promised that trying again does no harm."""
-        if self.cls.effect is Effect.SAFE:
+        if self.cls.effect is Effect.IDEMPOTENT:
             return True
-        if self.cls.effect is Effect.KEYED and self.cls.scope is Scope.ALL:
+        if self.cls.effect is Effect.IDEMPOTENCY_KEY and self.cls.scope is Scope.ALL:
             return True
         return not self.may_have_run and self.attempt is None
 
     def to_job(self, original: object, client: Client) -> Job:
         """Make a job of it; ``original`` is the client's request as its front keeps it."""
-        request = Ask(
+        request = JobRequest(
             self.request_id,
             self.cls.name,
             self.deadline - self.arrived,
@@ -92,7 +92,7 @@
             self.key,
             self.work_hint,
             self.slots,
-            self.cls.effect is Effect.SAFE,
+            self.cls.effect is Effect.IDEMPOTENT,
         )
         job = Job(request, client, self.cls, self.arrived, self.deadline, attempts=self.attempts)
         job.may_have_run = self.may_have_run
@@ -172,12 +172,12 @@
 # The names of a class's fields in messages, in order.
 CLASS_KEYS = {
     "name": "name",
-    "worth": "worth",
-    "aim": "aim",
+    "worth": "priority_weight",
+    "aim": "latency_objective",
     "deadline": "deadline",
     "effect": "effect",
     "scope": "scope",
-    "memory_span": "memory_span",
+    "memory_span": "deduplication_window",
     "stretch": "stretch",
     "late_share": "late_share",
     "kind": "kind",
--- a/elderstall/engine/jobs.py
+++ b/elderstall/engine/jobs.py
@@ -19,8 +19,8 @@
     JobState,
     next_state,
 )
-from elderstall.interface import NEVER_RAN, Ending, JobClass, Send
-from elderstall.messages import Ask, Client, Outcome
+from elderstall.interface import NEVER_RAN, Ending, JobClass, SendAttempt
+from elderstall.messages import Client, JobRequest, Outcome
 from elderstall.slots import SLOT_MASK, Slots
 
 REMEMBERED_IDS = 4_096  # of answered jobs: minutes of them at the rates known
@@ -61,7 +61,7 @@
 class Job:
     """A job that is owed an answer. Times are readings of the clock, ms."""
 
-    request: Ask
+    request: JobRequest
     client: Client
     cls: JobClass
     arrived: float
@@ -70,7 +70,7 @@
     attempts: int = 0  # made so far
     state: JobState = JobState.PENDING
     attempt: Attempt | None = None  # in flight
-    deferred_send: Send | None = None  # decided, and waits for cancels
+    deferred_send: SendAttempt | None = None  # decided, and waits for cancels
     cancels: int = 0  # attempts given up whose workers have not yet confirmed it
     cancel_first: str | None = None  # a worker that said nothing is told before the next attempt
     may_have_run: bool = False
@@ -174,30 +174,30 @@
     def add(self, job: Job) -> None:
         """Add a job that this process took, and number it."""
         self._insert(job)
-        self.on_taken(job.request.cid)
+        self.on_taken(job.request.request_id)
 
     def import_job(self, job: Job) -> None:
         """Add a job that another process took, and number it."""
         self._insert(job)
-        self.taken_elsewhere.discard(job.request.cid)
+        self.taken_elsewhere.discard(job.request.request_id)
 
     def _insert(self, job: Job) -> None:
         job.number = self.live.add(job)
-        self.by_id[job.request.cid] = job
+        self.by_id[job.request.request_id] = job
 
     def remove(self, job: Job) -> None:
         """Take a job off that has had its answer."""
         self._take_off(job)
-        self.answered.add(job.request.cid)
+        self.answered.add(job.request.request_id)
 
     def export_job(self, job: Job) -> None:
         """Take a job off that another process goes on with."""
         self._take_off(job)
-        self.taken_elsewhere.add(job.request.cid)
+        self.taken_elsewhere.add(job.request.request_id)
 
     def _take_off(self, job: Job) -> None:
         self.live.remove(job.number)
-        del self.by_id[job.request.cid]
+        del self.by_id[job.request.request_id]
 
     def live_attempt(self, request_id: str, worker: str) -> Attempt | None:
         """Find the attempt in flight of a client's id at a worker, for what the worker calls back."""
--- a/elderstall/engine/learned_transfer.py
+++ b/elderstall/engine/learned_transfer.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from elderstall.clocks import SharedClock
-from elderstall.interface import Listed
+from elderstall.interface import Endpoint
 from elderstall.routing.view import FleetView
 
 
@@ -30,7 +30,7 @@
 
 def read_learned(
     data: dict[str, Any],
-    entries: Iterable[Listed],
+    entries: Iterable[Endpoint],
     bans_ended: Mapping[str, Sequence[float]],
     view: FleetView,
     clock: SharedClock,
--- a/elderstall/engine/rules.py
+++ b/elderstall/engine/rules.py
@@ -6,7 +6,7 @@
 
 from elderstall.deadlines import Deadlines
 from elderstall.engine.jobs import Job
-from elderstall.interface import Effect, Scope, Send, Settings
+from elderstall.interface import Effect, Scope, SendAttempt, Settings
 from elderstall.routing.view import FleetView
 
 DRAIN_PART = 0.75  # of the time that the rule on draining workers allows; after that nothing is sent
@@ -32,7 +32,7 @@
     def __init__(self, settings: Settings, deadlines: Deadlines, view: FleetView) -> None:
         self.settings, self.deadlines, self.view = settings, deadlines, view
 
-    def forbids(self, job: Job, send: Send) -> Violation | None:
+    def forbids(self, job: Job, send: SendAttempt) -> Violation | None:
         """Name the rule that forbids an attempt which is about to begin."""
         if job.attempt is not None:
             return Violation.ATTEMPT_IN_FLIGHT
@@ -40,7 +40,7 @@
             return Violation.TOO_MANY_ATTEMPTS
         if not self.view.knows(send.worker):
             return Violation.UNKNOWN_WORKER
-        if job.may_have_run and job.cls.effect is Effect.UNSAFE:
+        if job.may_have_run and job.cls.effect is Effect.NOT_IDEMPOTENT:
             return Violation.MAY_HAVE_RUN
         return self.forbids_by_now(job, send.worker)
 
@@ -49,7 +49,10 @@
         now = self.deadlines.now()
         if not self.view.may_send(worker, now, self._drain_grace):
             return Violation.WORKER_DRAINING
-        if job.cls.effect is Effect.KEYED and now - job.ran_at >= job.cls.memory_span - HELD_UP:
+        if (
+            job.cls.effect is Effect.IDEMPOTENCY_KEY
+            and now - job.ran_at >= job.cls.deduplication_window - HELD_UP
+        ):
             return Violation.NOT_DEDUPLICATED
         if not job.client.here():
             return Violation.CLIENT_LEFT
@@ -58,14 +61,14 @@
     @property
     def _drain_grace(self) -> float:
         """How long a worker that is notified as draining may still be sent attempts, ms."""
-        allowed = self.settings.drain_within
+        allowed = self.settings.stop_sending_within
         return max(0.0, min(DRAIN_PART * allowed, allowed - HELD_UP))
 
     @staticmethod
     def harmless_to_reject(job: Job) -> bool:
         """Say whether a client may be promised that trying again does no harm."""
-        if job.cls.effect is Effect.SAFE:
+        if job.cls.effect is Effect.IDEMPOTENT:
             return True
-        if job.cls.effect is Effect.KEYED and job.cls.scope is Scope.ALL:
+        if job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is Scope.ALL:
             return True
         return not job.may_have_run and job.attempt is None
--- a/elderstall/interface.py
+++ b/elderstall/interface.py
@@ -1,7 +1,7 @@
-"""What a dispatcher is told and what it asks for: settings, events and actions.
+"""What the decisions are handed and what they ask for: settings, events and actions.
 
 Times are milliseconds. Clock readings start anywhere and only grow. Work is measured as running
-time on a standard core. Every record is plain data; all decisions are in ``choice.py``.
+time on a standard core. Every record is plain data; all decisions are in ``elderstall.decisions``.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class Effect(Enum):
-    """What running a job twice would do."""
+    """What running a job twice would do; the values are the configuration's words."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"  # no harm
+    IDEMPOTENCY_KEY = "keyed"  # workers drop a repeat for a while, see Scope
+    NOT_IDEMPOTENT = "unsafe"  # harm
 
 
 class Scope(Enum):
@@ -43,7 +43,7 @@
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
-    CUT = "cut"  # a kept connection had gone; the job may have run, but its worker is not to blame
+    STALE_CONNECTION = "cut"  # an idle connection had gone; it may have run, its worker is not to blame
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
 
@@ -52,7 +52,7 @@
 
 
 class WorkerState(Enum):
-    """What the list says of a worker."""
+    """What the endpoint list says of a worker."""
 
     UP = "up"
     DRAINING = "draining"
@@ -60,7 +60,7 @@
 
 
 class ListScope(Enum):
-    """What a list event holds: the changed entries, every entry, or nothing because a call failed.
+    """What a list update holds: the changed entries, every entry, or nothing because a call failed.
 
     Nothing as well where a watch or a call fell silent: that says less against discovery than a failure does.
     """
@@ -73,29 +73,56 @@
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """One class of jobs and its rules."""
+    """One class of jobs and its rules.
+
+    In time is what ends within ``latency_objective`` plus ``stretch`` times its running time at speed 1.
+    """
 
     name: str
-    worth: float
-    aim: float
-    deadline: float
-    effect: Effect = Effect.SAFE
+    priority_weight: float
+    latency_objective: float  # ms
+    deadline: float  # ms
+    effect: Effect = Effect.IDEMPOTENT
     scope: Scope = Scope.ALL
-    memory_span: float = 0.0
+    deduplication_window: float = 0.0  # ms in which workers drop a repeat
     stretch: float = 0.0
-    late_share: float = 0.0
-    kind: str | None = None
+    late_share: float = 0.0  # of its weight, that a late answer earns
+    kind: str | None = None  # the only kind of worker that runs it
     streamed: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the jobs a second, over all dispatchers, that are within its share."""
+    """A tenant and its quota: jobs a second, over all dispatchers."""
 
     name: str
     quota_per_s: float
 
 
+# Fields that are checked, and their keys in the configuration, which errors name.
+CLASS_NOT_NEGATIVE = {
+    "priority_weight": "worth",
+    "latency_objective": "aim",
+    "deduplication_window": "memory_span",
+    "stretch": "stretch",
+    "late_share": "late_share",
+}
+POSITIVE = {
+    "poll_interval": "ask_within",
+    "slow_start_window": "push_window",
+    "slow_start_multiple": "push_multiple",
+    "stop_sending_within": "drain_within",
+    "tick": "tick",
+}
+NOT_NEGATIVE = {
+    "over_quota_weight": "over_share_worth",
+    "slow_start_duration": "cold_for",
+    "cpu_us_per_s": "cpu_us_per_s",
+    "cpu_us_per_job": "cpu_us_per_job",
+    "connect_timeout": "connect_timeout",
+    "cross_zone_price": "crossing_price",
+    "fetch_price": "fetch_price",
+}
 OWNERS_LEAST = 2.0  # dispatchers that count a worker as their own, where each holds a subset of the fleet
 
 
@@ -108,24 +135,26 @@
     dispatchers: int = 1
     rank: int = 0
     zone: str | None = None
-    over_share_worth: float = 1.0
-    by_work: bool = False
-    must_follow: bool = False
-    own_list: bool = False  # changes come from an agent of our own; only we call there
-    ask_within: float = 10_000.0
-    cold_share: float = 1.0
-    cold_for: float = 0.0
-    push_multiple: float = 3.0
-    push_window: float = 2_000.0
-    drain_within: float = 2_000.0  # ms in which new work to a worker ends once it is told draining or gone
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
+    watches_list: bool = False
+    list_is_pushed: bool = False  # changes come from an agent of our own; only we call there
+    poll_interval: float = 10_000.0
+    slow_start_share: float = 1.0
+    slow_start_duration: float = 0.0
+    slow_start_multiple: float = 3.0
+    slow_start_window: float = 2_000.0
+    stop_sending_within: float = (
+        2_000.0  # ms in which new work to a worker ends once it is told draining or gone
+    )
     max_attempts: int = 1
     cpu_us_per_s: float = 0.0
     cpu_us_per_job: float = 0.0
     connect_timeout: float = 0.0
-    tells_start: bool = False
+    notifies_start: bool = False
     report_free_slots: int | None = None
     tick: float = 1.0
-    crossing_price: float = 0.0
+    cross_zone_price: float = 0.0
     fetch_price: float = 0.0
     probes: bool = False  # whether workers may be asked how they stand
     cancels: bool = True  # whether workers may be told to give a job up
@@ -138,14 +167,14 @@
         return self.sharing or self.dispatchers
 
     @property
-    def least_part(self) -> float:
+    def least_own_part(self) -> float:
         """Least part of its workers that a dispatcher counts as its own: each has so many owners then."""
         return OWNERS_LEAST / self.sharing if self.sharing else 0.0
 
     @property
     def callers(self) -> int:
         """How many dispatchers call for the list where we do."""
-        return 1 if self.own_list else self.dispatchers
+        return 1 if self.list_is_pushed else self.dispatchers
 
     def __post_init__(self) -> None:
         require(bool(self.classes), "classes", "at least one is needed")
@@ -154,30 +183,22 @@
             require(isinstance(c.effect, Effect), "effect", f"unknown: {c.effect!r}")
             require(isinstance(c.scope, Scope), "scope", f"unknown: {c.scope!r}")
             require(0 < c.deadline < math.inf, "deadline", "must be above zero")
-            for name in ("worth", "aim", "memory_span", "stretch", "late_share"):
-                require(getattr(c, name) >= 0, name, "must not be negative")
+            for name, key in CLASS_NOT_NEGATIVE.items():
+                require(getattr(c, name) >= 0, key, "must not be negative")
         for t in self.tenants:
             require(t.quota_per_s >= 0, "quota_per_s", "must not be negative")
         require(self.dispatchers >= 1, "dispatchers", "must be at least one")
         require(self.max_attempts >= 1, "max_attempts", "must be at least one")
-        require(0 < self.cold_share <= 1, "cold_share", "must be above zero and at most one")
-        for name in ("ask_within", "push_window", "push_multiple", "drain_within", "tick"):
-            require(getattr(self, name) > 0, name, "must be above zero")
-        for name in (
-            "over_share_worth",
-            "cold_for",
-            "cpu_us_per_s",
-            "cpu_us_per_job",
-            "connect_timeout",
-            "crossing_price",
-            "fetch_price",
-        ):
-            require(getattr(self, name) >= 0, name, "must not be negative")
+        require(0 < self.slow_start_share <= 1, "cold_share", "must be above zero and at most one")
+        for name, key in POSITIVE.items():
+            require(getattr(self, name) > 0, key, "must be above zero")
+        for name, key in NOT_NEGATIVE.items():
+            require(getattr(self, name) >= 0, key, "must not be negative")
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
-    """One line of the list of workers. ``started`` is None where the start is long past.
+class Endpoint:
+    """One entry of the endpoint list. ``started`` is None where the start is long past.
 
     ``started`` is a reading of the dispatcher's clock; ``since_ms`` is the start as the list has it, Unix ms.
     ``weight`` is the worker's size, lowered the more jobs it holds for a core, or 1 where none is told.
@@ -190,7 +211,7 @@
     started: float | None = None
     state: WorkerState = WorkerState.UP
     weight: float = 1.0
-    place: float | None = None  # ours in line for it, from 0 to 1, where dispatchers hold subsets
+    place: float | None = None  # our position in line for it, 0 to 1, where dispatchers hold subsets
     since_ms: float | None = None
 
 
@@ -198,27 +219,27 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Begin:
+class Started:
     """The dispatcher starts; sent once, first."""
 
 
 @dataclass(slots=True, frozen=True)
-class Retuned:
-    """The settings are others now; jobs that have arrived keep the class they came with."""
+class SettingsChanged:
+    """The settings have changed; jobs that have arrived keep the class they came with."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
-class Learned:
-    """What the process before this one had learned, as its ``Dispatcher.learned`` gave it."""
+class LearnedStateReceived:
+    """What the former process had learned, as its ``Dispatcher.learned`` gave it."""
 
     data: dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
-class JobInherited:
-    """A job that the process before this one took, and its attempt if ``worker`` names where one is out."""
+class JobTakenOver:
+    """A job that the former process took; ``worker`` has its attempt, if one is in flight."""
 
     job: int
     cls: JobClass
@@ -234,11 +255,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WorkerList:
-    """News from the list of workers."""
+class EndpointListUpdate:
+    """A watch event, or the whole endpoint list, or that a call for it failed."""
 
     scope: ListScope
-    entries: tuple[Listed, ...] = ()
+    entries: tuple[Endpoint, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -262,7 +283,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AttemptNoted:
+class AttemptProgressed:
     """An attempt has started (``share`` 0) or has done ``share`` of its work."""
 
     job: int
@@ -273,7 +294,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AnswerBegan:
+class ResponseStarted:
     """The streamed answer of an attempt has begun; it belongs to the client now."""
 
     job: int
@@ -294,8 +315,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
-    """A worker's answer to ``Probe``, or that none came; its report where it gave one."""
+class LoadPolled:
+    """How a poll for a load report ended; ``report`` is empty where none came."""
 
     worker: str
     ending: Ending
@@ -303,8 +324,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class JobLeft:
-    """The client is gone; nothing is owed for the job any more."""
+class JobReleased:
+    """Nothing is owed for the job any more: its client has left, or another process has it."""
 
     job: int
 
@@ -317,18 +338,18 @@
 
 
 Event = (
-    Begin
-    | Retuned
-    | Learned
-    | WorkerList
+    Started
+    | SettingsChanged
+    | LearnedStateReceived
+    | EndpointListUpdate
     | WorkersForgotten
     | JobArrived
-    | JobInherited
-    | AttemptNoted
-    | AnswerBegan
+    | JobTakenOver
+    | AttemptProgressed
+    | ResponseStarted
     | AttemptEnded
-    | Probed
-    | JobLeft
+    | LoadPolled
+    | JobReleased
     | TimerFired
 )
 
@@ -337,7 +358,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendAttempt:
     """Start the job's next attempt on a worker. ``time_out`` 0: until the client gives up."""
 
     job: int
@@ -346,15 +367,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
-    """Ask a worker how it stands; answered by one ``Probed``."""
+class PollLoad:
+    """Poll a worker for its load report; answered by one ``LoadPolled``."""
 
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
-    """Final answer: turned down, and trying again is harmless."""
+class RejectJob:
+    """Final answer: rejected; trying again does no harm."""
 
     job: int
     retry_after: float = 0.0
@@ -362,7 +383,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fail:
+class FailJob:
     """Final answer: failed, with no promise about what has run."""
 
     job: int
@@ -377,16 +398,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FollowList:
-    """Ask to be told changes of the list of workers from now on."""
+class WatchEndpoints:
+    """Open a watch on the endpoint list."""
 
 
 @dataclass(slots=True, frozen=True)
-class Log:
+class LogLine:
     """A line for the people on call."""
 
     text: str
 
 
-Action = Send | Probe | Refuse | Fail | SetTimer | FollowList | Log
+Action = SendAttempt | PollLoad | RejectJob | FailJob | SetTimer | WatchEndpoints | LogLine
 Actions = list[Action]
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -1,7 +1,7 @@
-"""What the core and those around it say to each other: jobs, answers, outcomes; no logic.
+"""What fronts, the engine and transports say to each other: requests, answers, outcomes; no logic.
 
-A front hands an ``Ask`` to the core and is its ``Client``; a ``Carrier`` takes attempts to workers and tells
-their ``Outcome``. Times are in milliseconds.
+A front hands a ``JobRequest`` to the engine and is its ``Client``; an ``AttemptTransport`` takes attempts to
+workers and reports their ``Outcome``. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """A job as a front took it. The parcel is the front's own matter and passes through unread."""
+class JobRequest:
+    """A job as a front took it."""
 
-    cid: str  # the client's id, as text
+    request_id: str  # the client's id
     job_class: str
     budget: float  # ms from now that the client waits
-    parcel: object
+    original: object  # the client's request as the front keeps it; passed through unread
     tenant: str | None = None
     key: str | None = None
-    work_hint: float | None = None
+    work_hint: float | None = None  # ms on a standard core
     slots: int = 1
     repeatable: bool = False  # running it twice does no harm
 
@@ -38,8 +38,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refused:
-    """Final answer: turned down, trying again is harmless."""
+class Rejected:
+    """Final answer: rejected; trying again does no harm."""
 
     retry_after: float = 0.0  # ms
 
@@ -51,19 +51,19 @@
     late: bool = False  # whether time ran out
 
 
-Answer = Served | Refused | Failed
+Answer = Served | Rejected | Failed
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How an attempt ended, as a carrier saw it."""
+    """How an attempt or a poll ended, as a transport saw it."""
 
     ending: Ending
     result: bytes = b""
-    report: tuple[float, ...] = ()
-    unclear: bool = False  # the worker may have taken the job, unseen: it is told to give it up
-    unreached: bool = False  # no connection came up, or a question was not answered: see routing/reach.py
-    spoke: bool = False  # it had begun to answer: without its word the job goes nowhere else
+    report: tuple[float, ...] = ()  # the worker's load report, in the order of the settings' fields
+    maybe_accepted: bool = False  # the worker may have accepted the job, unseen: it is told to give it up
+    unreached: bool = False  # no connection came up, or a poll was not answered: see routing/reach.py
+    answer_begun: bool = False  # its answer had begun: without its word the job goes nowhere else
 
 
 class Client(Protocol):
@@ -73,40 +73,40 @@
         """Take the one final answer."""
 
     def progressed(self, share: float, text: str) -> None:
-        """Take news of a running attempt."""
+        """Take the progress of an attempt: the share of its work that is done, 0 to 1, and a text."""
 
     def here(self) -> bool:
         """Say whether the client is still there, as far as that can be seen without waiting."""
 
 
-class Carrier(Protocol):
+class AttemptTransport(Protocol):
     """What takes attempts to workers."""
 
     def send(
         self,
         worker: str,
-        ask: Ask,
-        ends: float,
-        note: Callable[[float, str], None],
-        barred: Callable[[], str | None],
+        request: JobRequest,
+        ends_at: float,
+        on_progress: Callable[[float, str], None],
+        forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
-        """Start an attempt. Fires with its outcome, or None where the worker took it and will call back.
+        """Start an attempt. Fires with its outcome, or None where the worker accepted it and will call back.
 
-        ``ends`` is the reading of the clock at which the attempt's time is over: the worker hears what is
-        left of it when the request is written, and one that is over by then is not written.
+        ``ends_at`` is the reading of the clock at which the attempt's time is over: the worker is told what
+        is left of it when the request is written, and one that is over by then is not written.
 
-        Cancelling it gives the attempt up by closing its connection. ``barred`` names what has come to
-        forbid it: asked where writing had to wait, before the first byte.
+        Cancelling it gives the attempt up by closing its connection. ``forbidden_by`` names the rule that
+        forbids it by now: asked where writing had to wait, before the first byte.
         """
 
-    def recall(self, worker: str, cid: str, patient: bool = True) -> Deferred[bool]:
-        """Give up an attempt that the worker may have taken; fires with whether the worker was told.
+    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
+        """Have a worker give up a job that it may have accepted; fires with whether it confirmed that.
 
-        Where it need not be told for the job to go on, the wait is short.
+        Where the job can go on without its word, the wait is short (``patient`` is false).
         """
 
     def probe(self, worker: str) -> Deferred[Outcome]:
-        """Ask a worker how it stands; fires with its report, or with how that failed."""
+        """Poll a worker for its load report; fires with that, or with how the poll failed."""
 
-    def renew(self, worker: str) -> None:
-        """Drop the free connections to a worker: they lead to a process that is gone."""
+    def drop_idle(self, worker: str) -> None:
+        """Drop the idle connections to a worker: they lead to a process that is gone."""
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -13,17 +13,17 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from elderstall import interface as i
 from elderstall.deadlines import Deadline, Deadlines
+from elderstall.interface import Endpoint, ListScope, WorkerState
 from elderstall.log import Log
 from elderstall.net import http
 from elderstall.net.jsonlines import JsonLines
 from elderstall.starts import StartTimes
 
 STATES = {
-    "in_service": i.WorkerState.UP,
-    "terminating": i.WorkerState.DRAINING,
-    "terminated": i.WorkerState.GONE,
+    "in_service": WorkerState.UP,
+    "terminating": WorkerState.DRAINING,
+    "terminated": WorkerState.GONE,
 }
 MOST = 1e15  # of any number in a list
 LINE_MOST = 4 * 1024 * 1024  # bytes of one list: 1,024 workers take 160 KB, indented 300 KB
@@ -51,18 +51,18 @@
         """Forget a worker."""
 
 
-Told = Callable[[i.ListScope, tuple[i.Listed, ...]], None]
+Told = Callable[[ListScope, tuple[Endpoint, ...]], None]
 Connect = Callable[[Factory], Deferred["WatchConnection"]]
 
 
-def entry_of(e: Any, live: bool) -> tuple[i.Listed, str]:
+def entry_of(e: Any, live: bool) -> tuple[Endpoint, str]:
     """Read one line of a list."""
     try:
         name, address, state = e["name"], e["address"], STATES[e["status"]]
         started, weight = float(e.get("since_ms") or 0), float(e.get("weight") or 0)
         kind, zone = str(e.get("type") or ""), e.get("zone")
         # Of the same few kinds and zones in every entry of a large list one copy is kept.
-        listed = i.Listed(
+        listed = Endpoint(
             str(name),
             intern(kind),
             intern(zone) if isinstance(zone, str) else zone,
@@ -81,21 +81,21 @@
     return listed, address
 
 
-def list_of(value: Any, live: bool) -> tuple[int, i.ListScope, list[tuple[i.Listed, str]]]:
+def list_of(value: Any, live: bool) -> tuple[int, ListScope, list[tuple[Endpoint, str]]]:
     """Read a list in discovery's form."""
     if not isinstance(value, dict) or not isinstance(value.get("endpoints"), list):
         raise ListError("no list")
     if not isinstance(value.get("index"), int):
         raise ListError("no index")
-    scope = i.ListScope.WHOLE if value.get("snapshot") else i.ListScope.CHANGES
+    scope = ListScope.WHOLE if value.get("snapshot") else ListScope.CHANGES
     return value["index"], scope, [entry_of(e, live) for e in value["endpoints"]]
 
 
-def told_as(index: int, entries: Iterable[i.Listed], addresses: Mapping[str, str]) -> dict[str, Any]:
+def told_as(index: int, entries: Iterable[Endpoint], addresses: Mapping[str, str]) -> dict[str, Any]:
     """Write a whole list in discovery's form."""
     states = {state: name for name, state in STATES.items()}
 
-    def since_ms(e: i.Listed) -> float:
+    def since_ms(e: Endpoint) -> float:
         return (e.started if e.since_ms is None else e.since_ms) or 0
 
     return {
@@ -229,7 +229,7 @@
         self.timer: Deadline | None = None  # for the next sign of life
         self.hedge_timer: Deadline | None = None  # for a second call
         self.fresh = False  # a call of which the module has not yet heard
-        self.fits: Callable[[i.ListScope, int], bool] = lambda *_: True  # whether a list can be held
+        self.fits: Callable[[ListScope, int], bool] = lambda *_: True  # whether a list can be held
 
     def buildProtocol(self, addr: object) -> WatchConnection:  # noqa: N802, D102
         return WatchConnection(self)
@@ -240,7 +240,7 @@
         self,
         value: Any,
         told_by: WatchConnection | None = None,
-    ) -> tuple[i.ListScope, tuple[i.Listed, ...]] | None:
+    ) -> tuple[ListScope, tuple[Endpoint, ...]] | None:
         """Merge a list, unless a newer one is held; addresses first, as the module may send at once.
 
         A whole list that begins a watch is taken in any case: who tells it may have begun to count anew.
@@ -250,7 +250,7 @@
             begins = told_by.index is None
             current = self.call_of(told_by) is not None
             least = told_by.index or (self.index if current else 0)
-            if index < least and not (begins and scope is i.ListScope.WHOLE):
+            if index < least and not (begins and scope is ListScope.WHOLE):
                 self.log.write("watch", f"version {index} is older than {least}: not taken")
                 return None
             told_by.index = index
@@ -259,12 +259,12 @@
         names = {listed.worker for listed, _ in pairs}
         self.starts.look()
         oldest = math.inf if told_by is None else self.deadlines.now() - self.listed_at
-        if scope is i.ListScope.WHOLE:
+        if scope is ListScope.WHOLE:
             for name in [name for name in self.addresses if name not in names]:
                 self.drop(name)
         entries = []
         for listed, address in pairs:
-            if listed.state is i.WorkerState.GONE:
+            if listed.state is WorkerState.GONE:
                 self.drop(listed.worker)
             else:
                 self.addresses[listed.worker] = address
@@ -303,7 +303,7 @@
                 "watch", f"{self.address} tells {len(news[1])} of {news[0].value}, version {self.index}"
             )
         if news is not None or fresh:
-            self.told(*(news or (i.ListScope.CHANGES, ())))
+            self.told(*(news or (ListScope.CHANGES, ())))
 
     def lives(self, connection: WatchConnection) -> None:
         """Wait on for a long list of which much has come: asked for anew it would come no sooner."""
@@ -427,7 +427,7 @@
         self.log.write("watch", f"{reason} {detail}".rstrip())
         self.end_calls(reason)
         self.fell_silent = reason == "silent"
-        self.told(i.ListScope.SILENT if self.fell_silent else i.ListScope.FAILED, ())
+        self.told(ListScope.SILENT if self.fell_silent else ListScope.FAILED, ())
 
     def close(self) -> None:
         """End the watch for good."""
--- a/elderstall/net/server.py
+++ b/elderstall/net/server.py
@@ -25,7 +25,7 @@
 from elderstall.engine.job_transfer import JobTransfer
 from elderstall.interface import Effect, Ending
 from elderstall.log import Log
-from elderstall.messages import Answer, Ask, Client, Outcome, Refused, Served
+from elderstall.messages import Answer, Client, JobRequest, Outcome, Rejected, Served
 from elderstall.net import http
 from elderstall.net.peer import left, unread, unwritten
 from elderstall.slots import Slots
@@ -84,7 +84,7 @@
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def ask_of(message: http.Message, engine: Engine) -> Ask:
+def ask_of(message: http.Message, engine: Engine) -> JobRequest:
     """Read a client's job, or say what is wrong with it."""
     headers = message.headers
     try:
@@ -100,8 +100,8 @@
         raise RequestError(405, "jobs come by POST", (("Allow", "POST"),))
     if job_class not in engine.classes or job_class != path_class:
         raise RequestError(400, "X-Call-Class is missing, unknown or not that of the path")
-    cid = headers.get("X-Call-Id")
-    if not cid or len(cid) > 256:
+    request_id = headers.get("X-Call-Id")
+    if not request_id or len(request_id) > 256:
         raise RequestError(400, "X-Call-Id is missing or too long")
     budget = number_of(headers.get("X-Budget-Ms"), "X-Budget-Ms")
     if budget is None:
@@ -112,9 +112,9 @@
     cost = number_of(headers.get("X-Call-Cost"), "X-Call-Cost")
     info = info_of(headers.get("X-Call-Info"))
     slots = number_of(info.get("cores_needed") or info.get("slots"), "X-Call-Info") or 1
-    repeatable = engine.classes[job_class].effect is Effect.SAFE
-    return Ask(
-        cid,
+    repeatable = engine.classes[job_class].effect is Effect.IDEMPOTENT
+    return JobRequest(
+        request_id,
         job_class,
         min(budget, BUDGET_MOST),
         message,
@@ -140,7 +140,7 @@
         self.placed = 0.0
         self.ended = False  # told to close; its descriptor is free soon
         self.message: http.Message | None = None  # being read
-        self.ask: Ask | None = None  # what its head asks for
+        self.ask: JobRequest | None = None  # what its head asks for
         self.body: list[bytes] = []
         self.size = 0  # bytes of that body, also while its job is out
         self.weight = 0  # bytes counted for this connection
@@ -162,7 +162,7 @@
         self.looking: Deadline | None = None  # for its client's leaving, while nothing is read
         self.close_after = self.sent_away = False
         self.passing: int | None = None  # a copy of its descriptor, for the process that takes it over
-        self.parcel: http.Message | None = None  # the request of the job that is out
+        self.original: http.Message | None = None  # the request of the job that is out
         self.moved: JobTransfer | None = None  # the job that goes with it
         self.stream: Stream | None = None  # of the job that is out, where its client asked for events
 
@@ -331,7 +331,7 @@
 
     def over(self, close: bool) -> None:
         """Go on after an answer."""
-        self.busy, self.job, self.parcel, self.size = False, None, None, 0
+        self.busy, self.job, self.original, self.size = False, None, None, 0
         if close:
             self.linger(self.server.close_reason(), discard=False)
         elif self.blocked:
@@ -487,7 +487,7 @@
         self.job = None
         if isinstance(answer, Served):
             self.reply(200, answer.result, (("Content-Type", "application/octet-stream"),))
-        elif isinstance(answer, Refused):
+        elif isinstance(answer, Rejected):
             self.sent_away = self.server.shortened  # it had better find another dispatcher
             self.reply(503, b"refused\n", retry_after(answer.retry_after))
         else:
@@ -669,7 +669,7 @@
 
     # ---- requests ----
 
-    def look(self, message: http.Message) -> Ask | None:
+    def look(self, message: http.Message) -> JobRequest | None:
         """Check a head; a job's gives what it asks for."""
         path = message.target.split("?", 1)[0]
         method = {"/up": "GET", "/callback": "POST"}.get(path)
@@ -702,7 +702,7 @@
                 except RequestError as denied:
                     c.finish(denied.status, "bad-request", f"{denied}\n".encode(), denied.headers)
 
-    def job(self, c: ServerConnection, message: http.Message, ask: Ask) -> None:
+    def job(self, c: ServerConnection, message: http.Message, ask: JobRequest) -> None:
         """Take a client's job."""
         c.client = True
         ask = replace(ask, budget=max(0.0, ask.budget - c.time_since_request_began()))
@@ -719,16 +719,16 @@
             raise self.turned_away(ask, "too much is kept")
         self.submit(c, message, ask)
 
-    def turned_away(self, ask: Ask, why: str) -> RequestError:
+    def turned_away(self, ask: JobRequest, why: str) -> RequestError:
         """Refuse a job that there is no room for: for the figures it is one refused."""
         self.engine.count_rejected(ask.job_class)
         return RequestError(503, why, retry_after(self.busy_retry))
 
-    def submit(self, c: ServerConnection, message: http.Message, ask: Ask) -> None:
+    def submit(self, c: ServerConnection, message: http.Message, ask: JobRequest) -> None:
         """Hand a job in for a plain answer."""
         self.enter(c, c, ask, message)
 
-    def enter(self, c: ServerConnection, client: Client, ask: Ask, message: http.Message) -> None:
+    def enter(self, c: ServerConnection, client: Client, ask: JobRequest, message: http.Message) -> None:
         """Hand a job to the engine."""
         try:
             number = self.engine.accept(ask, client)
@@ -737,7 +737,7 @@
         except TooManyJobsError:
             raise self.turned_away(ask, "too many jobs") from None
         if c.busy:  # else it has been answered already
-            c.job, c.parcel = number, message
+            c.job, c.original = number, message
 
     def callback(self, c: ServerConnection, message: http.Message) -> Deferred[bool] | None:
         """Take what a worker tells; only a live attempt's own worker is heard.
@@ -750,10 +750,10 @@
             raise RequestError(400, "no JSON") from None
         if not isinstance(call, dict):
             raise RequestError(400, "no JSON object")
-        cid, worker, state = call.get("id"), call.get("from"), call.get("state")
-        if not (isinstance(cid, str) and isinstance(worker, str) and isinstance(state, str)):
+        request_id, worker, state = call.get("id"), call.get("from"), call.get("state")
+        if not (isinstance(request_id, str) and isinstance(worker, str) and isinstance(state, str)):
             raise RequestError(400, "id, from and state are text")
-        if not self.engine.jobs.knows(cid) and (others := self.ask_others(call)) is not None:
+        if not self.engine.jobs.knows(request_id) and (others := self.ask_others(call)) is not None:
             c.worker = True
             return others
         if self.called(call):
@@ -768,8 +768,8 @@
 
     def called(self, call: Any) -> bool:
         """Act on what a worker tells of a job here; say whether its attempt is live."""
-        cid, worker, state = call["id"], call["from"], call["state"]
-        attempt = self.engine.jobs.live_attempt(cid, worker)
+        request_id, worker, state = call["id"], call["from"], call["state"]
+        attempt = self.engine.jobs.live_attempt(request_id, worker)
         if attempt is None:
             return False
         if state in ("started", "running"):
@@ -811,12 +811,12 @@
     def take_back(self, c: ServerConnection) -> None:
         """Go on with a job that could not leave."""
         moved, c.moved = c.moved, None
-        if moved is not None and c.parcel is not None:
+        if moved is not None and c.original is not None:
             self.moving.discard(moved.request_id)
             if self.engine.jobs.live.full:
                 self.engine.reject_transfer(moved, c)
                 return
-            number = self.engine.import_job(moved, c.parcel, c)
+            number = self.engine.import_job(moved, c.original, c)
             if c.busy:
                 c.job = number
 
@@ -833,10 +833,10 @@
             "asked": c.requests,
             "age": self.deadlines.now() - c.began,
         }
-        if c.moved is not None and c.parcel is not None:
+        if c.moved is not None and c.original is not None:
             fields |= {
                 "job": self.engine.encode_transfer(c.moved),
-                "parcel": c.parcel.plain(),
+                "parcel": c.original.plain(),
                 "last": c.close_after,
             }
         if not whole:  # its client is gone
@@ -850,8 +850,8 @@
         """Go on with a connection that the other process has handed over, and with its job if one is out."""
         c.client, c.worker, c.requests = fields["client"], fields["worker"], fields["asked"]
         if "job" in fields:
-            c.parcel = http.Message.from_plain(fields["parcel"])
-            c.busy, c.close_after, c.size = True, fields["last"], len(c.parcel.body)
+            c.original = http.Message.from_plain(fields["parcel"])
+            c.busy, c.close_after, c.size = True, fields["last"], len(c.original.body)
             c.moved = self.engine.decode_transfer(fields["job"])
             self.move(c, None)
             if c.timer is not None:
--- a/elderstall/net/sse.py
+++ b/elderstall/net/sse.py
@@ -18,7 +18,7 @@
 
 from elderstall.config import Progress
 from elderstall.interface import Ending
-from elderstall.messages import Answer, Ask, Failed, Outcome, Refused, Served
+from elderstall.messages import Answer, Failed, JobRequest, Outcome, Rejected, Served
 from elderstall.net import http
 from elderstall.net.server import RequestError, Server, ServerConnection
 from elderstall.net.workers import Carriage, Pool, Posted, Workers
@@ -147,10 +147,10 @@
         self,
         workers: Workers,
         done: Deferred[Outcome | None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
         note: Callable[[float, str], None],
     ) -> None:
-        super().__init__(workers, done, barred)
+        super().__init__(workers, done, forbidden_by)
         self.note = note
         self.events: EventParser | None = None
         self.ended = False
@@ -189,19 +189,19 @@
                 self.workers.deadlines.after(AFTER_RESULT, self.stop)
             super().over(outcome)
 
-    def done(self, unclear: bool = False, spoke: bool = False) -> None:
+    def done(self, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Take the answer's end: a stream that ends without a result was broken off."""
         if self.events is not None:
             self.over(Outcome(Ending.BROKEN))
         else:
-            super().done(unclear, spoke)
+            super().done(maybe_accepted, answer_begun)
 
-    def broke(self, ending: Ending, spoke: bool = False, unreached: bool = False) -> None:
+    def broke(self, ending: Ending, answer_begun: bool = False, unreached: bool = False) -> None:
         """Take the connection's end: once a stream has begun, its job may have run."""
         if self.events is not None:
             self.over(Outcome(Ending.BROKEN))
         else:
-            super().broke(ending, spoke, unreached)
+            super().broke(ending, answer_begun, unreached)
 
 
 class StreamWorkers(Workers):
@@ -210,17 +210,17 @@
     def begin(
         self,
         pool: Pool,
-        ask: Ask,
+        ask: JobRequest,
         ends: float,
         note: Callable[[float, str], None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
         done: Deferred[Outcome | None],
     ) -> Carriage:
         """Start the exchange of a job; its body is passed on as it comes, so no limit holds for the whole.
 
         A stream may begin with the job's start, so its worker's first word is waited for to the deadline.
         """
-        exchange = Streamed(self, done, barred, note)
+        exchange = Streamed(self, done, forbidden_by, note)
         request = self.job_request(ask, pool.address, ends, MEDIA_TYPE)
         exchange.carriage = pool.begin(request, exchange, 0, ask.repeatable)
         return exchange.carriage
@@ -232,8 +232,8 @@
 class ClientStream:
     """The client of one job that asked for events."""
 
-    def __init__(self, connection: ServerConnection, cid: str, chunked: bool, setup: Progress) -> None:
-        self.connection, self.cid, self.chunked, self.setup = connection, cid, chunked, setup
+    def __init__(self, connection: ServerConnection, request_id: str, chunked: bool, setup: Progress) -> None:
+        self.connection, self.request_id, self.chunked, self.setup = connection, request_id, chunked, setup
         self.begun = False
         self.count = 0
         self.pending: str | None = None  # the newest progress, while the client does not read
@@ -252,7 +252,7 @@
             self.connection.transport.write(http.head_of("HTTP/1.1 200 OK", fields))
             first = f"retry: {self.setup.retry_ms}\n".encode()
         self.count += 1
-        self.write(first + written(name, data, f"{self.cid}/{self.count}"))
+        self.write(first + written(name, data, f"{self.request_id}/{self.count}"))
 
     def progressed(self, share: float, text: str) -> None:
         """Pass progress on; while the client does not read, only the newest is kept."""
@@ -278,7 +278,7 @@
         elif not self.begun:
             self.connection.answered(answer)
             return
-        elif isinstance(answer, Refused):
+        elif isinstance(answer, Rejected):
             self.event("error", json.dumps({"status": 503, "retry_after_ms": answer.retry_after}))
         else:
             late = isinstance(answer, Failed) and answer.late
@@ -306,25 +306,25 @@
         """Take those of the process that hands over."""
         self.begun.update(dict.fromkeys(streamed))
 
-    def submit(self, c: ServerConnection, message: http.Message, ask: Ask) -> None:
+    def submit(self, c: ServerConnection, message: http.Message, ask: JobRequest) -> None:
         """Hand a job in, with a stream for its client if that is asked for.
 
         Guards against a job that runs again because its client's stream broke: a reconnect is answered
         204, which by the format's rules ends the client's attempts.
         """
-        if any(message.headers.all("Last-Event-ID")) or ask.cid in self.begun:
+        if any(message.headers.all("Last-Event-ID")) or ask.request_id in self.begun:
             c.reply(204)
             return
         if not accepts_stream(message):
             super().submit(c, message, ask)
             return
         c.transport.bufferSize = self.setup.coalesce_bytes
-        c.stream = ClientStream(c, ask.cid, message.version >= (1, 1), self.setup)
+        c.stream = ClientStream(c, ask.request_id, message.version >= (1, 1), self.setup)
         try:
             self.enter(c, c.stream, ask, message)
         except RequestError:
             c.stream = None
             raise
-        self.begun[ask.cid] = None
+        self.begun[ask.request_id] = None
         while len(self.begun) > self.setup.remember:
             self.begun.popitem(last=False)
--- a/elderstall/net/workers.py
+++ b/elderstall/net/workers.py
@@ -21,7 +21,7 @@
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.interface import Ending
 from elderstall.log import Log
-from elderstall.messages import Ask, Outcome
+from elderstall.messages import JobRequest, Outcome
 from elderstall.net import http
 from elderstall.net.peer import unread
 from elderstall.slots import Slots
@@ -109,7 +109,7 @@
 
     tells: bool  # whether its end tells how well connections hold; not of what follows on a break
 
-    def barred(self) -> str | None:
+    def forbidden_by(self) -> str | None:
         """Name what forbids the request by now; asked once its connection has come up."""
 
     def head(self, message: http.Message) -> None:
@@ -118,13 +118,13 @@
     def data(self, data: bytes) -> None:
         """Take bytes of its body."""
 
-    def done(self, unclear: bool = False, spoke: bool = False) -> None:
+    def done(self, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Take its end; ``unclear``: it may be another request's, ``spoke``: with this one's behind it."""
 
     def written(self) -> None:
         """Learn that the request's last byte was written."""
 
-    def broke(self, ending: Ending, spoke: bool = False, unreached: bool = False) -> None:
+    def broke(self, ending: Ending, answer_begun: bool = False, unreached: bool = False) -> None:
         """Take the connection's end before that: unreachable if the request's last byte was not written.
 
         ``spoke``: the worker had begun to answer. ``unreached``: see ``messages.Outcome``.
@@ -157,7 +157,7 @@
         self.rested: float | None = None  # when it became free, if it was used before
         self.unused_for = 0.0  # ms that it was free before this request
         self.answered: Exchange | None = None  # hears of its answer's end when the connection has ended
-        self.unclear = False, False  # what it hears, see Exchange
+        self.maybe_accepted = False, False  # what it hears, see Exchange
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.transport.setTcpNoDelay(True)
@@ -262,11 +262,11 @@
                 # Guards against two copies: the answer may be the second one to what this connection carried
                 # before. Once it is closed the attempt is given up in any case, and may be told as ended;
                 # but not if this one's 202 has come behind it.
-                self.answered, self.unclear = exchange, (doubtful, doubtful and self.spoke)
+                self.answered, self.maybe_accepted = exchange, (doubtful, doubtful and self.answer_begun)
                 self.drop("worker-close")
 
     @property
-    def spoke(self) -> bool:
+    def answer_begun(self) -> bool:
         """Whether the worker has begun to say something that is not read to its end."""
         return not self.parser.idle or unread(self.transport)
 
@@ -279,7 +279,7 @@
         """Name the end of what is under way; whether a kept connection had gone before it."""
         if not self.written:
             return Ending.UNREACHABLE
-        return Ending.CUT if gone and self.unused_for > 0 else Ending.BROKEN
+        return Ending.STALE_CONNECTION if gone and self.unused_for > 0 else Ending.BROKEN
 
     def drop(self, reason: str, detail: str = "") -> None:
         """End the connection from here."""
@@ -299,15 +299,15 @@
         answered, self.answered = self.answered, None
         self.pool.workers.log.ended("worker", self.number, self.reason, self.pool.name)
         if answered is not None:
-            answered.done(*self.unclear)
+            answered.done(*self.maybe_accepted)
         if exchange is not None:
             if self.parser.eof() is not None:
                 exchange.done()
             else:
                 if exchange.tells:
                     self.pool.workers.broke_off(self)
-                spoke = self.reason == "bad-answer" or not self.parser.idle
-                exchange.broke(self.broken_as(self.quick), spoke)
+                answer_begun = self.reason == "bad-answer" or not self.parser.idle
+                exchange.broke(self.broken_as(self.quick), answer_begun)
 
 
 class Place(NamedTuple):
@@ -404,7 +404,7 @@
                 connection.drop("worker-closed")
                 exchange.broke(Ending.UNREACHABLE)
                 return
-            why = "it is gone, or another process now" if self.closed else exchange.barred()
+            why = "it is gone, or another process now" if self.closed else exchange.forbidden_by()
             if why is not None:
                 self.workers.log.write("rule", f"nothing written to {self.name}, up late: {why}")
                 self.rest(connection)
@@ -434,10 +434,12 @@
         self.connecting: Deferred[WorkerConnection] | None = None
 
     @property
-    def spoke(self) -> bool:
+    def answer_begun(self) -> bool:
         """Whether the worker has begun to answer, as far as that can be seen without waiting."""
         c = self.connection
-        return c is not None and (c.answered is self.exchange or c.exchange is self.exchange and c.spoke)
+        return c is not None and (
+            c.answered is self.exchange or c.exchange is self.exchange and c.answer_begun
+        )
 
     def call_off(self) -> Ending:
         """Close the connection if it still carries the request; say how that ends.
@@ -465,10 +467,10 @@
         self,
         workers: Workers,
         done: Deferred[Outcome | None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
     ) -> None:
         self.workers, self.fired, self.message = workers, done, http.Message((1, 1), http.Headers())
-        self.barred = barred
+        self.forbidden_by = forbidden_by
         self.timer: Deadline | None = None
         self.within = 0.0  # ms for the worker's word once all is written; 0: to the deadline
         self.carriage: Carriage | None = None
@@ -500,13 +502,13 @@
         """Give the attempt up, unless the worker has begun to answer: that is read first."""
         if self.fired.called or self.carriage is None:
             return
-        spoke = self.carriage.spoke
-        if spoke and not self.again:
+        answer_begun = self.carriage.answer_begun
+        if answer_begun and not self.again:
             self.again = True
             self.wait(self.within)
             return
         self.workers.silent(self.carriage)
-        self.over(Outcome(self.carriage.call_off(), unclear=self.sent, spoke=spoke))
+        self.over(Outcome(self.carriage.call_off(), maybe_accepted=self.sent, answer_begun=answer_begun))
 
     def stop(self) -> None:
         """Close the connection."""
@@ -545,20 +547,28 @@
     def data(self, data: bytes) -> None:
         """Bodies say nothing here."""
 
-    def done(self, unclear: bool = False, spoke: bool = False) -> None:
+    def done(self, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Take the end."""
         if self.message.status != 202:
-            self.over(replace(self.workers.outcome_of(self.message), unclear=unclear, spoke=spoke))
+            self.over(
+                replace(
+                    self.workers.outcome_of(self.message),
+                    maybe_accepted=maybe_accepted,
+                    answer_begun=answer_begun,
+                )
+            )
         elif self.timer is not None:
             self.timer.cancel()
 
-    def broke(self, ending: Ending, spoke: bool = False, unreached: bool = False) -> None:
+    def broke(self, ending: Ending, answer_begun: bool = False, unreached: bool = False) -> None:
         """Take the connection's end; after the 202 it says nothing of the job."""
         if self.timer is not None:
             self.timer.cancel()
         if self.message.status != 202:
             # A reset says nothing of a 202 that it met on its way.
-            self.over(Outcome(ending, unclear=self.sent, spoke=spoke, unreached=unreached))
+            self.over(
+                Outcome(ending, maybe_accepted=self.sent, answer_begun=answer_begun, unreached=unreached)
+            )
 
 
 class Recalled:
@@ -569,7 +579,7 @@
     def __init__(self, done: Deferred[bool]) -> None:
         self.fired = done
 
-    def barred(self) -> str | None:
+    def forbidden_by(self) -> str | None:
         """Nothing: it is no attempt."""
         return None
 
@@ -582,11 +592,11 @@
     def data(self, data: bytes) -> None:
         """Bodies say nothing here."""
 
-    def done(self, unclear: bool = False, spoke: bool = False) -> None:
+    def done(self, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Take the end: the worker knows."""
         self.over(True)
 
-    def broke(self, ending: Ending, spoke: bool = False, unreached: bool = False) -> None:
+    def broke(self, ending: Ending, answer_begun: bool = False, unreached: bool = False) -> None:
         """Take the connection's end."""
         self.over(False)
 
@@ -604,7 +614,7 @@
     def __init__(self, workers: Workers, done: Deferred[Outcome]) -> None:
         self.workers, self.fired, self.status, self.body = workers, done, 0, bytearray()
 
-    def barred(self) -> str | None:
+    def forbidden_by(self) -> str | None:
         """Nothing: it is no attempt."""
         return None
 
@@ -619,7 +629,7 @@
         """Take bytes of the report; the parser bounds them."""
         self.body += data
 
-    def done(self, unclear: bool = False, spoke: bool = False) -> None:
+    def done(self, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Take the end: a report, or that the worker answers no more questions now."""
         report: tuple[float, ...] = ()
         if self.status == 200:
@@ -629,7 +639,7 @@
                 self.workers.log.write("bad-answer", "a load report that cannot be read")
         self.over(Outcome(Ending.SERVED if self.status == 200 else Ending.FULL, report=report))
 
-    def broke(self, ending: Ending, spoke: bool = False, unreached: bool = False) -> None:
+    def broke(self, ending: Ending, answer_begun: bool = False, unreached: bool = False) -> None:
         """Take the connection's end."""
         self.over(Outcome(ending, unreached=unreached))
 
@@ -735,7 +745,7 @@
             pool = self.pools[name] = Pool(self, name, place.address)
         return pool
 
-    def renew(self, worker: str) -> None:
+    def drop_idle(self, worker: str) -> None:
         """Drop the connections to a worker that was started anew; see ``messages.Carrier``."""
         if (pool := self.pools.pop(worker, None)) is not None:
             pool.close()
@@ -743,7 +753,7 @@
     def gone(self, name: str) -> None:
         """Drop the pool of a worker that the list no longer names."""
         self.places.pop(name, None)
-        self.renew(name)
+        self.drop_idle(name)
 
     def outcome_of(self, message: http.Message) -> Outcome:
         """Read an answer that ends an attempt, by the protocol's table."""
@@ -767,22 +777,22 @@
             return ()
         return tuple(float(v) for v in values if v is not None)
 
-    def job_request(self, ask: Ask, address: str, ends: float, accept: str = "") -> WorkerRequest:
+    def job_request(self, ask: JobRequest, address: str, ends: float, accept: str = "") -> WorkerRequest:
         """Make a job's request to a worker: as it came, with the time that is left when it is written."""
-        parcel = ask.parcel
-        assert isinstance(parcel, http.Message)
-        fields = [(n, v) for n, v in parcel.headers.fields if n.lower() not in HOP_BY_HOP]
+        original = ask.original
+        assert isinstance(original, http.Message)
+        fields = [(n, v) for n, v in original.headers.fields if n.lower() not in HOP_BY_HOP]
         if accept:
             fields = [(n, v) for n, v in fields if n.lower() != "accept"] + [("Accept", accept)]
-        return WorkerRequest(parcel.method, parcel.target, address, tuple(fields), parcel.body, ends)
+        return WorkerRequest(original.method, original.target, address, tuple(fields), original.body, ends)
 
     def send(
         self,
         worker: str,
-        ask: Ask,
+        ask: JobRequest,
         ends: float,
         note: Callable[[float, str], None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
         """Send a job; see ``messages.Carrier``."""
         pool = self.pool_of(worker)
@@ -790,29 +800,29 @@
 
         def canceller(_: object) -> None:
             for carriage in under_way:
-                spoke = carriage.spoke
+                answer_begun = carriage.answer_begun
                 carriage.call_off()
-                if spoke:
+                if answer_begun:
                     done.callback(None)  # it may be the 202 that has come: then the worker has the job
 
         done: Deferred[Outcome | None] = Deferred(canceller)
         if pool is None:
             done.callback(Outcome(Ending.UNREACHABLE))
             return done
-        under_way.append(self.begin(pool, ask, ends, note, barred, done))
+        under_way.append(self.begin(pool, ask, ends, note, forbidden_by, done))
         return done
 
     def begin(
         self,
         pool: Pool,
-        ask: Ask,
+        ask: JobRequest,
         ends: float,
         note: Callable[[float, str], None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
         done: Deferred[Outcome | None],
     ) -> Carriage:
         """Start the exchange of a job."""
-        exchange = Posted(self, done, barred)
+        exchange = Posted(self, done, forbidden_by)
         within = self.connect_for * (ACCEPT_SOON if ask.repeatable else ACCEPT_WAIT)
         request = self.job_request(ask, pool.address, ends)
         carriage = pool.begin(request, exchange, repeatable=ask.repeatable)
@@ -825,7 +835,7 @@
             self.log.write("silent", f"{connection.pool.name} does not answer a job")
             connection.pool.doubt()  # what is free there may be as dead
 
-    def recall(self, worker: str, cid: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
         """Tell a worker to give up a job that it has taken; see ``messages.Carrier``."""
         done: Deferred[bool] = Deferred()
         pool = self.pool_of(worker)
@@ -833,7 +843,9 @@
             done.callback(False)
             return done
         exchange = Recalled(done)
-        carriage = pool.begin(WorkerRequest("DELETE", f"/jobs/{quote(cid, safe='')}", pool.address), exchange)
+        carriage = pool.begin(
+            WorkerRequest("DELETE", f"/jobs/{quote(request_id, safe='')}", pool.address), exchange
+        )
 
         def waited() -> None:
             carriage.call_off()
--- a/elderstall/recovery/listing.py
+++ b/elderstall/recovery/listing.py
@@ -54,7 +54,7 @@
     """
 
     dispatchers: int = 1
-    ask_within: float = 10_000.0
+    poll_interval: float = 10_000.0
     calling: bool = False  # a call is out whose answer has not come
     called: float = -math.inf  # ms; when it went out
     failures: int = 0  # calls failed in a row, with no watch that lived in between
@@ -71,7 +71,9 @@
         """Give the delay of the first call after a start: none for a small fleet."""
         if not self.many:
             return 0.0
-        return rng.uniform(0.0, min(SPREAD_EACH * self.dispatchers, self.ask_within * SMALL_MOST, RETRY_MOST))
+        return rng.uniform(
+            0.0, min(SPREAD_EACH * self.dispatchers, self.poll_interval * SMALL_MOST, RETRY_MOST)
+        )
 
     def call(self, now: float) -> None:
         """Note that a call goes out."""
@@ -96,7 +98,7 @@
             return max(AGAIN_LEAST, self.waited * rng.random())
         self.failures += 1
         if not self.many:
-            most = min(self.ask_within * SMALL_MOST, RETRY_MOST)
+            most = min(self.poll_interval * SMALL_MOST, RETRY_MOST)
             self.waited = min(max(AGAIN_LEAST, self.waited * 2), most)
             return self.waited * rng.uniform(SMALL_JITTER, 1.0)
         if calling and now - self.called >= CROWDED_AFTER:
@@ -108,7 +110,7 @@
 
     def crowded_wait(self, rng: random.Random) -> float:
         """Give the delay after a call that failed in the queue of a crowded discovery."""
-        most = max(self.ask_within, RETRY_MOST)
+        most = max(self.poll_interval, RETRY_MOST)
         self.waited = min(RETRY_MOST * 2 ** min(self.crowded, DOUBLINGS_MOST), most)
         self.crowded += 1
         return max(AGAIN_LEAST, self.waited * rng.random())
--- a/elderstall/rehearsal/audit.py
+++ b/elderstall/rehearsal/audit.py
@@ -13,8 +13,17 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from elderstall import interface as i
-from elderstall.messages import Answer, Refused, Served
+from elderstall.interface import (
+    NEVER_RAN,
+    Effect,
+    Ending,
+    Endpoint,
+    JobClass,
+    ListScope,
+    Scope,
+    WorkerState,
+)
+from elderstall.messages import Answer, Rejected, Served
 from elderstall.rehearsal.script import EPOCH, Rules
 
 if TYPE_CHECKING:
@@ -94,18 +103,18 @@
 
     # ---- the list ----
 
-    def told(self, process: Process, scope: i.ListScope, entries: tuple[i.Listed, ...]) -> None:
+    def told(self, process: Process, scope: ListScope, entries: tuple[Endpoint, ...]) -> None:
         """Note what a dispatcher was told of the workers, and when."""
         now, key = self.loop.now, id(process)
         states = self.states.setdefault(key, {})
         starts = self.starts.setdefault(key, {})
-        if scope is i.ListScope.WHOLE:
+        if scope is ListScope.WHOLE:
             named = {e.worker for e in entries}
             for name, (up, _) in list(states.items()):
                 if name not in named and up:
                     states[name] = False, now
         for e in entries:
-            up = e.state is i.WorkerState.UP
+            up = e.state is WorkerState.UP
             old = states.get(e.worker)
             if old is None or old[0] != up:
                 states[e.worker] = up, now
@@ -133,7 +142,7 @@
     def taken(self, tried: Try) -> None:
         """Note that a dispatcher has a client's try."""
         self.taken_count += 1
-        self.watched[tried.cid] = Watched(tried.deadline, tried.request)
+        self.watched[tried.request_id] = Watched(tried.deadline, tried.request)
         station = tried.process.station.name if tried.process is not None else "?"
         load = tried.request.load
         self.note(
@@ -146,43 +155,50 @@
         """Check a send."""
         tried, request, worker = errand.tried, errand.job, errand.machine.name
         self.note(request, f"attempt {errand.number} sent to {worker}")
-        watched = self.watched.get(tried.cid)
+        watched = self.watched.get(tried.request_id)
         if watched is None:
-            self.breaks(1, f"attempt for {tried.cid}, which is answered", request)
+            self.breaks(1, f"attempt for {tried.request_id}, which is answered", request)
             return
         if any(s.out for s in watched.sent):
-            self.breaks(2, f"second copy of {tried.cid} at {worker}", request)
+            self.breaks(2, f"second copy of {tried.request_id} at {worker}", request)
         cls, now = request.load.cls, self.loop.now
         for earlier in watched.sent:
-            if earlier.proven or cls.effect is i.Effect.SAFE:
+            if earlier.proven or cls.effect is Effect.IDEMPOTENT:
                 continue
-            if cls.effect is i.Effect.UNSAFE:
+            if cls.effect is Effect.NOT_IDEMPOTENT:
                 self.breaks(
                     2,
-                    f"{tried.cid} of {cls.name} sent to {worker}, but it may have run at {earlier.worker}",
+                    f"{tried.request_id} of {cls.name} sent to {worker}, "
+                    f"but it may have run at {earlier.worker}",
                     request,
                 )
-            elif now - earlier.at > cls.memory_span or not self.same_group(cls, earlier, errand.machine):
+            elif now - earlier.at > cls.deduplication_window or not self.same_group(
+                cls, earlier, errand.machine
+            ):
                 self.breaks(
-                    2, f"{tried.cid} of {cls.name} sent to {worker}, where a repeat is not dropped", request
+                    2,
+                    f"{tried.request_id} of {cls.name} sent to {worker}, where a repeat is not dropped",
+                    request,
                 )
         if len(watched.sent) >= self.rules.max_attempts:
-            self.breaks(2, f"attempt {len(watched.sent) + 1} of {tried.cid}", request)
+            self.breaks(2, f"attempt {len(watched.sent) + 1} of {tried.request_id}", request)
         up, since = self.states.get(id(errand.wire.process), {}).get(worker, (False, -1e18))
         if not up and now - since > self.rules.drain_grace:
             self.breaks(
-                3, f"{tried.cid} sent to {worker}, told draining or gone {now - since:.0f} ms before", request
+                3,
+                f"{tried.request_id} sent to {worker}, told draining or gone {now - since:.0f} ms before",
+                request,
             )
         spec = errand.machine.spec
         watched.sent.append(Sent(worker, spec.zone, spec.cell, now, errand.number))
 
     @staticmethod
-    def same_group(job_class: i.JobClass, earlier: Sent, machine: Machine) -> bool:
+    def same_group(job_class: JobClass, earlier: Sent, machine: Machine) -> bool:
         """Say whether a repeat at a machine is dropped after an earlier attempt."""
         spec = machine.spec
-        if job_class.scope is i.Scope.ALL:
+        if job_class.scope is Scope.ALL:
             return True
-        return earlier.zone == spec.zone and (job_class.scope is i.Scope.ZONE or earlier.cell == spec.cell)
+        return earlier.zone == spec.zone and (job_class.scope is Scope.ZONE or earlier.cell == spec.cell)
 
     def started(self, errand: Errand) -> None:
         """Note that an attempt has begun to run: for what must never run twice, the truth."""
@@ -191,19 +207,19 @@
         self.note(
             request, f"attempt {errand.number} of try {errand.tried.number} runs at {errand.machine.name}"
         )
-        if request.runs > 1 and request.load.cls.effect is i.Effect.UNSAFE:
+        if request.runs > 1 and request.load.cls.effect is Effect.NOT_IDEMPOTENT:
             self.breaks(
                 2,
                 f"request {request.number} of {request.load.cls.name} has run {request.runs} times",
                 request,
             )
 
-    def ended(self, errand: Errand, ending: i.Ending) -> None:
+    def ended(self, errand: Errand, ending: Ending) -> None:
         """Note how an attempt ended, as its dispatcher was told."""
         self.note(errand.job, f"attempt {errand.number} at {errand.machine.name}: {ending.value}")
         sent = self.find(errand)
         if sent is not None and sent.out:
-            sent.out, sent.proven = False, ending in i.NEVER_RAN
+            sent.out, sent.proven = False, ending in NEVER_RAN
 
     def given_up(self, errand: Errand) -> None:
         """Note that a dispatcher no longer waits for an attempt."""
@@ -214,7 +230,7 @@
 
     def find(self, errand: Errand) -> Sent | None:
         """Find what is held of an attempt."""
-        watched = self.watched.get(errand.tried.cid)
+        watched = self.watched.get(errand.tried.request_id)
         if watched is None:
             return None
         return next((s for s in watched.sent if s.number == errand.number), None)
@@ -223,44 +239,44 @@
         """Check a final answer."""
         request, now = tried.request, self.loop.now
         kind = type(answer).__name__.lower()
-        advice = f", come back in {answer.retry_after:.0f} ms" if isinstance(answer, Refused) else ""
+        advice = f", come back in {answer.retry_after:.0f} ms" if isinstance(answer, Rejected) else ""
         self.note(request, f"try {tried.number} {kind}{advice}")
-        watched = self.watched.pop(tried.cid, None)
+        watched = self.watched.pop(tried.request_id, None)
         if watched is None:
             if not tried.over:
-                self.breaks(1, f"second answer to {tried.cid}", request)
+                self.breaks(1, f"second answer to {tried.request_id}", request)
             return
         self.answered_count += 1
         if (late := now - tried.deadline) > self.rules.slack:
-            self.breaks(1, f"{tried.cid} answered {late:.0f} ms past its deadline", request)
-        if isinstance(answer, Refused) and request.load.cls.effect is not i.Effect.SAFE:
+            self.breaks(1, f"{tried.request_id} answered {late:.0f} ms past its deadline", request)
+        if isinstance(answer, Rejected) and request.load.cls.effect is not Effect.IDEMPOTENT:
             unsure = [s.worker for s in watched.sent if s.out or not s.proven]
             if unsure and not (
-                request.load.cls.effect is i.Effect.KEYED and request.load.cls.scope is i.Scope.ALL
+                request.load.cls.effect is Effect.IDEMPOTENCY_KEY and request.load.cls.scope is Scope.ALL
             ):
                 self.breaks(
                     2,
-                    f"{tried.cid} of {request.load.cls.name} refused, but it may have run at "
+                    f"{tried.request_id} of {request.load.cls.name} refused, but it may have run at "
                     f"{', '.join(unsure)}",
                     request,
                 )
         if isinstance(answer, Served) and tried.served_by is None:
-            self.breaks(1, f"{tried.cid} served with what no worker made", request)
+            self.breaks(1, f"{tried.request_id} served with what no worker made", request)
 
     def left(self, tried: Try) -> None:
         """Note that a client has left: nothing is owed."""
         self.left_count += 1
         self.note(tried.request, f"try {tried.number}: the client has left")
-        self.watched.pop(tried.cid, None)
+        self.watched.pop(tried.request_id, None)
 
     def dropped(self, tried: Try) -> None:
         """Note that a dispatcher died with a try in it: the rules bind the living."""
         self.dropped_count += 1
         self.note(tried.request, f"try {tried.number}: the dispatcher is gone")
-        self.watched.pop(tried.cid, None)
+        self.watched.pop(tried.request_id, None)
 
     def close(self) -> None:
         """Check at the night's end that nothing is owed."""
-        for cid, watched in self.watched.items():
+        for request_id, watched in self.watched.items():
             if self.loop.now > watched.deadline + self.rules.slack:
-                self.breaks(1, f"{cid} was never answered", watched.request)
+                self.breaks(1, f"{request_id} was never answered", watched.request)
--- a/elderstall/rehearsal/clients.py
+++ b/elderstall/rehearsal/clients.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
-from elderstall import interface as i
 from elderstall.client.budget import RetryBudget
 from elderstall.client.policy import Action, Call, Habits, Lost, Rule, Send, Wait
 from elderstall.client.policy import Answer as Reply
-from elderstall.messages import Answer, Failed, Refused, Served
+from elderstall.interface import Effect
+from elderstall.messages import Answer, Failed, Rejected, Served
 from elderstall.rehearsal.draws import Choice
 from elderstall.rehearsal.script import ClassLoad, Traffic
 
@@ -66,13 +66,13 @@
     @property
     def safe(self) -> bool:
         """Whether running it twice does no harm."""
-        return self.load.cls.effect is i.Effect.SAFE
+        return self.load.cls.effect is Effect.IDEMPOTENT
 
     @property
     def aim(self) -> float:
         """When its answer is wanted: a reading of the night's clock."""
         cls = self.load.cls
-        return self.asked + min(cls.aim + cls.stretch * self.work, cls.deadline)
+        return self.asked + min(cls.latency_objective + cls.stretch * self.work, cls.deadline)
 
 
 class Try:
@@ -80,7 +80,6 @@
 
     __slots__ = (
         "attempts",
-        "cid",
         "deadline",
         "job",
         "joined",
@@ -88,6 +87,7 @@
         "over",
         "process",
         "request",
+        "request_id",
         "sent",
         "served_by",
         "world",
@@ -95,7 +95,7 @@
 
     def __init__(self, world: World, request: Request, number: int) -> None:
         self.world, self.request, self.number = world, request, number
-        self.cid = f"{request.number}.{number}"
+        self.request_id = f"{request.number}.{number}"
         self.process: Process | None = None
         self.sent, self.deadline = world.loop.now, request.deadline
         self.job = 0
@@ -107,7 +107,7 @@
         """Take the one final answer; see ``messages.Client``."""
         self.world.audit.answered(self, answer)
         if self.process is not None:
-            self.process.answered.append(self.cid)
+            self.process.answered.append(self.request_id)
         if not self.over:
             self.over = True
             self.world.clients.heard(self, answer)
@@ -187,7 +187,7 @@
             request.in_share = self.meter(request.tenant)
         rules = self.night.rules
         request.worth = (
-            load.cls.worth
+            load.cls.priority_weight
             * (request.work * request.slots if rules.worth_by_work else 1.0)
             * (1.0 if request.in_share else rules.over_share_worth)
         )
@@ -252,7 +252,7 @@
         world.tally.tries += 1
         world.audit.taken(tried)
         if not process.take(tried, max(0.0, request.deadline - world.loop.now)):
-            tried.answered(Refused())
+            tried.answered(Rejected())
 
     def heard(self, tried: Try, answer: Answer) -> None:
         """Hear the answer."""
@@ -266,7 +266,7 @@
             if tried.served_by is not None:
                 self.world.tally.useful(tried.served_by)
             self.close(request, "served" if in_time else "late", now)
-        elif isinstance(answer, Refused):
+        elif isinstance(answer, Rejected):
             self.again(request, now, answer.retry_after, "refused")
         elif request.safe:
             self.again(request, now, 0.0, "timed out" if answer.late else "failed")
@@ -310,7 +310,7 @@
                 tried.over = True
                 self.world.audit.left(tried)
                 tried.process.engine.client_left(tried.job)
-                tried.process.answered.append(tried.cid)
+                tried.process.answered.append(tried.request_id)
 
     def close(self, request: Request, ending: str, at: float) -> None:
         """End a request."""
@@ -348,7 +348,7 @@
 
     def answered(self, request: Request, answer: Answer, now: float) -> None:
         """Take an answer that is no result."""
-        if isinstance(answer, Refused):
+        if isinstance(answer, Rejected):
             advice = f"{answer.retry_after / 1000:.3f}" if answer.retry_after else None
             result = Reply(503, retry_after=advice)
         else:
--- a/elderstall/rehearsal/listing.py
+++ b/elderstall/rehearsal/listing.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
-from elderstall import interface as i
+from elderstall.interface import Endpoint, ListScope, WorkerState
 from elderstall.rehearsal.script import Listing
 
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
 
     def __init__(self, world: World, spec: Listing, uniform: Iterator[float]) -> None:
         self.world, self.spec, self.uniform = world, spec, uniform
-        self.entries: dict[str, i.Listed] = {}
-        self.log: list[tuple[int, i.Listed]] = []
+        self.entries: dict[str, Endpoint] = {}
+        self.log: list[tuple[int, Endpoint]] = []
         self.version = 1
         self.watching: dict[Process, float] = {}  # and when the next round tells it
         self.pending: set[Process] = set()  # a round is on its way
@@ -31,12 +31,12 @@
         """Know the fleet as it is."""
         for m in machines:
             if m.model.up:
-                self.entries[m.name] = self.entry(m, i.WorkerState.UP)
+                self.entries[m.name] = self.entry(m, WorkerState.UP)
 
-    def entry(self, m: Machine, state: i.WorkerState) -> i.Listed:
+    def entry(self, m: Machine, state: WorkerState) -> Endpoint:
         """Write a machine's line."""
         started = None if m.model.started is None else self.world.epoch + m.model.started
-        return i.Listed(m.name, m.kind.name, m.spec.zone, m.spec.cell, started, state)
+        return Endpoint(m.name, m.kind.name, m.spec.zone, m.spec.cell, started, state)
 
     # ---- learning ----
 
@@ -46,14 +46,14 @@
 
     def learn(self, m: Machine) -> None:
         """Look at a machine, and publish what is new."""
-        state = i.WorkerState.GONE if m.silent else m.state()
+        state = WorkerState.GONE if m.silent else m.state()
         old = self.entries.get(m.name)
-        if old is None and state is i.WorkerState.GONE:
+        if old is None and state is WorkerState.GONE:
             return
         new = self.entry(m, state)
         if new == old:
             return
-        if state is i.WorkerState.GONE:
+        if state is WorkerState.GONE:
             self.entries.pop(m.name, None)
         else:
             self.entries[m.name] = new
@@ -82,14 +82,14 @@
     def tell(self, process: Process) -> None:
         """Write the changes, or the whole list to one that holds none."""
         if process.version == 0:
-            process.told(i.ListScope.WHOLE, tuple(self.entries.values()), self.version)
+            process.told(ListScope.WHOLE, tuple(self.entries.values()), self.version)
             return
-        newest: dict[str, i.Listed] = {}
+        newest: dict[str, Endpoint] = {}
         for version, entry in reversed(self.log):
             if version <= process.version:
                 break
             newest.setdefault(entry.worker, entry)
-        process.told(i.ListScope.CHANGES, tuple(reversed(newest.values())), self.version)
+        process.told(ListScope.CHANGES, tuple(reversed(newest.values())), self.version)
 
     def follow(self, process: Process) -> None:
         """Take a call: in turn, and too late is a failure."""
@@ -115,7 +115,7 @@
     def fail(self, process: Process) -> None:
         """Fail a call, or a watch."""
         self.watching.pop(process, None)
-        process.told(i.ListScope.FAILED, (), process.version)
+        process.told(ListScope.FAILED, (), process.version)
 
     def forget(self, process: Process) -> None:
         """End the watch of a process that is gone."""
--- a/elderstall/rehearsal/machine.py
+++ b/elderstall/rehearsal/machine.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from elderstall import interface as i
+from elderstall.interface import Ending, WorkerState
 from elderstall.messages import Outcome
 from elderstall.rehearsal.loop import Call
 from elderstall.rehearsal.script import Kind, Worker
@@ -20,10 +20,10 @@
 CALL_AGAIN = 300.0  # ms between them
 LOST_NOTICE = 50.0  # ms until the machine's agent tells of a process that died
 ENDINGS = {
-    What.DONE: i.Ending.SERVED,
-    What.FAILED: i.Ending.ERROR,
-    What.RETURNED: i.Ending.FULL,
-    What.LOST: i.Ending.BROKEN,
+    What.DONE: Ending.SERVED,
+    What.FAILED: Ending.ERROR,
+    What.RETURNED: Ending.FULL,
+    What.LOST: Ending.BROKEN,
 }
 
 
@@ -98,7 +98,7 @@
         if what is What.TAKEN:
             self.reply(errand, None)
         elif what is What.FULL:
-            self.reply(errand, Outcome(i.Ending.FULL, report=self.report()))
+            self.reply(errand, Outcome(Ending.FULL, report=self.report()))
         elif what is What.STARTED:
             world.audit.started(errand)
             if world.night.reports.starts_told:
@@ -119,7 +119,7 @@
     def lost(self, errand: Errand) -> None:
         """Tell of a task that died with its process, where the machine itself lives on."""
         if not self.silent:
-            outcome = Outcome(i.Ending.BROKEN)
+            outcome = Outcome(Ending.BROKEN)
             self.world.loop.after(
                 LOST_NOTICE, self.call_back, errand, lambda e: e.wire.called_back(e, outcome)
             )
@@ -240,11 +240,11 @@
 
     # ---- troubles ----
 
-    def state(self) -> i.WorkerState:
+    def state(self) -> WorkerState:
         """Say what the list would show if it were not late."""
         if not self.model.up:
-            return i.WorkerState.GONE
-        return i.WorkerState.DRAINING if self.model.draining else i.WorkerState.UP
+            return WorkerState.GONE
+        return WorkerState.DRAINING if self.model.draining else WorkerState.UP
 
     def drop_links(self) -> None:
         """Reset every connection, as a process that dies does; a machine that says nothing resets none."""
--- a/elderstall/rehearsal/reading.py
+++ b/elderstall/rehearsal/reading.py
@@ -20,7 +20,7 @@
 from ZConfig.cfgparser import ZConfigParser
 from ZConfig.cmdline import ExtendedConfigLoader
 
-from elderstall import interface as i
+from elderstall.interface import Effect, JobClass
 from elderstall.rehearsal import script as s
 
 SCHEMA = Path(__file__).with_name("schema.xml")
@@ -221,8 +221,8 @@
                 self.odd(c, "aim", "is past the deadline, so that no answer earns anything late")
             if not sum(c.slots):
                 self.wrong(c, "slots", "the shares sum to nothing")
-            cls = i.JobClass(
-                c.getSectionName(), c.worth, c.aim, c.deadline, i.Effect(c.effect), stretch=c.stretch
+            cls = JobClass(
+                c.getSectionName(), c.worth, c.aim, c.deadline, Effect(c.effect), stretch=c.stretch
             )
             found.append(
                 s.ClassLoad(
--- a/elderstall/rehearsal/script.py
+++ b/elderstall/rehearsal/script.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-from elderstall import interface as i
+from elderstall.interface import JobClass, Settings, Tenant
 
 EPOCH = 1_000_000_000.0  # ms: Unix time at a night's start; no clock is read for it
 
@@ -52,7 +52,7 @@
 class ClassLoad:
     """A class of jobs: its rules, and what its jobs are like."""
 
-    cls: i.JobClass
+    cls: JobClass
     share: float  # of all jobs
     work: float  # mean
     spread: float = 0.0  # coefficient of variation
@@ -242,30 +242,30 @@
         shares = sum(c.share for c in self.classes)
         return sum(c.share * c.work * mean_slots(c.slots) for c in self.classes) / shares
 
-    def settings(self, rank: int) -> i.Settings:
+    def settings(self, rank: int) -> Settings:
         """Give the settings that a dispatcher is started with."""
         r, reports = self.rules, self.reports
         zones = sorted({w.zone for w in self.workers})
         free = reports.fields.index(reports.free_slots) if reports.free_slots in reports.fields else None
-        return i.Settings(
+        return Settings(
             classes=tuple(c.cls for c in self.classes),
-            tenants=tuple(i.Tenant(t.name, t.quota) for t in self.tenants),
+            tenants=tuple(Tenant(t.name, t.quota) for t in self.tenants),
             dispatchers=len(self.dispatchers.weights),
             rank=rank,
             zone=zones[rank % len(zones)],
-            over_share_worth=r.over_share_worth,
-            by_work=r.worth_by_work,
-            must_follow=self.listing.must_ask,
-            ask_within=r.ask_within,
-            cold_share=r.cold_share,
-            cold_for=r.cold_for,
-            push_multiple=r.push_multiple,
-            push_window=r.push_window,
+            over_quota_weight=r.over_share_worth,
+            weight_by_work=r.worth_by_work,
+            watches_list=self.listing.must_ask,
+            poll_interval=r.ask_within,
+            slow_start_share=r.cold_share,
+            slow_start_duration=r.cold_for,
+            slow_start_multiple=r.push_multiple,
+            slow_start_window=r.push_window,
             max_attempts=r.max_attempts,
             cpu_us_per_s=r.cpu_per_second,
             cpu_us_per_job=r.cpu_per_job,
             connect_timeout=self.network.connect_timeout,
-            tells_start=reports.starts_told,
+            notifies_start=reports.starts_told,
             report_free_slots=free,
             tick=r.tick,
             probes=reports.asked,
--- a/elderstall/rehearsal/serve.py
+++ b/elderstall/rehearsal/serve.py
@@ -45,9 +45,9 @@
 
     def started(self, errand: SocketErrand) -> None:
         """Count a run."""
-        self.runs[errand.cid] += 1
+        self.runs[errand.request_id] += 1
         if not errand.job.safe:
-            self.unsafe.add(errand.cid)
+            self.unsafe.add(errand.request_id)
 
     def informed(self, process: object, machine: object) -> bool:
         """Who knew of a start is not known here."""
@@ -108,9 +108,9 @@
     def cancel(self, errand: Any) -> None:
         """Hear that an attempt is given up; what runs on has nobody to tell, and is forgotten here."""
         super().cancel(errand)
-        cid: str = errand.cid
-        if self.errands.get(cid) is errand:
-            del self.errands[cid]
+        request_id: str = errand.request_id
+        if self.errands.get(request_id) is errand:
+            del self.errands[request_id]
 
     def load_json(self, report: tuple[float, ...]) -> dict[str, float]:
         """Write a load report with its fields' names."""
@@ -228,8 +228,8 @@
             "classes": [
                 {
                     "name": c.cls.name,
-                    "points": c.cls.worth,
-                    "aim": c.cls.aim,
+                    "points": c.cls.priority_weight,
+                    "aim": c.cls.latency_objective,
                     "deadline": c.cls.deadline,
                     "effect": c.cls.effect.value,
                 }
@@ -292,12 +292,12 @@
     def figures(self) -> dict[str, Any]:
         """Say what ran."""
         runs, unsafe = self.books.runs, self.books.unsafe
-        repeated = sorted(cid for cid, n in runs.items() if n > 1)
+        repeated = sorted(request_id for request_id, n in runs.items() if n > 1)
         return {
             "jobs": len(runs),
             "runs": sum(runs.values()),
             "repeated": len(repeated),
-            "broken": [cid for cid in repeated if cid in unsafe],
+            "broken": [request_id for request_id in repeated if request_id in unsafe],
             "fallen": self.books.fallen,
             "core_s": round(self.books.core_ms / 1000, 3),
             "call_backs": {
--- a/elderstall/rehearsal/sockets.py
+++ b/elderstall/rehearsal/sockets.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from elderstall import interface as i
+from elderstall.interface import Effect, Ending, Endpoint, ListScope
 from elderstall.messages import Outcome
 from elderstall.net import http
 from elderstall.net.discovery import told_as
@@ -31,10 +31,10 @@
 CALL_WAIT = 2_000.0  # ms that a dispatcher may take over a call-back
 CALLS_MOST = 10_000  # call-backs that wait for one dispatcher; of more the oldest are dropped, and counted
 STATES = {
-    i.Ending.SERVED: "done",
-    i.Ending.ERROR: "failed",
-    i.Ending.FULL: "returned",
-    i.Ending.BROKEN: "lost",
+    Ending.SERVED: "done",
+    Ending.ERROR: "failed",
+    Ending.FULL: "returned",
+    Ending.BROKEN: "lost",
 }
 
 
@@ -85,14 +85,14 @@
     @property
     def safe(self) -> bool:
         """Whether running it twice does no harm."""
-        return self.load.cls.effect is i.Effect.SAFE
+        return self.load.cls.effect is Effect.IDEMPOTENT
 
 
 class SocketErrand:
     """One attempt that came over a socket."""
 
-    def __init__(self, link: WorkerLink, cid: str, job: SocketJob, ends: float) -> None:
-        self.link, self.cid, self.job, self.ends = link, cid, job, ends
+    def __init__(self, link: WorkerLink, request_id: str, job: SocketJob, ends: float) -> None:
+        self.link, self.request_id, self.job, self.ends = link, request_id, job, ends
         self.machine, self.wire = link.machine, link.caller
         self.task: Task | None = None
         self.number = 0
@@ -102,7 +102,7 @@
         if outcome is None:
             self.link.answer(202)
         else:
-            self.machine.errands.pop(self.cid, None)  # type: ignore[attr-defined]
+            self.machine.errands.pop(self.request_id, None)  # type: ignore[attr-defined]
             load = self.machine.load_json(outcome.report)  # type: ignore[attr-defined]
             report = (("X-Load-Report", json.dumps(load)),) if load else ()
             self.link.answer(503, (("X-Rejected", "1"), *report))
@@ -165,17 +165,17 @@
                 self.machine.cancel(errand)
             self.answer(204)
             return
-        cid, name = message.headers.get("X-Call-Id"), path.lstrip("/").split("/", 1)[0]
+        request_id, name = message.headers.get("X-Call-Id"), path.lstrip("/").split("/", 1)[0]
         load = self.stage.classes.get(name)
-        if message.method != "POST" or load is None or not cid:
+        if message.method != "POST" or load is None or not request_id:
             self.answer(404)
             return
         try:
-            errand = SocketErrand(self, cid, self.stage.job(load, message), self.stage.ends(message))
+            errand = SocketErrand(self, request_id, self.stage.job(load, message), self.stage.ends(message))
         except ValueError:
             self.answer(400)
             return
-        self.machine.errands[cid] = errand  # type: ignore[attr-defined]
+        self.machine.errands[request_id] = errand  # type: ignore[attr-defined]
         self.machine.receive(errand, self)  # type: ignore[arg-type]
 
     def answer(self, status: int, headers: tuple[tuple[str, str], ...] = (), close: bool = False) -> None:
@@ -235,22 +235,22 @@
     def called_back(self, errand: SocketErrand, outcome: Outcome) -> None:
         """Tell how a job ended."""
         call: dict[str, Any] = {
-            "id": errand.cid,
+            "id": errand.request_id,
             "from": errand.machine.name,
             "state": STATES[outcome.ending],
         }
-        if outcome.ending is i.Ending.SERVED:
-            call["result"] = f"{errand.job.load.cls.name} {errand.cid} by {errand.machine.name}"
+        if outcome.ending is Ending.SERVED:
+            call["result"] = f"{errand.job.load.cls.name} {errand.request_id} by {errand.machine.name}"
         load = errand.machine.load_json(outcome.report)  # type: ignore[attr-defined]
         if load:
             call["load"] = load
-        errand.machine.errands.pop(errand.cid, None)  # type: ignore[attr-defined]
+        errand.machine.errands.pop(errand.request_id, None)  # type: ignore[attr-defined]
         self.queue(call)
 
     def noted(self, errand: SocketErrand, share: float, started: bool = False) -> None:
         """Tell a start, or progress."""
         state = {"state": "started"} if started else {"state": "running", "share": round(share, 4)}
-        self.queue({"id": errand.cid, "from": errand.machine.name, **state})
+        self.queue({"id": errand.request_id, "from": errand.machine.name, **state})
 
     def queue(self, call: dict[str, Any], tries: int = 10) -> None:
         """Have a call made; bounded, as a dispatcher may be gone for long."""
@@ -376,17 +376,17 @@
         self.version = version if self.watch and version <= self.stage.listing.version else 0
         self.stage.listing.follow(self)  # type: ignore[arg-type]
 
-    def told(self, scope: i.ListScope, entries: tuple[i.Listed, ...], version: int) -> None:
+    def told(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
         """Write news of the list; a call that failed, or a watch that ends, says so."""
         if not self.alive:
             return
-        if scope in (i.ListScope.FAILED, i.ListScope.SILENT):
+        if scope in (ListScope.FAILED, ListScope.SILENT):
             if not self.begun:
                 self.transport.write(http.response(503, close=True))
             self.transport.loseConnection()
             return
         value = told_as(version, entries, self.stage.addresses(self.caller))
-        value["snapshot"] = scope is i.ListScope.WHOLE
+        value["snapshot"] = scope is ListScope.WHOLE
         line = json.dumps(value).encode() + b"\n"
         if not self.watch:
             self.stage.listing.forget(self)  # type: ignore[arg-type]
--- a/elderstall/rehearsal/station.py
+++ b/elderstall/rehearsal/station.py
@@ -5,11 +5,11 @@
 from collections import Counter, deque
 from typing import TYPE_CHECKING
 
-from elderstall import interface as i
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine, TooManyJobsError
+from elderstall.interface import Ending, Endpoint, ListScope
 from elderstall.log import Log
-from elderstall.messages import Ask
+from elderstall.messages import JobRequest
 from elderstall.rehearsal.script import EPOCH
 from elderstall.rehearsal.wire import Errand, Wire
 
@@ -63,30 +63,30 @@
     def begin(self) -> None:
         """Start with the list as this dispatcher last held it."""
         self.version, entries = self.station.known
-        self.world.audit.told(self, i.ListScope.WHOLE, entries)
+        self.world.audit.told(self, ListScope.WHOLE, entries)
         self.wire.listed(entries, whole=True)
         self.engine.start(entries)
 
-    def told(self, scope: i.ListScope, entries: tuple[i.Listed, ...], version: int) -> None:
+    def told(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
         """Take news of the list."""
         if not self.alive:
             return
-        if scope not in (i.ListScope.FAILED, i.ListScope.SILENT):
+        if scope not in (ListScope.FAILED, ListScope.SILENT):
             self.version = version
             self.world.audit.told(self, scope, entries)
-            self.wire.listed(entries, whole=scope is i.ListScope.WHOLE)
+            self.wire.listed(entries, whole=scope is ListScope.WHOLE)
         self.engine.endpoints.take(scope, entries)
 
     def take(self, tried: Try, budget: float) -> bool:
         """Take a client's try on; says no where there is no room."""
         while self.answered:
-            cid = self.answered.popleft()
-            self.wire.ended(cid)
-            self.tries.pop(cid, None)
+            request_id = self.answered.popleft()
+            self.wire.ended(request_id)
+            self.tries.pop(request_id, None)
         request = tried.request
         load = request.load
-        ask = Ask(
-            tried.cid,
+        ask = JobRequest(
+            tried.request_id,
             load.cls.name,
             budget,
             tried,
@@ -96,15 +96,15 @@
             request.slots,
             request.safe,
         )
-        self.tries[tried.cid] = tried
+        self.tries[tried.request_id] = tried
         try:
             tried.job = self.engine.accept(ask, tried)
         except TooManyJobsError:
-            self.tries.pop(tried.cid, None)
+            self.tries.pop(tried.request_id, None)
             return False
         return True
 
-    def audit_ended(self, errand: Errand, ending: i.Ending) -> None:
+    def audit_ended(self, errand: Errand, ending: Ending) -> None:
         """Tell the auditor what this process has learned of an attempt."""
         if self.alive:
             self.world.audit.ended(errand, ending)
@@ -121,8 +121,8 @@
             deadline.cancel()
         if self.deadlines.wake is not None:
             self.deadlines.wake.stop()
-        for cid in set(self.answered):
-            self.tries.pop(cid, None)
+        for request_id in set(self.answered):
+            self.tries.pop(request_id, None)
         for tried in list(self.tries.values()):
             tried.lost()
 
@@ -134,7 +134,7 @@
         self.world, self.rank, self.weight = world, rank, weight
         self.name = f"n{rank + 1}"
         self.process: Process | None = None
-        self.known: tuple[int, tuple[i.Listed, ...]] = (0, ())
+        self.known: tuple[int, tuple[Endpoint, ...]] = (0, ())
         self.lives = 0
         self.since = 0.0  # when its present process began
 
--- a/elderstall/rehearsal/wire.py
+++ b/elderstall/rehearsal/wire.py
@@ -12,9 +12,9 @@
 
 from twisted.internet.defer import Deferred
 
-from elderstall import interface as i
 from elderstall.config import IDLE_PART
-from elderstall.messages import Ask, Outcome
+from elderstall.interface import Ending, Endpoint, WorkerState
+from elderstall.messages import JobRequest, Outcome
 from elderstall.net.workers import ACCEPT_SOON, ACCEPT_WAIT, RECALL_WAIT, STALE_WITHIN
 from elderstall.rehearsal.loop import Call
 
@@ -58,7 +58,7 @@
         self,
         wire: Wire,
         machine: Machine,
-        ask: Ask,
+        ask: JobRequest,
         number: int,
         ends: float,
         note: Callable[[float, str], None],
@@ -82,7 +82,7 @@
     @property
     def tried(self) -> Try:
         """The client's try whose attempt this is."""
-        return self.ask.parcel  # type: ignore[return-value]
+        return self.ask.original  # type: ignore[return-value]
 
     @property
     def job(self) -> Request:
@@ -109,7 +109,7 @@
         link = wire.free_link(self.machine)
         if link is None:
             if wire.count + wire.opening >= network.worker_connections:
-                self.finish(Outcome(i.Ending.UNREACHABLE))
+                self.finish(Outcome(Ending.UNREACHABLE))
                 return
             wire.opening += 1
             self.timers.append(loop.after(network.connect_timeout, self.refused))
@@ -125,7 +125,7 @@
         """Note that no connection came up."""
         if not self.over and self.link is None:
             self.wire.opening -= 1
-            self.finish(Outcome(i.Ending.UNREACHABLE, unreached=True))
+            self.finish(Outcome(Ending.UNREACHABLE, unreached=True))
 
     def up(self, link: Link) -> None:
         """Take the connection that came up, unless nobody waits for it any more."""
@@ -135,7 +135,7 @@
         self.wire.opening -= 1
         self.timers[0].stop()
         if not link.open:
-            self.finish(Outcome(i.Ending.UNREACHABLE))
+            self.finish(Outcome(Ending.UNREACHABLE))
         else:
             self.write(link)
 
@@ -168,18 +168,18 @@
             link.close()
         self.finish(Outcome(self.ending()))
 
-    def ending(self) -> i.Ending:
+    def ending(self) -> Ending:
         """Name a break: whether it ran, and whether a kept connection had gone before it."""
         if not self.written:
-            return i.Ending.UNREACHABLE
+            return Ending.UNREACHABLE
         quick = self.wire.loop.now - self.wrote_at <= STALE_WITHIN
-        return i.Ending.CUT if quick and self.unused > 0 else i.Ending.BROKEN
+        return Ending.STALE_CONNECTION if quick and self.unused > 0 else Ending.BROKEN
 
     def silent(self) -> None:
         """Give a worker up that does not say it has the job; free connections there may be as dead."""
         if not self.over:
             self.wire.doubt(self.machine)
-            ending = i.Ending.BROKEN if self.written else i.Ending.UNREACHABLE
+            ending = Ending.BROKEN if self.written else Ending.UNREACHABLE
             self.leave()
             self.finish(Outcome(ending))
 
@@ -231,30 +231,30 @@
     def send(
         self,
         worker: str,
-        ask: Ask,
+        ask: JobRequest,
         ends: float,
         note: Callable[[float, str], None],
-        barred: Callable[[], str | None],
+        forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
         """Start an attempt; here connections are up at once, and none is barred meanwhile."""
         pool = self.pools.get(worker)
-        tried: Try = ask.parcel  # type: ignore[assignment]
+        tried: Try = ask.original  # type: ignore[assignment]
         machine = self.world.machines[worker]
         left = ends - self.process.deadlines.now()
         errand = Errand(self, machine, ask, tried.attempts, self.loop.now + left, note)
         tried.attempts += 1
-        self.errands[ask.cid] = errand
+        self.errands[ask.request_id] = errand
         self.world.audit.sent(errand)
         if pool is None:
-            errand.finish(Outcome(i.Ending.UNREACHABLE))
+            errand.finish(Outcome(Ending.UNREACHABLE))
         else:
             errand.begin()
         return errand.done
 
-    def recall(self, worker: str, cid: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
         """Tell a worker to give an attempt up."""
         done: Deferred[bool] = Deferred()
-        errand = self.errands.get(cid)
+        errand = self.errands.get(request_id)
         if errand is None or errand.machine.name != worker:
             done.callback(False)
             return done
@@ -276,7 +276,7 @@
         done: Deferred[Outcome] = Deferred()
         machine, pool = self.world.machines[worker], self.pools.get(worker)
         if pool is None:
-            done.callback(Outcome(i.Ending.UNREACHABLE))
+            done.callback(Outcome(Ending.UNREACHABLE))
             return done
         link = self.free_link(machine)
         if link is None:
@@ -295,20 +295,20 @@
             link.close()
         elif link.open and not link.deaf and machine.model.up and self.world.reaches(self, machine):
             self.rest(link)
-            done.callback(Outcome(i.Ending.SERVED, report=machine.report()))
+            done.callback(Outcome(Ending.SERVED, report=machine.report()))
         else:
             link.close()
-            outcome = Outcome(i.Ending.TIMED_OUT, unreached=True)
+            outcome = Outcome(Ending.TIMED_OUT, unreached=True)
             self.loop.after(self.network.connect_timeout, done.callback, outcome)
 
-    def renew(self, worker: str) -> None:
+    def drop_idle(self, worker: str) -> None:
         """Drop the free connections to a worker."""
         if (pool := self.pools.get(worker)) is not None:
             self.drop(pool)
 
     # ---- pools ----
 
-    def listed(self, entries: tuple[i.Listed, ...], whole: bool) -> None:
+    def listed(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
         """Follow the list as ``net.discovery`` has the pools do: a restart or an end drops one."""
         if whole:
             named = {e.worker for e in entries}
@@ -316,7 +316,7 @@
                 self.drop(self.pools.pop(name))
         for e in entries:
             pool = self.pools.get(e.worker)
-            if e.state is i.WorkerState.GONE:
+            if e.state is WorkerState.GONE:
                 if pool is not None:
                     self.drop(self.pools.pop(e.worker))
             elif pool is None or pool.started != e.started:
@@ -392,10 +392,10 @@
         engine = self.process.engine
         if not self.process.alive:
             return
-        attempt = engine.jobs.live_attempt(errand.ask.cid, errand.machine.name)
+        attempt = engine.jobs.live_attempt(errand.ask.request_id, errand.machine.name)
         if attempt is not None:
             self.process.audit_ended(errand, outcome.ending)
-            if outcome.ending is i.Ending.SERVED:
+            if outcome.ending is Ending.SERVED:
                 errand.tried.served_by = errand
             engine.attempts.worker_ended(attempt, outcome)
 
@@ -404,10 +404,10 @@
         engine = self.process.engine
         if (
             self.process.alive
-            and (attempt := engine.jobs.live_attempt(errand.ask.cid, errand.machine.name)) is not None
+            and (attempt := engine.jobs.live_attempt(errand.ask.request_id, errand.machine.name)) is not None
         ):
             engine.attempts.progressed(attempt, share, started=started)
 
-    def ended(self, cid: str) -> None:
+    def ended(self, request_id: str) -> None:
         """Forget a job's attempts once it is answered."""
-        self.errands.pop(cid, None)
+        self.errands.pop(request_id, None)
