--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -20,8 +20,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
 
-from elderstall import interface as i
-from elderstall.interface import ListScope, WorkerState
+from elderstall.interface import (
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    ListScope,
+    Settings,
+    WorkersForgotten,
+    WorkerState,
+)
 from elderstall.routing.reach import ZoneReach
 from elderstall.routing.subset import LARGE, SLACK, Subset, distance, subset_size
 
@@ -78,12 +86,12 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         entries_most: int = ENTRIES_MOST,
         log: Callable[[str, str], None] = lambda code, text: None,
     ) -> None:
         self.settings, self.entries_most, self.log = settings, entries_most, log
-        self.entries: dict[str, i.Listed] = {}  # as discovery tells them; none that are gone
+        self.entries: dict[str, Endpoint] = {}  # as discovery tells them; none that are gone
         self.unavailable: dict[str, float] = {}  # listed, but draining or banned; since when
         self.gone = Remembered()
         self.banned: dict[str, float] = {}  # by hand; since when
@@ -117,7 +125,7 @@
             since = self.gone.since.get(worker)
         return since is not None and now - since <= within
 
-    def shown(self, entry: i.Listed) -> i.Listed:
+    def shown(self, entry: Endpoint) -> Endpoint:
         """Lay what operators have said over an entry: it holds whatever discovery lists in the meantime."""
         worker = entry.worker
         if worker in self.banned and entry.state is WorkerState.UP:
@@ -145,17 +153,17 @@
             self.put_back[worker] = since, now
         return since is not None
 
-    def refresh(self, worker: str, now: float) -> list[i.Event]:
+    def refresh(self, worker: str, now: float) -> list[Event]:
         """Have a worker's entry seen as it counts now; gives what the module is to be told."""
         entry = self.entries.get(worker)
         return [] if entry is None else self.take(now, ListScope.CHANGES, (entry,))
 
     # ---- the list ----
 
-    def take(self, now: float, scope: ListScope, entries: tuple[i.Listed, ...] = ()) -> list[i.Event]:
+    def take(self, now: float, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> list[Event]:
         """Take news of the list; gives what the module is to be told."""
         if scope in (ListScope.FAILED, ListScope.SILENT):
-            return [i.WorkerList(scope)]
+            return [EndpointListUpdate(scope)]
         if not self.fits(scope, len(entries)):
             return []  # the last good view goes on
         self.count_odd(entries)
@@ -178,7 +186,7 @@
         self.log("list", f"refused: {count} entries, memory holds {self.entries_most} at most")
         return False
 
-    def count_odd(self, entries: tuple[i.Listed, ...]) -> None:
+    def count_odd(self, entries: tuple[Endpoint, ...]) -> None:
         """Count and log entries that lack what others have, or that stand twice."""
         odd = Counter({"doubled name": len(entries) - len({e.worker for e in entries})})
         if any(e.zone for e in entries):
@@ -189,7 +197,7 @@
             self.counts.odd_entries += odd
             self.log("list", "taken, but " + ", ".join(f"{n} with {what}" for what, n in sorted(odd.items())))
 
-    def missing_from(self, entries: Iterable[i.Listed]) -> list[str]:
+    def missing_from(self, entries: Iterable[Endpoint]) -> list[str]:
         """Name the workers that a whole list does not name any more."""
         named = {entry.worker for entry in entries}
         return [worker for worker in self.entries if worker not in named]
@@ -200,7 +208,7 @@
             since = self.unavailable.pop(worker, now)
             self.gone.add(worker, since)
 
-    def note(self, entry: i.Listed, seen: i.Listed, now: float) -> bool:
+    def note(self, entry: Endpoint, seen: Endpoint, now: float) -> bool:
         """Take one entry; say whether what counts of it has changed."""
         worker, before = entry.worker, self.entries.get(entry.worker)
         if seen.state is WorkerState.GONE:
@@ -239,15 +247,15 @@
         self,
         now: float,
         scope: ListScope,
-        shown: tuple[i.Listed, ...],
+        shown: tuple[Endpoint, ...],
         changed: list[str],
-    ) -> list[i.Event]:
+    ) -> list[Event]:
         """Give the module's part of a list that has been taken."""
         size = subset_size(self.up, self.settings.dispatchers)
         if self.subset is None and self.up <= size * (1 + SLACK):
             for worker in changed:
                 self.note_closed(worker, now)
-            return [i.WorkerList(scope, tuple(map(self.placed, shown)) if self.is_large else shown)]
+            return [EndpointListUpdate(scope, tuple(map(self.placed, shown)) if self.is_large else shown)]
         if self.subset is None or self.up <= size:
             return [self.switch(now, size)]
         return self.tell_subset(now, changed)
@@ -259,7 +267,7 @@
         else:
             self.closed.add(worker, now)
 
-    def switch(self, now: float, size: int) -> i.Event:
+    def switch(self, now: float, size: int) -> Event:
         """Go over from the whole list to a subset, or back; gives all that the module is to know."""
         seen = {worker: self.shown(entry) for worker, entry in self.entries.items()}
         self.waiting.clear()
@@ -277,19 +285,19 @@
         for entry in told:
             self.closed.discard(entry.worker)
         self.entered_at = now
-        return i.WorkerList(ListScope.WHOLE, tuple(told))
+        return EndpointListUpdate(ListScope.WHOLE, tuple(told))
 
     def new_subset(self) -> Subset:
         """Cut the subset of all that is up."""
         s = self.settings
-        subset = Subset(s.rank, s.dispatchers, s.zone if s.crossing_price > 0 else None)
+        subset = Subset(s.rank, s.dispatchers, s.zone if s.cross_zone_price > 0 else None)
         up = (entry for entry in self.entries.values() if entry.worker not in self.unavailable)
         subset.fill((entry.worker, entry.kind, entry.zone) for entry in up)
         return subset
 
-    def tell_subset(self, now: float, changed: list[str]) -> list[i.Event]:
+    def tell_subset(self, now: float, changed: list[str]) -> list[Event]:
         """Bring the subset up to date; gives what has changed in it, if anything has."""
-        told: list[i.Listed] = []
+        told: list[Endpoint] = []
         recut = False
         for worker in dict.fromkeys(changed):
             recut |= self.place(worker)
@@ -301,16 +309,16 @@
         if recut:
             told += self.recut(now)
         told += self.enter(now)
-        return [i.WorkerList(ListScope.CHANGES, tuple(told))] if told else []
+        return [EndpointListUpdate(ListScope.CHANGES, tuple(told))] if told else []
 
-    def entry_of(self, worker: str) -> i.Listed:
+    def entry_of(self, worker: str) -> Endpoint:
         """Give a worker's entry as it counts now, also of one that is gone."""
         entry = self.entries.get(worker)
         if entry is None:
-            return i.Listed(worker, state=WorkerState.GONE)
+            return Endpoint(worker, state=WorkerState.GONE)
         return self.placed(self.shown(entry))
 
-    def placed(self, entry: i.Listed) -> i.Listed:
+    def placed(self, entry: Endpoint) -> Endpoint:
         """Say with an entry of a large fleet where this dispatcher stands in line for its worker."""
         if self.subset is None:
             place = distance(entry.worker, self.settings.rank) if self.is_large else None
@@ -328,7 +336,7 @@
             return not on_rings and self.subset.add(worker, entry.kind, entry.zone)
         return on_rings and self.subset.remove(worker)
 
-    def recut(self, now: float) -> list[i.Listed]:
+    def recut(self, now: float) -> list[Endpoint]:
         """Have workers wait to enter that the subset now wants; gives those that leave what is too many."""
         assert self.subset is not None
         wanted = self.subset.wanted()
@@ -344,7 +352,7 @@
         self.counts.left += len(leaving)
         return [replace(self.entry_of(worker), state=WorkerState.GONE) for worker in leaving]
 
-    def enter(self, now: float) -> list[i.Listed]:
+    def enter(self, now: float) -> list[Endpoint]:
         """Let workers in that wait for it, a bounded number a second."""
         assert self.subset is not None
         if not self.waiting:
@@ -368,25 +376,25 @@
         """When ``settle`` is to be called, if it is; ms."""
         return self.entered_at + ENTER_EVERY if self.waiting else None
 
-    def settle(self, now: float) -> list[i.Event]:
+    def settle(self, now: float) -> list[Event]:
         """Let in who waits; gives what the module is to be told."""
         if self.subset is None or not (told := self.enter(now)):
             return []
-        return [i.WorkerList(ListScope.CHANGES, tuple(told))]
+        return [EndpointListUpdate(ListScope.CHANGES, tuple(told))]
 
-    def retune(self, settings: i.Settings, now: float) -> list[i.Event]:
+    def retune(self, settings: Settings, now: float) -> list[Event]:
         """Take new settings; gives what the module is to be told where they make the subset another one."""
         old, self.settings = self.settings, settings
         same = all(
             getattr(old, name) == getattr(settings, name)
-            for name in ("rank", "dispatchers", "zone", "crossing_price")
+            for name in ("rank", "dispatchers", "zone", "cross_zone_price")
         )
         size = subset_size(self.up, settings.dispatchers)
         if same or (self.subset is None and self.up <= size * (1 + SLACK)):
             return []
         return [self.switch(now, size)]
 
-    def forget(self, now: float) -> list[i.Event]:
+    def forget(self, now: float) -> list[Event]:
         """Forget what has been gone for long, here and in the module."""
         most = max(GONE_LEAST, len(self.entries) // GONE_PART)
         forgotten = self.gone.expire(now, most)
@@ -396,11 +404,11 @@
                 self.put_back.pop(worker, None)
         known = len(self.entries) if self.subset is None else len(self.members)
         closed = self.closed.expire(now, max(GONE_LEAST, known // GONE_PART))
-        return [i.WorkersForgotten(tuple(closed))] if closed else []
+        return [WorkersForgotten(tuple(closed))] if closed else []
 
     # ---- reach ----
 
-    def ended(self, worker: str, ending: i.Ending, unreached: bool, now: float) -> list[i.Event]:
+    def ended(self, worker: str, ending: Ending, unreached: bool, now: float) -> list[Event]:
         """Learn which zones are in reach from the end of an attempt or question; gives the module's news."""
         entry = self.entries.get(worker)
         if self.subset is None or entry is None:
@@ -413,4 +421,4 @@
             self.log("view", f"{count} zones out of reach" if count else "all zones in reach")
         self.subset.lose(self.lost_zones, self.reach.answering)
         told = self.recut(now) + self.enter(now)
-        return [i.WorkerList(ListScope.CHANGES, tuple(told))] if told else []
+        return [EndpointListUpdate(ListScope.CHANGES, tuple(told))] if told else []
--- a/elderstall/settings.py
+++ b/elderstall/settings.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from elderstall import interface as i
+from elderstall.interface import Effect, JobClass, Scope, Settings, Tenant
 
 Fields = dict[str, Any]
 
@@ -25,7 +25,7 @@
     return default if value is None else value
 
 
-def settings_of(conf: Fields) -> i.Settings:
+def settings_of(conf: Fields) -> Settings:
     """Build the settings from the wire's; keys that are not known here are ignored."""
     rules, limits = conf.get("rules") or {}, conf.get("limits") or {}
     extras, fees = conf.get("specifics") or {}, conf.get("fees") or {}
@@ -36,14 +36,14 @@
         kind = bound[n] if n < len(bound) else -1
         stretch = stretches[n] if n < len(stretches) else c.get("aim_stretch") or 0.0
         classes.append(
-            i.JobClass(
+            JobClass(
                 name=c["name"],
-                worth=c["points"],
-                aim=c["aim"],
+                priority_weight=c["points"],
+                latency_objective=c["aim"],
                 deadline=positive(c["deadline"], "deadline"),
-                effect=i.Effect(c["effect"]),
-                scope=i.Scope(c.get("key_scope") or "all"),
-                memory_span=c.get("memory_span") or 0.0,
+                effect=Effect(c["effect"]),
+                scope=Scope(c.get("key_scope") or "all"),
+                deduplication_window=c.get("memory_span") or 0.0,
                 stretch=stretch,
                 late_share=c.get("late_share") or 0.0,
                 kind=kinds[kind] if 0 <= kind < len(kinds) else None,
@@ -51,29 +51,29 @@
             )
         )
     free = next((f for f in ("x0", "x1") if f in fields and extras.get(f"report_{f}") == "free slots"), None)
-    return i.Settings(
+    return Settings(
         classes=tuple(classes),
-        tenants=tuple(i.Tenant(p["name"], p["quota_per_s"]) for p in conf.get("projects") or ()),
+        tenants=tuple(Tenant(p["name"], p["quota_per_s"]) for p in conf.get("projects") or ()),
         dispatchers=conf["balancers"],
         rank=conf.get("rank") or 0,
         zone=conf.get("locality"),
-        over_share_worth=conf.get("over_share_worth", 1.0),
-        by_work=conf.get("counted_by") == "work",
-        must_follow=conf.get("discovery") == "subscribe",
-        ask_within=rules.get("ask_within") or 10_000.0,
-        cold_share=rules.get("cold_share") or 1.0,
-        cold_for=rules.get("cold") or 0.0,
-        push_multiple=rules.get("fall_multiple") or 3.0,
-        push_window=rules.get("overload_for") or 2_000.0,
-        drain_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,  # none told: at once
+        over_quota_weight=conf.get("over_share_worth", 1.0),
+        weight_by_work=conf.get("counted_by") == "work",
+        watches_list=conf.get("discovery") == "subscribe",
+        poll_interval=rules.get("ask_within") or 10_000.0,
+        slow_start_share=rules.get("cold_share") or 1.0,
+        slow_start_duration=rules.get("cold") or 0.0,
+        slow_start_multiple=rules.get("fall_multiple") or 3.0,
+        slow_start_window=rules.get("overload_for") or 2_000.0,
+        stop_sending_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,  # none told: at once
         max_attempts=positive(limits.get("max_attempts", 1), "max_attempts"),
         cpu_us_per_s=limits.get("cpu_us_per_s") or 0.0,
         cpu_us_per_job=limits.get("cpu_us_per_request") or 0.0,
         connect_timeout=limits.get("connect_timeout") or 0.0,
-        tells_start=flag(extras, "tells_start"),
+        notifies_start=flag(extras, "tells_start"),
         report_free_slots=fields.index(free) if free else None,
         tick=conf.get("tick") or 1.0,
-        crossing_price=fees.get("cross_zone") or 0.0,
+        cross_zone_price=fees.get("cross_zone") or 0.0,
         fetch_price=fees.get("origin") or 0.0,
         probes=flag(limits, "probes"),
         cancels=flag(limits, "cancel", True),
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -6,35 +6,59 @@
 from dataclasses import dataclass, field
 
 from elderstall import Dispatcher
-from elderstall import interface as i
+from elderstall.interface import (
+    NEVER_RAN,
+    Action,
+    Actions,
+    AttemptEnded,
+    AttemptProgressed,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    FailJob,
+    JobArrived,
+    JobClass,
+    JobReleased,
+    ListScope,
+    RejectJob,
+    Scope,
+    SendAttempt,
+    SetTimer,
+    Settings,
+    Started,
+    TimerFired,
+    WorkerState,
+)
 
-SAFE = i.JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0)
-KEYED = i.JobClass("keyed", 3.0, 300.0, 3_000.0, i.Effect.KEYED, i.Scope.CELL, 1_500.0, 2.0, 0.3)
-KEYED_ALL = i.JobClass("keyed-all", 2.0, 300.0, 3_000.0, i.Effect.KEYED, i.Scope.ALL, 1_500.0, 2.0)
-UNSAFE = i.JobClass("unsafe", 5.0, 500.0, 4_000.0, i.Effect.UNSAFE, late_share=0.2)
+SAFE = JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0)
+KEYED = JobClass("keyed", 3.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.CELL, 1_500.0, 2.0, 0.3)
+KEYED_ALL = JobClass("keyed-all", 2.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.ALL, 1_500.0, 2.0)
+UNSAFE = JobClass("unsafe", 5.0, 500.0, 4_000.0, Effect.NOT_IDEMPOTENT, late_share=0.2)
 CLASSES = (SAFE, KEYED, KEYED_ALL, UNSAFE)
 
 
-def settings(**changes: object) -> i.Settings:
+def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": CLASSES,
         "dispatchers": 2,
         "zone": "a",
         "max_attempts": 4,
-        "tells_start": True,
-        "cold_share": 0.3,
-        "cold_for": 5_000.0,
+        "notifies_start": True,
+        "slow_start_share": 0.3,
+        "slow_start_duration": 5_000.0,
         "connect_timeout": 100.0,
-        "push_window": 1_000.0,
+        "slow_start_window": 1_000.0,
         "tenants": (),
-        "over_share_worth": 0.2,
+        "over_quota_weight": 0.2,
     }
     values.update(changes)
-    return i.Settings(**values)  # type: ignore[arg-type]
+    return Settings(**values)  # type: ignore[arg-type]
 
 
-def fleet(n: int, kind: str = "k", started: float | None = None) -> tuple[i.Listed, ...]:
-    return tuple(i.Listed(f"{kind}{k}", kind, "ab"[k % 2], k // 2, started) for k in range(n))
+def fleet(n: int, kind: str = "k", started: float | None = None) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(f"{kind}{k}", kind, "ab"[k % 2], k // 2, started) for k in range(n))
 
 
 @dataclass
@@ -53,7 +77,7 @@
 class Seen:
     """What the driver knows of one job."""
 
-    cls: i.JobClass
+    cls: JobClass
     deadline: float
     sent: int = 0
     answers: int = 0
@@ -65,40 +89,42 @@
 class Driver:
     """A little world of one dispatcher: it checks rules, it does not model speed or queues."""
 
-    def __init__(self, s: i.Settings, seed: int = 1, now: float = 5_000.0) -> None:
+    def __init__(self, s: Settings, seed: int = 1, now: float = 5_000.0) -> None:
         self.s, self.now = s, now
         self.grace = 500.0
         self.dispatcher = Dispatcher(s, seed)
         self.jobs: dict[int, Seen] = {}
         self.timers: list[tuple[float, int]] = []
         self.told_gone: dict[str, float] = {}
-        self.listing: dict[str, i.Listed] = {}
-        self.actions: i.Actions = []
+        self.listing: dict[str, Endpoint] = {}
+        self.actions: Actions = []
         self.cold_sends: dict[str, list[tuple[float, float]]] = {}
-        self.tell(i.Begin())
+        self.tell(Started())
 
-    def tell(self, event: i.Event) -> i.Actions:
+    def tell(self, event: Event) -> Actions:
         actions = self.dispatcher.handle(self.now, event)
         self.actions += actions
         for a in actions:
             self.check(a)
         return actions
 
-    def check(self, a: i.Action) -> None:
-        if isinstance(a, i.SetTimer):
+    def check(self, a: Action) -> None:
+        if isinstance(a, SetTimer):
             assert a.delay >= 0
             self.timers.append((self.now + max(self.s.tick, a.delay), a.token))
-        elif isinstance(a, i.Send):
+        elif isinstance(a, SendAttempt):
             job = self.jobs[a.job]
             assert not job.ended, "rule 1: sent after the final answer"
             assert job.sent < self.s.max_attempts
             assert not job.out, "rule 2: two copies out"
             maybe = job.ran + [(o.at, o.worker) for o in job.out.values()]
             if maybe:
-                assert job.cls.effect is not i.Effect.UNSAFE, "rule 2: unsafe sent again"
-                if job.cls.effect is i.Effect.KEYED:
-                    assert self.now - min(at for at, _ in maybe) < job.cls.memory_span, "rule 2: span"
-                    if job.cls.scope is i.Scope.CELL:
+                assert job.cls.effect is not Effect.NOT_IDEMPOTENT, "rule 2: unsafe sent again"
+                if job.cls.effect is Effect.IDEMPOTENCY_KEY:
+                    assert self.now - min(at for at, _ in maybe) < job.cls.deduplication_window, (
+                        "rule 2: span"
+                    )
+                    if job.cls.scope is Scope.CELL:
                         cells = {self.listing[w].cell for _, w in maybe}
                         assert cells == {self.listing[a.worker].cell}, "rule 2: outside the cell"
             since = self.told_gone.get(a.worker)
@@ -106,63 +132,69 @@
             self.check_cold(a)
             job.out[job.sent] = Out(a.job, job.sent, a.worker, self.now, a.time_out)
             job.sent += 1
-        elif isinstance(a, i.Refuse | i.Fail):
+        elif isinstance(a, RejectJob | FailJob):
             job = self.jobs[a.job]
             assert not job.ended, "rule 1: two answers"
-            if isinstance(a, i.Refuse) and (job.ran or job.out):
-                harmless = job.cls.effect is i.Effect.SAFE or (
-                    job.cls.effect is i.Effect.KEYED and job.cls.scope is i.Scope.ALL
+            if isinstance(a, RejectJob) and (job.ran or job.out):
+                harmless = job.cls.effect is Effect.IDEMPOTENT or (
+                    job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is Scope.ALL
                 )
                 assert harmless, "rule 2: refused what may have run"
             job.ended, job.answers = True, job.answers + 1
 
-    def check_cold(self, a: i.Send) -> None:
+    def check_cold(self, a: SendAttempt) -> None:
         """Rule 4: what one dispatcher sends a cold worker in a window stays within its part of the budget."""
         start = self.listing[a.worker].started
-        if start is None or self.now - start >= self.s.cold_for:
+        if start is None or self.now - start >= self.s.slow_start_duration:
             return
         w, job, s = self.dispatcher.endpoints.workers[a.worker], self.dispatcher.answers.open[a.job], self.s
         sends = self.cold_sends.setdefault(a.worker, [])
         sends.append((self.now, job.work * job.slots))
-        power = w.slots * w.speed * (s.cold_share + (1 - s.cold_share) * (self.now - start) / s.cold_for)
-        total = sum(work for at, work in sends if at > self.now - s.push_window)
-        assert total <= s.push_multiple * power * s.push_window / s.dispatchers, "rule 4: cold worker pushed"
+        power = (
+            w.slots
+            * w.speed
+            * (s.slow_start_share + (1 - s.slow_start_share) * (self.now - start) / s.slow_start_duration)
+        )
+        total = sum(work for at, work in sends if at > self.now - s.slow_start_window)
+        assert total <= s.slow_start_multiple * power * s.slow_start_window / s.dispatchers, (
+            "rule 4: cold worker pushed"
+        )
 
-    def listed(self, entries: tuple[i.Listed, ...], scope: i.ListScope = i.ListScope.WHOLE) -> None:
+    def listed(self, entries: tuple[Endpoint, ...], scope: ListScope = ListScope.WHOLE) -> None:
         self.listing.update({e.worker: e for e in entries})
         named = {e.worker for e in entries}
-        if scope is i.ListScope.WHOLE:
+        if scope is ListScope.WHOLE:
             for w in self.listing:
                 if w not in named:
                     self.told_gone.setdefault(w, self.now)
         for e in entries:
-            if e.state is i.WorkerState.UP:
+            if e.state is WorkerState.UP:
                 self.told_gone.pop(e.worker, None)
             else:
                 self.told_gone.setdefault(e.worker, self.now)
-        self.tell(i.WorkerList(scope, entries))
+        self.tell(EndpointListUpdate(scope, entries))
 
-    def arrive(self, job: int, cls: i.JobClass, left: float | None = None, **extra: object) -> i.Actions:
+    def arrive(self, job: int, cls: JobClass, left: float | None = None, **extra: object) -> Actions:
         left = cls.deadline if left is None else left
         self.jobs[job] = Seen(cls, self.now + left)
-        return self.tell(i.JobArrived(job, cls.name, left, **extra))  # type: ignore[arg-type]
+        return self.tell(JobArrived(job, cls.name, left, **extra))  # type: ignore[arg-type]
 
-    def note(self, o: Out, share: float = 0.0) -> i.Actions:
+    def note(self, o: Out, share: float = 0.0) -> Actions:
         started, o.started = not o.started, True
-        return self.tell(i.AttemptNoted(o.job, o.number, o.worker, share, started))
+        return self.tell(AttemptProgressed(o.job, o.number, o.worker, share, started))
 
-    def end(self, o: Out, ending: i.Ending) -> i.Actions:
+    def end(self, o: Out, ending: Ending) -> Actions:
         job = self.jobs[o.job]
         del job.out[o.number]
-        if ending not in i.NEVER_RAN:
+        if ending not in NEVER_RAN:
             job.ran.append((o.at, o.worker))
-        if ending is i.Ending.SERVED and not job.ended:
+        if ending is Ending.SERVED and not job.ended:
             job.ended, job.answers = True, job.answers + 1
-        return self.tell(i.AttemptEnded(o.job, o.number, o.worker, ending, job.ended))
+        return self.tell(AttemptEnded(o.job, o.number, o.worker, ending, job.ended))
 
     def leave(self, job: int) -> None:
         self.jobs[job].ended = True
-        self.tell(i.JobLeft(job))
+        self.tell(JobReleased(job))
 
     def outs(self) -> list[Out]:
         return [o for job in self.jobs.values() for o in job.out.values()]
@@ -181,9 +213,9 @@
             self.now = max(self.now, at)
             if what == 0:
                 self.timers.remove((at, token))
-                self.tell(i.TimerFired(token))
+                self.tell(TimerFired(token))
             elif out is not None:
-                self.end(out, i.Ending.TIMED_OUT)
+                self.end(out, Ending.TIMED_OUT)
             for job in self.jobs.values():
                 assert job.ended or self.now <= job.deadline + 2 * self.s.tick, "rule 1: no answer in time"
         self.now = until
@@ -192,7 +224,7 @@
             assert job.ended or self.now <= job.deadline + 2 * self.s.tick, "rule 1: no answer in time"
 
 
-def random_day(seed: int, s: i.Settings, steps: int = 150) -> Driver:
+def random_day(seed: int, s: Settings, steps: int = 150) -> Driver:
     """Drive a dispatcher with random legal events, then let everything end."""
     rng = random.Random(seed)
     d = Driver(s, seed)
@@ -208,29 +240,29 @@
         elif draw < 0.5 and outs:
             d.note(rng.choice(outs), rng.random())
         elif draw < 0.75 and outs:
-            d.end(rng.choice(outs), rng.choice([i.Ending.SERVED] * 4 + list(i.Ending)))
+            d.end(rng.choice(outs), rng.choice([Ending.SERVED] * 4 + list(Ending)))
         elif draw < 0.8 and names:
             name = rng.choice(names)
-            state = rng.choice(list(i.WorkerState))
+            state = rng.choice(list(WorkerState))
             old = d.listing[name]
             start = d.now if rng.random() < 0.5 else old.started
-            d.listed((i.Listed(name, old.kind, old.zone, old.cell, start, state),), i.ListScope.CHANGES)
+            d.listed((Endpoint(name, old.kind, old.zone, old.cell, start, state),), ListScope.CHANGES)
         elif draw < 0.83:
-            some = tuple(e for e in d.listing.values() if rng.random() < 0.8 and e.state is i.WorkerState.UP)
+            some = tuple(e for e in d.listing.values() if rng.random() < 0.8 and e.state is WorkerState.UP)
             d.listed(some)
         elif draw < 0.85:
-            d.tell(i.WorkerList(i.ListScope.FAILED))
+            d.tell(EndpointListUpdate(ListScope.FAILED))
         elif draw < 0.87 and d.jobs:
             job = rng.choice(sorted(d.jobs))
-            d.tell(i.AttemptEnded(job, 99, "nobody", i.Ending.SERVED))
-            d.tell(i.TimerFired(rng.choice([1, 2, 3, 99])))
-            d.tell(i.AttemptNoted(job, 98, "nobody"))
+            d.tell(AttemptEnded(job, 99, "nobody", Ending.SERVED))
+            d.tell(TimerFired(rng.choice([1, 2, 3, 99])))
+            d.tell(AttemptProgressed(job, 98, "nobody"))
         elif draw < 0.89 and d.jobs:
             job = rng.choice(sorted(d.jobs))
             if not d.jobs[job].ended:
                 d.leave(job)
             else:
-                d.tell(i.JobLeft(job))
+                d.tell(JobReleased(job))
         else:
             d.advance(rng.choice([1.0, 5.0, 30.0, 200.0, 900.0]))
     d.advance(30_000.0)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -178,9 +178,11 @@
         self.addCleanup(side.sock.close)
         return side
 
-    def job(self, cid: str, job_class: str = "deck-fetch", budget: int = 5_000, accept: str = "*/*") -> bytes:
+    def job(
+        self, request_id: str, job_class: str = "deck-fetch", budget: int = 5_000, accept: str = "*/*"
+    ) -> bytes:
         fields = {
-            "X-Call-Id": cid,
+            "X-Call-Id": request_id,
             "X-Call-Class": job_class,
             "X-Caller": "norte",
             "X-Budget-Ms": str(budget),
@@ -244,9 +246,9 @@
         self.turn()
         self.assertEqual([], [what for what, _ in self.came()])
 
-    def call_back(self, cid: str, state: str = "done", worker: str = "w1") -> None:
+    def call_back(self, request_id: str, state: str = "done", worker: str = "w1") -> None:
         side = self.client()
-        call = {"id": cid, "from": worker, "state": state, "result": f"deck {cid}"}
+        call = {"id": request_id, "from": worker, "state": state, "result": f"deck {request_id}"}
         side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
         self.assertEqual(204, self.answer(side).status)
         side.sock.close()
--- a/tests/nights.py
+++ b/tests/nights.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 from typing import Any
 
-from elderstall import interface as i
+from elderstall.interface import Effect, JobClass
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.script import Trouble
 
-SAFE = s.ClassLoad(i.JobClass("fetch", 2.0, 250.0, 3_000.0, stretch=2.0), 0.6, 120.0, 1.0, noise=0.2)
+SAFE = s.ClassLoad(JobClass("fetch", 2.0, 250.0, 3_000.0, stretch=2.0), 0.6, 120.0, 1.0, noise=0.2)
 UNSAFE = s.ClassLoad(
-    i.JobClass("purchase", 10.0, 300.0, 4_000.0, i.Effect.UNSAFE, stretch=2.0),
+    JobClass("purchase", 10.0, 300.0, 4_000.0, Effect.NOT_IDEMPOTENT, stretch=2.0),
     0.4,
     150.0,
     1.0,
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -337,10 +337,10 @@
             self.world.deliver(peer, part)
 
     def job(self, words: str) -> bytes:
-        cid, job_class, *rest = words.split()
+        request_id, job_class, *rest = words.split()
         more = dict(word.split("=", 1) for word in rest)
         fields = {
-            "X-Call-Id": cid,
+            "X-Call-Id": request_id,
             "X-Call-Class": job_class,
             "X-Caller": "norte",
             "X-Budget-Ms": more.pop("budget", "5000"),
@@ -389,15 +389,17 @@
         if words == "nothing":
             self.assertEqual([], [(p.name, m.method, m.target) for p in found for m in p.messages])
             return
-        method, cid, left = (words.split() + [""])[:3]
+        method, request_id, left = (words.split() + [""])[:3]
         self.assertTrue(found, f"no request came; {self.world.lines}")
         message = found[0].messages.pop(0)
         self.assertEqual(method, message.method)
         if method == "GET":
-            self.assertEqual(cid, message.target)
+            self.assertEqual(request_id, message.target)
             self.world.peers[actor] = found[0]
             return
-        self.assertEqual(cid, message.target[6:] if method == "DELETE" else message.headers.get("X-Call-Id"))
+        self.assertEqual(
+            request_id, message.target[6:] if method == "DELETE" else message.headers.get("X-Call-Id")
+        )
         if method == "POST":
             self.assertEqual(b"body", message.body)
             self.assertTrue(message.target.endswith("?obj=7f"))
@@ -408,10 +410,15 @@
     def w_send(self, actor: str, words: str) -> None:
         first, _, rest = words.partition(" ")
         if first == "call":
-            state, cid, text = (rest.split(" ", 2) + [""])[:3]
+            state, request_id, text = (rest.split(" ", 2) + [""])[:3]
             named = re.search(r"from=(\S+)", text)
             name = named[1] if named else self.world.peers[actor].name
-            call = {"id": cid, "from": name, "state": state, "result": re.sub(r"\s*from=\S+", "", text)}
+            call = {
+                "id": request_id,
+                "from": name,
+                "state": state,
+                "result": re.sub(r"\s*from=\S+", "", text),
+            }
             body = json.dumps({**call, "share": 0.4, "load": {"cpu_share": 0.5, "x0": 2}}).encode()
             self.world.deliver(self.client("callback"), http.request("POST", "/callback", "n1", (), body))
             self.c_expect("callback", "204")
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -37,28 +37,30 @@
         """Let time pass in the midst of a step of the program."""
         self.held_for += ms
 
-    def send(self, cid: str, job_class: str = UNSAFE, budget: int = 4_000, accept: str = "*/*") -> Side:
+    def send(
+        self, request_id: str, job_class: str = UNSAFE, budget: int = 4_000, accept: str = "*/*"
+    ) -> Side:
         side = self.client()
-        side.send(self.job(cid, job_class, budget, accept))
-        self.ends[cid] = self.app.deadlines.now() + budget
-        self.until(lambda: cid in self.app.engine.jobs.by_id or self.app.engine.jobs.knows(cid))
+        side.send(self.job(request_id, job_class, budget, accept))
+        self.ends[request_id] = self.app.deadlines.now() + budget
+        self.until(lambda: request_id in self.app.engine.jobs.by_id or self.app.engine.jobs.knows(request_id))
         return side
 
-    def heard(self, cid: str) -> tuple[Side, float]:
+    def heard(self, request_id: str) -> tuple[Side, float]:
         """Take a job's request at its worker; the time that it tells is no more than what is left now."""
-        self.until(lambda: any(name == f"POST {cid}" for name, _ in self.came()))
-        side = next(side for name, side in self.came() if name == f"POST {cid}")
+        self.until(lambda: any(name == f"POST {request_id}" for name, _ in self.came()))
+        side = next(side for name, side in self.came() if name == f"POST {request_id}")
         told = float(side.messages.pop(0).headers.get("X-Budget-Ms") or -1)
-        left = self.ends[cid] - self.app.deadlines.now()
+        left = self.ends[request_id] - self.app.deadlines.now()
         self.assertGreater(told, 0)
         self.assertLessEqual(told, left)
         self.assertGreaterEqual(told, left - BUDGET_MARGIN - 1)  # and no more is kept back than the margin
         return side, told
 
-    def serve(self, cid: str, worker: Side, client: Side, name: str = "w1") -> None:
+    def serve(self, request_id: str, worker: Side, client: Side, name: str = "w1") -> None:
         worker.send(TAKEN)
         self.turn()
-        self.call_back(cid, worker=name)
+        self.call_back(request_id, worker=name)
         self.assertEqual(200, self.answer(client).status)
 
     def name(self, worker: Side) -> str:
@@ -144,7 +146,7 @@
                 worker, _ = self.heard("a1")
                 self.serve("a1", worker, client)
                 if not kept:
-                    self.app.workers.renew("w1")
+                    self.app.workers.drop_idle("w1")
                     self.turn()
                 self.held = None if kept else []
                 self.send("a2")
@@ -284,7 +286,7 @@
         engine.jobs.taken_elsewhere.clear()
         engine.endpoints.end_ban("w1")
         self.hold_up()
-        engine.import_job(state, job.request.parcel, job.client)
+        engine.import_job(state, job.request.original, job.client)
         for _ in range(300):
             if self.came():
                 break
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -31,11 +31,11 @@
         """Have a class that can wait for longer than the term: else its job is given up by then anyhow."""
         super().begin(workers, progress=self.progress, classes=[*CLASSES, PATIENT], **more)
 
-    def sent(self, cid: str = "gone", job_class: str = "album") -> Side:
+    def sent(self, request_id: str = "gone", job_class: str = "album") -> Side:
         client = self.client()
         accept = "text/event-stream" if self.progress else "*/*"
-        client.send(self.job(cid, job_class, accept=accept))
-        self.until(lambda: cid in self.app.engine.jobs.by_id)
+        client.send(self.job(request_id, job_class, accept=accept))
+        self.until(lambda: request_id in self.app.engine.jobs.by_id)
         return client
 
     def occupy(self) -> None:
@@ -45,10 +45,10 @@
         self.take("POST first").send(TAKEN)
         self.turn()
 
-    def calls_back(self, cid: str, state: str = "done", worker: str = "w1") -> Side:
+    def calls_back(self, request_id: str, state: str = "done", worker: str = "w1") -> Side:
         """Have a worker call back; nothing of it is read yet."""
         side = self.client()
-        call = {"id": cid, "from": worker, "state": state, "result": "deck"}
+        call = {"id": request_id, "from": worker, "state": state, "result": "deck"}
         side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
         return side
 
@@ -92,12 +92,12 @@
 
     def test_kept_connection_is_written_to_in_the_turn_that_decides(self) -> None:
         self.begin()
-        for cid in ("k1", "k2"):  # a kept connection
+        for request_id in ("k1", "k2"):  # a kept connection
             side = self.client()
-            side.send(self.job(cid))
-            self.take(f"POST {cid}").send(TAKEN)
+            side.send(self.job(request_id))
+            self.take(f"POST {request_id}").send(TAKEN)
             self.turn()
-            self.call_back(cid)
+            self.call_back(request_id)
             self.answer(side)
         self.occupy()
         client = self.sent()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -20,13 +20,13 @@
 from twisted.internet.base import ReactorBase
 from twisted.internet.task import Clock
 
-from elderstall import interface as i
 from elderstall.app import App
 from elderstall.clocks import wall_offset
 from elderstall.config import config_of
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine
 from elderstall.engine.job_transfer import CLOCK_SLACK, LEFT_UNKNOWN
+from elderstall.interface import Endpoint, ListScope
 from elderstall.net import http
 from elderstall.net.discovery import told_as
 from elderstall.net.monotonic_reactor import MonotonicReactor
@@ -389,7 +389,7 @@
             self.assertAlmostEqual(old.now() + step, state["back"]["w3"][1], 1)
 
     def test_the_list_is_written_with_the_starts_that_it_came_with(self) -> None:
-        entries = [i.Listed("w1", started=500.0, since_ms=7.0), i.Listed("w2", started=9.0), i.Listed("w3")]
+        entries = [Endpoint("w1", started=500.0, since_ms=7.0), Endpoint("w2", started=9.0), Endpoint("w3")]
         told = told_as(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
         self.assertEqual([7.0, 9.0, 0], [e["since_ms"] for e in told["endpoints"]])
 
@@ -402,7 +402,7 @@
         old.unix = lambda: old.now() + step
         deadlines = Deadlines(self.clock, self.clock.seconds, old.now() + step)
         engine = Engine(self.engine.settings, 1, deadlines, self.carrier, self.engine.log)
-        engine.endpoints.take(i.ListScope.WHOLE, (i.Listed("w"), i.Listed("v")))
+        engine.endpoints.take(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
         engine.decisions.handle = lambda now, event: []  # type: ignore[method-assign]
         return engine
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -37,21 +37,21 @@
         self.turn()
         return client, self.connection(client)
 
-    def kept(self, cid: str) -> Side:
+    def kept(self, request_id: str) -> Side:
         """Give a client that has had an answer and keeps its connection."""
         client = self.client()
-        client.send(self.job(cid))
-        self.serve(client, cid)
+        client.send(self.job(request_id))
+        self.serve(client, request_id)
         return client
 
-    def serve(self, client: Side, cid: str) -> http.Message:
-        self.take(f"POST {cid}").send(http.response(202))
+    def serve(self, client: Side, request_id: str) -> http.Message:
+        self.take(f"POST {request_id}").send(http.response(202))
         self.turn()
-        attempt = self.app.engine.jobs.by_id[cid].attempt
+        attempt = self.app.engine.jobs.by_id[request_id].attempt
         assert attempt is not None
-        self.call_back(cid, worker=attempt.worker)
+        self.call_back(request_id, worker=attempt.worker)
         message = self.answer(client)
-        self.assertEqual((200, f"deck {cid}".encode()), (message.status, message.body))
+        self.assertEqual((200, f"deck {request_id}".encode()), (message.status, message.body))
         return message
 
     def closed(self, client: Side) -> bool:
@@ -212,11 +212,11 @@
         c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         count = 0
         while not unwritten(c.transport):
-            cid, count = f"a{count}", count + 1
-            client.send(self.job(cid))
-            self.take(f"POST {cid}").send(http.response(202))
+            request_id, count = f"a{count}", count + 1
+            client.send(self.job(request_id))
+            self.take(f"POST {request_id}").send(http.response(202))
             self.turn()
-            attempt = self.app.engine.jobs.live_attempt(cid, "w1")
+            attempt = self.app.engine.jobs.live_attempt(request_id, "w1")
             assert attempt is not None
             self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"x" * 5_000))
             self.turn()
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -19,8 +19,28 @@
 from typing import Any
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.app import OLD_PART
+from elderstall.interface import (
+    AttemptEnded,
+    AttemptProgressed,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    JobArrived,
+    JobClass,
+    LearnedStateReceived,
+    ListScope,
+    LoadPolled,
+    PollLoad,
+    SendAttempt,
+    SetTimer,
+    Settings,
+    SettingsChanged,
+    Started,
+    TimerFired,
+)
 
 COLD = "w0"
 MEAN_WORK = 300.0  # ms of a standard core
@@ -30,20 +50,20 @@
 SPREAD = 200.0  # ms
 END = 9_000.0  # ms
 JOB_CLASSES = (
-    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
-    i.JobClass("build", 5.0, 600.0, 15_000.0, effect=i.Effect.UNSAFE, stretch=3.0),
+    JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
+    JobClass("build", 5.0, 600.0, 15_000.0, effect=Effect.NOT_IDEMPOTENT, stretch=3.0),
 )
-NOTHING_TOLD = i.Settings(
+NOTHING_TOLD = Settings(
     JOB_CLASSES,
     connect_timeout=250.0,
-    cold_share=0.42,
-    cold_for=9_000.0,
-    push_multiple=4.0,
-    push_window=2_000.0,
+    slow_start_share=0.42,
+    slow_start_duration=9_000.0,
+    slow_start_multiple=4.0,
+    slow_start_window=2_000.0,
     max_attempts=5,
     tick=2.0,
 )
-STARTS_TOLD = replace(NOTHING_TOLD, tells_start=True)
+STARTS_TOLD = replace(NOTHING_TOLD, notifies_start=True)
 REPORTING = replace(NOTHING_TOLD, report_free_slots=0)
 ASKING = replace(REPORTING, probes=True)
 PULLED = replace(ASKING, pulled=True)
@@ -56,9 +76,9 @@
 }
 
 
-def allowed(slots: int, warmth: float, s: i.Settings) -> float:
+def allowed(slots: int, warmth: float, s: Settings) -> float:
     """Give how many requests of mean work a cold worker stands in one window, by the terms."""
-    mean = s.push_multiple * slots * warmth * s.push_window / MEAN_WORK
+    mean = s.slow_start_multiple * slots * warmth * s.slow_start_window / MEAN_WORK
     return mean + (3 * math.sqrt(mean) + 3 if mean < 30 else 2 * math.sqrt(mean) + 2)
 
 
@@ -92,7 +112,7 @@
 class Case:
     """One fleet and its traffic."""
 
-    settings: i.Settings
+    settings: Settings
     dispatchers: int
     slots: int = 2
     workers: int = 8
@@ -139,21 +159,21 @@
         """Give its free slots."""
         return (float(max(0, self.slots - self.running - len(self.queue))),)
 
-    def warmth(self, now: float, s: i.Settings) -> float:
+    def warmth(self, now: float, s: Settings) -> float:
         """Give the part of its speed that it has: a cold one warms evenly."""
         if self.started is None:
             return 1.0
-        age = max(0.0, now - self.started) / s.cold_for
-        return min(1.0, s.cold_share + (1 - s.cold_share) * age)
+        age = max(0.0, now - self.started) / s.slow_start_duration
+        return min(1.0, s.slow_start_share + (1 - s.slow_start_share) * age)
 
-    def most_of_bound(self, s: i.Settings) -> float:
+    def most_of_bound(self, s: Settings) -> float:
         """Give the largest sum of any window over what the terms allow there, where they bind."""
         worst, total, informed = 0.0, 0.0, 0.0
         recent = deque[tuple[float, float, bool]]()
         for at, work, told in self.sent:
             recent.append((at, work, told))
             total, informed = total + work, informed + work * told
-            while recent[0][0] <= at - s.push_window:
+            while recent[0][0] <= at - s.slow_start_window:
                 _, gone, gone_told = recent.popleft()
                 total, informed = total - gone, informed - gone * gone_told
             if informed > total * 2 / 3:
@@ -167,15 +187,15 @@
     """One dispatcher's process."""
 
     module: Dispatcher
-    settings: i.Settings
+    settings: Settings
     part: float = 1.0  # of its rank's cold budget, as ``Engine.share`` sets it
     told: dict[str, float] = field(default_factory=dict)  # the start that it was told of each worker
     owed: int = 0
 
-    def retuned(self) -> i.Retuned:
+    def retuned(self) -> SettingsChanged:
         """Give the settings as ``Engine.share`` hands them on."""
-        multiple = self.settings.push_multiple * self.part
-        return i.Retuned(replace(self.settings, push_multiple=multiple))
+        multiple = self.settings.slow_start_multiple * self.part
+        return SettingsChanged(replace(self.settings, slow_start_multiple=multiple))
 
 
 class Fleet:
@@ -229,14 +249,14 @@
         settings = replace(self.s, rank=rank, dispatchers=dispatchers)
         data = None if old is None else json.loads(json.dumps(old.module.learned()))
         made = Process(Dispatcher(settings, self.rng.randrange(2**32)), settings)
-        self.feed(made, i.Begin())
-        self.inform(made, i.ListScope.WHOLE, list(self.workers), old.told if old is not None else None)
+        self.feed(made, Started())
+        self.inform(made, ListScope.WHOLE, list(self.workers), old.told if old is not None else None)
         if data is not None:
-            self.feed(made, i.Learned(data))
+            self.feed(made, LearnedStateReceived(data))
         return made
 
     def inform(
-        self, process: Process, scope: i.ListScope, names: list[str], starts: dict[str, float] | None = None
+        self, process: Process, scope: ListScope, names: list[str], starts: dict[str, float] | None = None
     ) -> None:
         """Tell a process of workers as they are now, or as another process knew them."""
         entries = []
@@ -244,13 +264,13 @@
             started = self.workers[name].started if starts is None else starts.get(name)
             if started is not None:
                 process.told[name] = started
-            entries.append(i.Listed(name, "k", started=started))
-        self.feed(process, i.WorkerList(scope, tuple(entries)))
+            entries.append(Endpoint(name, "k", started=started))
+        self.feed(process, EndpointListUpdate(scope, tuple(entries)))
 
     def tell(self, rank: int, names: list[str]) -> None:
         """Tell the processes of a rank of changed workers."""
         for process in self.processes(rank):
-            self.inform(process, i.ListScope.CHANGES, names)
+            self.inform(process, ListScope.CHANGES, names)
 
     def processes(self, rank: int) -> list[Process]:
         """Give the one or two processes of a rank."""
@@ -298,20 +318,20 @@
         del self.older[rank]
         self.share(self.serving[rank], 1.0)
 
-    def feed(self, process: Process, event: i.Event) -> None:
+    def feed(self, process: Process, event: Event) -> None:
         """Hand a module an event and carry its actions out."""
         for action in process.module.handle(self.now, event):
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, SetTimer):
                 delay = max(self.s.tick, action.delay)
-                self.at(self.now + delay, self.feed, process, i.TimerFired(action.token))
-            elif isinstance(action, i.Probe):
+                self.at(self.now + delay, self.feed, process, TimerFired(action.token))
+            elif isinstance(action, PollLoad):
                 self.at(self.now + 2 * TRIP, self.probed, process, action.worker)
-            elif isinstance(action, i.Send):
+            elif isinstance(action, SendAttempt):
                 self.take(process, action)
 
     def probed(self, process: Process, name: str) -> None:
         """Answer a probe."""
-        self.feed(process, i.Probed(name, i.Ending.SERVED, self.workers[name].report))
+        self.feed(process, LoadPolled(name, Ending.SERVED, self.workers[name].report))
 
     # ---- clients ----
 
@@ -324,7 +344,7 @@
         process = self.rng.choice(self.processes(rank))
         job, cls = next(self.jobs), self.rng.choice(JOB_CLASSES)
         self.works[job] = work = case.works(self.rng)
-        self.feed(process, i.JobArrived(job, cls.name, cls.deadline, work_hint=work if case.hinted else None))
+        self.feed(process, JobArrived(job, cls.name, cls.deadline, work_hint=work if case.hinted else None))
 
     # ---- workers ----
 
@@ -339,7 +359,7 @@
             broken, worker.out = worker.out, set()
             if not self.case.silent_restart:
                 for attempt in sorted(broken, key=lambda attempt: attempt.job):
-                    self.at(self.now + TRIP, self.tell_end, attempt, i.Ending.BROKEN)
+                    self.at(self.now + TRIP, self.tell_end, attempt, Ending.BROKEN)
 
     def close_books(self, worker: StandInWorker) -> None:
         """Take what a worker's process was sent while it was cold into the figures."""
@@ -348,7 +368,7 @@
             self.cold_jobs += len(worker.sent)
         worker.sent = []
 
-    def take(self, process: Process, action: i.Send) -> None:
+    def take(self, process: Process, action: SendAttempt) -> None:
         """Have a worker start a job, queue it or turn it away."""
         number = self.numbers.get((process, action.job), 0)
         self.numbers[process, action.job] = number + 1
@@ -359,7 +379,7 @@
             told = process.told.get(action.worker) == worker.started
             worker.sent.append((self.now, work, told))
         if worker.started is not None and self.case.refusing:
-            self.at(self.now + 2 * TRIP, self.tell_end, attempt, i.Ending.FULL)
+            self.at(self.now + 2 * TRIP, self.tell_end, attempt, Ending.FULL)
         elif worker.running < worker.slots:
             worker.out.add(attempt)
             self.run(worker, attempt)
@@ -367,13 +387,13 @@
             worker.out.add(attempt)
             worker.queue.append(attempt)
         else:
-            self.at(self.now + 2 * TRIP, self.tell_end, attempt, i.Ending.FULL)
+            self.at(self.now + 2 * TRIP, self.tell_end, attempt, Ending.FULL)
 
     def run(self, worker: StandInWorker, attempt: Attempt) -> None:
         """Start a job."""
         worker.running += 1
-        if self.s.tells_start:
-            noted = i.AttemptNoted(attempt.job, attempt.number, attempt.worker, started=True)
+        if self.s.notifies_start:
+            noted = AttemptProgressed(attempt.job, attempt.number, attempt.worker, started=True)
             self.at(self.now + TRIP, self.feed, attempt.process, noted)
         done = self.now + attempt.work / worker.warmth(self.now, self.s)
         self.at(done, self.finished, worker, attempt)
@@ -387,15 +407,15 @@
         if worker.queue:
             self.run(worker, worker.queue.popleft())
         self.served += 1
-        self.at(self.now + TRIP, self.tell_end, attempt, i.Ending.SERVED)
+        self.at(self.now + TRIP, self.tell_end, attempt, Ending.SERVED)
 
-    def tell_end(self, attempt: Attempt, ending: i.Ending) -> None:
+    def tell_end(self, attempt: Attempt, ending: Ending) -> None:
         """Tell the end of an attempt, with a report where workers give one with their answers."""
         report = () if self.s.pulled else self.workers[attempt.worker].report
         self.feed(
             attempt.process,
-            i.AttemptEnded(
-                attempt.job, attempt.number, attempt.worker, ending, ending is i.Ending.SERVED, report
+            AttemptEnded(
+                attempt.job, attempt.number, attempt.worker, ending, ending is Ending.SERVED, report
             ),
         )
 
@@ -504,18 +524,18 @@
 class LongJobs(unittest.TestCase):
     """Many dispatchers whose part of the budget is less than the job that each has."""
 
-    def sent(self, settings: i.Settings, work: float) -> int:
+    def sent(self, settings: Settings, work: float) -> int:
         """Count the jobs that thirty dispatchers with one job each send to the only worker, a cold one."""
         sends = 0
         for rank in range(30):
             module = Dispatcher(replace(settings, dispatchers=30, rank=rank), rank)
-            module.handle(0.0, i.Begin())
-            entry = i.Listed(COLD, "k", started=0.0)
-            module.handle(1.0, i.WorkerList(i.ListScope.WHOLE, (entry,)))
-            actions = list(module.handle(2.0, i.JobArrived(1, "build", 15_000.0, work_hint=work)))
-            if any(isinstance(action, i.Probe) for action in actions):
-                actions += module.handle(6.0, i.Probed(COLD, i.Ending.SERVED, (1.0,)))
-            sends += sum(isinstance(action, i.Send) for action in actions)
+            module.handle(0.0, Started())
+            entry = Endpoint(COLD, "k", started=0.0)
+            module.handle(1.0, EndpointListUpdate(ListScope.WHOLE, (entry,)))
+            actions = list(module.handle(2.0, JobArrived(1, "build", 15_000.0, work_hint=work)))
+            if any(isinstance(action, PollLoad) for action in actions):
+                actions += module.handle(6.0, LoadPolled(COLD, Ending.SERVED, (1.0,)))
+            sends += sum(isinstance(action, SendAttempt) for action in actions)
         return sends
 
     def test_that_together_they_send_no_more_work_than_the_budget(self) -> None:
@@ -525,7 +545,7 @@
                 with self.subTest(mode=mode, work=work):
                     total = self.sent(settings, work) * work / MEAN_WORK
                     self.assertGreater(total, 0.0)
-                    self.assertLessEqual(total, allowed(1, settings.cold_share, settings))
+                    self.assertLessEqual(total, allowed(1, settings.slow_start_share, settings))
 
 
 class SlotsSeen(unittest.TestCase):
@@ -533,8 +553,8 @@
 
     def setUp(self) -> None:
         self.module = Dispatcher(STARTS_TOLD, 1)
-        self.module.handle(0.0, i.Begin())
-        self.module.handle(1.0, i.WorkerList(i.ListScope.WHOLE, (i.Listed(COLD, "k"),)))
+        self.module.handle(0.0, Started())
+        self.module.handle(1.0, EndpointListUpdate(ListScope.WHOLE, (Endpoint(COLD, "k"),)))
         self.now = 10.0
 
     def send(self, job: int) -> None:
@@ -542,16 +562,16 @@
         worker = self.module.endpoints.workers[COLD]
         worker.slot_limit = 8
         self.module.pools.moved(worker)
-        actions = self.module.handle(self.now, i.JobArrived(job, "build", 15_000.0, work_hint=300.0))
-        self.assertTrue(any(isinstance(action, i.Send) for action in actions))
+        actions = self.module.handle(self.now, JobArrived(job, "build", 15_000.0, work_hint=300.0))
+        self.assertTrue(any(isinstance(action, SendAttempt) for action in actions))
 
     def start(self, job: int) -> None:
         """Tell a start."""
-        self.module.handle(self.now, i.AttemptNoted(job, 0, COLD, started=True))
+        self.module.handle(self.now, AttemptProgressed(job, 0, COLD, started=True))
 
     def end(self, job: int) -> None:
         """Tell an end."""
-        self.module.handle(self.now, i.AttemptEnded(job, 0, COLD, i.Ending.SERVED, True))
+        self.module.handle(self.now, AttemptEnded(job, 0, COLD, Ending.SERVED, True))
 
     @property
     def seen(self) -> float:
@@ -582,8 +602,8 @@
         self.send(1)
         self.start(1)
         self.now += 100.0
-        entry = i.Listed(COLD, "k", started=self.now)
-        self.module.handle(self.now, i.WorkerList(i.ListScope.CHANGES, (entry,)))
+        entry = Endpoint(COLD, "k", started=self.now)
+        self.module.handle(self.now, EndpointListUpdate(ListScope.CHANGES, (entry,)))
         self.now += 100.0
         self.send(2)
         self.start(2)
@@ -597,25 +617,25 @@
 class Upgrade(unittest.TestCase):
     """Two processes of one rank."""
 
-    def begun(self, push_multiple: float) -> Dispatcher:
+    def begun(self, slow_start_multiple: float) -> Dispatcher:
         """Give a process that knows of one cold worker."""
-        module = Dispatcher(replace(REPORTING, push_multiple=push_multiple), 1)
-        module.handle(0.0, i.Begin())
-        module.handle(1.0, i.WorkerList(i.ListScope.WHOLE, (i.Listed(COLD, "k", started=0.0),)))
+        module = Dispatcher(replace(REPORTING, slow_start_multiple=slow_start_multiple), 1)
+        module.handle(0.0, Started())
+        module.handle(1.0, EndpointListUpdate(ListScope.WHOLE, (Endpoint(COLD, "k", started=0.0),)))
         return module
 
     def sends(self, module: Dispatcher, now: float, work: float) -> bool:
         """Say whether a job that arrives now is sent."""
-        job = i.JobArrived(1, "build", 15_000.0, work_hint=work)
-        return any(isinstance(action, i.Send) for action in module.handle(now, job))
+        job = JobArrived(1, "build", 15_000.0, work_hint=work)
+        return any(isinstance(action, SendAttempt) for action in module.handle(now, job))
 
     def test_what_the_old_process_sent_counts_at_the_new_one(self) -> None:
-        old = self.begun(REPORTING.push_multiple)
+        old = self.begun(REPORTING.slow_start_multiple)
         self.assertTrue(self.sends(old, 10.0, 2_800.0))  # of the 3,360 ms that may be sent in a window
         data = json.dumps(old.learned())
-        for now, sent in ((30.0, False), (10.0 + REPORTING.push_window + 1.0, True)):
-            new = self.begun(REPORTING.push_multiple * (1 - OLD_PART))
-            new.handle(20.0, i.Learned(json.loads(data)))
+        for now, sent in ((30.0, False), (10.0 + REPORTING.slow_start_window + 1.0, True)):
+            new = self.begun(REPORTING.slow_start_multiple * (1 - OLD_PART))
+            new.handle(20.0, LearnedStateReceived(json.loads(data)))
             self.assertEqual(self.sends(new, now, 500.0), sent)
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,7 +11,26 @@
 from itertools import count
 
 from elderstall import Dispatcher
-from elderstall import interface as i
+from elderstall.interface import (
+    Action,
+    AttemptEnded,
+    AttemptProgressed,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    JobArrived,
+    JobClass,
+    ListScope,
+    LoadPolled,
+    PollLoad,
+    SendAttempt,
+    SetTimer,
+    Settings,
+    Started,
+    TimerFired,
+)
 
 DISPATCHERS = 30
 WORKERS = 12
@@ -22,22 +41,22 @@
 BURST, BURST_FOR = 1.5, 4_000.0  # from TOLD on
 END = 20_000.0
 JOB_CLASSES = (
-    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
-    i.JobClass("build", 5.0, 600.0, 15_000.0, effect=i.Effect.UNSAFE, stretch=3.0),
+    JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
+    JobClass("build", 5.0, 600.0, 15_000.0, effect=Effect.NOT_IDEMPOTENT, stretch=3.0),
 )
-BASE = i.Settings(
+BASE = Settings(
     JOB_CLASSES,
     dispatchers=DISPATCHERS,
     connect_timeout=250.0,
-    cold_share=0.42,
-    cold_for=9_000.0,
-    push_multiple=4.0,
-    push_window=2_000.0,
+    slow_start_share=0.42,
+    slow_start_duration=9_000.0,
+    slow_start_multiple=4.0,
+    slow_start_window=2_000.0,
     max_attempts=5,
     tick=2.0,
 )
 ASKING = replace(BASE, probes=True, report_free_slots=0)
-TELLING = replace(BASE, tells_start=True)
+TELLING = replace(BASE, notifies_start=True)
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,34 +89,34 @@
         """Give its speed: a cold one warms evenly."""
         if self.started is None:
             return 1.0
-        age = (now - self.started) / BASE.cold_for
-        return min(1.0, BASE.cold_share + (1 - BASE.cold_share) * age)
+        age = (now - self.started) / BASE.slow_start_duration
+        return min(1.0, BASE.slow_start_share + (1 - BASE.slow_start_share) * age)
 
 
 class Fleet:
     """Dispatchers' modules, workers and clients under one clock; ``play`` runs it to its end."""
 
-    def __init__(self, settings: i.Settings, slots: int, load: float, seed: int) -> None:
+    def __init__(self, settings: Settings, slots: int, load: float, seed: int) -> None:
         self.rng = random.Random(seed)
         self.workers = {f"w{n}": StandInWorker(f"w{n}", slots) for n in range(WORKERS)}
         self.slots = slots
-        self.heap: list[tuple[float, int, int, i.Event | Attempt]] = []
+        self.heap: list[tuple[float, int, int, Event | Attempt]] = []
         self.order = count()
         self.works: dict[int, float] = {}
         self.numbers: dict[int, int] = {}  # attempts of each job so far
         self.sent: list[tuple[float, float]] = []  # when, and what work was sent to the cold worker
-        listed = tuple(i.Listed(name, "k") for name in self.workers)
-        news = i.WorkerList(i.ListScope.CHANGES, (i.Listed("w0", "k", started=STARTED),))
+        listed = tuple(Endpoint(name, "k") for name in self.workers)
+        news = EndpointListUpdate(ListScope.CHANGES, (Endpoint("w0", "k", started=STARTED),))
         self.modules = [
             Dispatcher(replace(settings, rank=rank), seed * 100 + rank) for rank in range(DISPATCHERS)
         ]
         for rank in range(DISPATCHERS):
-            self.push(0.0, rank, i.Begin())
-            self.push(0.0, rank, i.WorkerList(i.ListScope.WHOLE, listed))
+            self.push(0.0, rank, Started())
+            self.push(0.0, rank, EndpointListUpdate(ListScope.WHOLE, listed))
             self.push(TOLD, rank, news)
         self.arrivals(load * WORKERS * slots / MEAN_WORK)
 
-    def push(self, at: float, rank: int, event: i.Event | Attempt) -> None:
+    def push(self, at: float, rank: int, event: Event | Attempt) -> None:
         heapq.heappush(self.heap, (at, next(self.order), rank, event))
 
     def arrivals(self, rate: float) -> None:
@@ -111,7 +130,7 @@
             rank = self.rng.choices(range(DISPATCHERS), parts)[0]
             cls = self.rng.choice(JOB_CLASSES)
             self.works[job] = work = self.rng.expovariate(1 / MEAN_WORK)
-            self.push(at, rank, i.JobArrived(job, cls.name, cls.deadline, work_hint=work))
+            self.push(at, rank, JobArrived(job, cls.name, cls.deadline, work_hint=work))
 
     def play(self) -> None:
         while self.heap and self.heap[0][0] < END:
@@ -124,16 +143,16 @@
             for action in self.modules[rank].handle(now, event):
                 self.act(now, rank, action)
 
-    def act(self, now: float, rank: int, action: i.Action) -> None:
-        if isinstance(action, i.SetTimer):
-            self.push(now + max(BASE.tick, action.delay), rank, i.TimerFired(action.token))
-        elif isinstance(action, i.Probe):
+    def act(self, now: float, rank: int, action: Action) -> None:
+        if isinstance(action, SetTimer):
+            self.push(now + max(BASE.tick, action.delay), rank, TimerFired(action.token))
+        elif isinstance(action, PollLoad):
             report = (self.workers[action.worker].free,)
-            self.push(now + 2 * TRIP, rank, i.Probed(action.worker, i.Ending.SERVED, report))
-        elif isinstance(action, i.Send):
+            self.push(now + 2 * TRIP, rank, LoadPolled(action.worker, Ending.SERVED, report))
+        elif isinstance(action, SendAttempt):
             self.take(now, rank, action)
 
-    def take(self, now: float, rank: int, action: i.Send) -> None:
+    def take(self, now: float, rank: int, action: SendAttempt) -> None:
         """Have a worker start a job, queue it or turn it away."""
         number = self.numbers.get(action.job, 0)
         self.numbers[action.job] = number + 1
@@ -149,13 +168,15 @@
             self.push(
                 now + 2 * TRIP,
                 rank,
-                i.AttemptEnded(action.job, number, action.worker, i.Ending.FULL, report=(worker.free,)),
+                AttemptEnded(action.job, number, action.worker, Ending.FULL, report=(worker.free,)),
             )
 
     def start(self, now: float, worker: StandInWorker, attempt: Attempt) -> None:
         worker.running += 1
         self.push(
-            now + TRIP, attempt.rank, i.AttemptNoted(attempt.job, attempt.number, worker.name, started=True)
+            now + TRIP,
+            attempt.rank,
+            AttemptProgressed(attempt.job, attempt.number, worker.name, started=True),
         )
         done = now + attempt.work / worker.speed(now)
         self.push(done, attempt.rank, attempt)
@@ -169,21 +190,22 @@
         self.push(
             now + TRIP,
             attempt.rank,
-            i.AttemptEnded(
-                attempt.job, attempt.number, attempt.worker, i.Ending.SERVED, True, (worker.free,)
-            ),
+            AttemptEnded(attempt.job, attempt.number, attempt.worker, Ending.SERVED, True, (worker.free,)),
         )
 
     def most_over_allowed(self) -> float:
         """Give the largest sum of any window over what rule 4 allows there, chance included."""
-        window, worst, total, recent = BASE.push_window, 0.0, 0.0, deque[tuple[float, float]]()
+        window, worst, total, recent = BASE.slow_start_window, 0.0, 0.0, deque[tuple[float, float]]()
         for at, work in self.sent:
             recent.append((at, work))
             total += work
             while recent[0][0] <= at - window:
                 total -= recent.popleft()[1]
-            warmth = BASE.cold_share + (1 - BASE.cold_share) * (recent[0][0] - STARTED) / BASE.cold_for
-            allowed = BASE.push_multiple * self.slots * warmth * window / MEAN_WORK
+            warmth = (
+                BASE.slow_start_share
+                + (1 - BASE.slow_start_share) * (recent[0][0] - STARTED) / BASE.slow_start_duration
+            )
+            allowed = BASE.slow_start_multiple * self.slots * warmth * window / MEAN_WORK
             worst = max(worst, total / MEAN_WORK / (allowed + 2 * math.sqrt(allowed) + 2))
         return worst
 
@@ -191,7 +213,7 @@
 class ColdWorker(unittest.TestCase):
     """Sums over thirty dispatchers, most of them far from the mean traffic."""
 
-    def stays_within(self, settings: i.Settings, slots: int, load: float) -> None:
+    def stays_within(self, settings: Settings, slots: int, load: float) -> None:
         for seed in (1, 2, 3):
             with self.subTest(slots=slots, load=load, seed=seed):
                 fleet = Fleet(settings, slots, load, seed)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,16 +36,16 @@
         """Have a class that can wait for longer than the term: else its job is given up by then anyhow."""
         super().begin(workers, progress, folder, classes=[*CLASSES, PATIENT], **more)
 
-    def leave(self, cid: str, job_class: str = "album", accept: str = "*/*") -> None:
+    def leave(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> None:
         """Have a client send, be read as far as it is, and go; then more time passes than the term allows."""
-        side = self.sent(cid, job_class, accept)
+        side = self.sent(request_id, job_class, accept)
         side.sock.close()
         self.wait(GONE_FOR)
 
-    def sent(self, cid: str, job_class: str = "album", accept: str = "*/*") -> Side:
+    def sent(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> Side:
         side = self.client()
-        side.send(self.job(cid, job_class, accept=accept) + MUCH)
-        self.until(lambda: cid in self.app.engine.jobs.by_id)
+        side.send(self.job(request_id, job_class, accept=accept) + MUCH)
+        self.until(lambda: request_id in self.app.engine.jobs.by_id)
         return side
 
     def occupy(self) -> None:
@@ -182,12 +182,12 @@
         written: list[tuple[str, float]] = []
         running: list[str] = []
         for n in range(60):
-            cid = f"j{n}"
-            side = self.sent(cid, "album" if n % 2 else "deck-build")
+            request_id = f"j{n}"
+            side = self.sent(request_id, "album" if n % 2 else "deck-build")
             self.wait(20)
             if n % 3 == 2:
                 side.sock.close()
-                left[cid] = self.app.deadlines.now()
+                left[request_id] = self.app.deadlines.now()
             if len(running) > 1:  # of two in a row the first is handed back and goes on to another worker
                 attempt = self.app.engine.jobs.by_id[running[0]].attempt
                 assert attempt is not None
@@ -205,7 +205,9 @@
         self.assertEqual([], [name for name, at in written if at > left.get(name, at) + GONE_FOR])
         self.assertEqual(20, len(left))
         self.assertGreater(len(written), 15)
-        self.assertTrue([cid for cid in left if cid not in dict(written)])  # some were still waiting
+        self.assertTrue(
+            [request_id for request_id in left if request_id not in dict(written)]
+        )  # some were still waiting
 
     def test_a_client_that_stays_gets_all_its_answers(self) -> None:
         """What is read ahead is bounded, and what lies behind that is not lost."""
@@ -633,7 +635,7 @@
         self.assertEqual(
             (300.0, 2, 100.0),
             (
-                self.app.engine.settings.drain_within,
+                self.app.engine.settings.stop_sending_within,
                 module.context.settings.max_attempts,
                 self.app.workers.connect_for,
             ),
@@ -824,12 +826,12 @@
 class Connections(Loopback):
     """A worker's connection that ends, or says something, at the wrong instant."""
 
-    def served(self, cid: str = "a1") -> Side:
+    def served(self, request_id: str = "a1") -> Side:
         side = self.client()
-        side.send(self.job(cid))
-        worker = self.take(f"POST {cid}")
+        side.send(self.job(request_id))
+        worker = self.take(f"POST {request_id}")
         worker.send(http.response(202))
-        self.call_back(cid)
+        self.call_back(request_id)
         self.assertEqual(200, self.answer(side).status)
         return worker
 
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from elderstall import interface as i
+from elderstall.interface import RejectJob, SendAttempt, SetTimer, TimerFired
 from tests.driver import SAFE, UNSAFE, Driver, fleet, settings
 from tests.test_mechanism import sends
 
@@ -26,7 +26,7 @@
     d.arrive(1, UNSAFE)
     assert not d.dispatcher.in_flight.crowded(late=True)
     d.advance(100.0)
-    d.tell(i.TimerFired(99))
+    d.tell(TimerFired(99))
     assert d.dispatcher.in_flight.crowded(late=True)
     assert not d.dispatcher.in_flight.crowded()
     d.note(d.outs()[0])
@@ -83,7 +83,7 @@
     d.arrive(1, UNSAFE, work_hint=9_000.0)
     d.arrive(2, SAFE, work_hint=50.0)
     actions = d.note(d.outs()[0])
-    assert [a.job for a in actions if isinstance(a, i.Send)] == [2]
+    assert [a.job for a in actions if isinstance(a, SendAttempt)] == [2]
 
 
 def test_many_dispatchers_look_at_held_jobs_more_rarely() -> None:
@@ -92,7 +92,7 @@
     for dispatchers in (2, 100):
         d = Driver(settings(classes=(SAFE,), dispatchers=dispatchers))
         actions = d.arrive(1, SAFE)  # no worker is listed
-        looks.append(next(a.delay for a in actions if isinstance(a, i.SetTimer) and a.token == 2))
+        looks.append(next(a.delay for a in actions if isinstance(a, SetTimer) and a.token == 2))
     assert looks[1] > 2 * looks[0]
 
 
@@ -100,12 +100,12 @@
     """Guards against clients that come back at once to a full fleet; the refusal itself is not held back."""
     told = []
     for jobs in (2, 40):
-        d = Driver(settings(classes=(SAFE,), dispatchers=1, tells_start=False))
+        d = Driver(settings(classes=(SAFE,), dispatchers=1, notifies_start=False))
         d.listed(fleet(1))
         for job in range(jobs):
             d.arrive(job, SAFE, work_hint=40.0)
-        d.advance(SAFE.aim + 2 * d.dispatcher.context.mode.review_interval)
-        told.append([a.retry_after for a in d.actions if isinstance(a, i.Refuse)])
+        d.advance(SAFE.latency_objective + 2 * d.dispatcher.context.mode.review_interval)
+        told.append([a.retry_after for a in d.actions if isinstance(a, RejectJob)])
     (few, many) = told
     assert 0 < max(few) <= max(many) <= 2_000.0
     assert max(many) > min(many)
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -30,7 +30,7 @@
     write_recorded,
 )
 from benchmarks.random_events import drive
-from elderstall import interface as i
+from elderstall.interface import LogLine, RejectJob, SendAttempt, WatchEndpoints
 from tests.nights import night
 
 
@@ -79,15 +79,15 @@
     small = night(length=3_000.0)
     before, _ = play_night(small, 1, Recorder())
     assert play_night(small, 1, Recorder())[0] == before
-    original = i.Send.__init__
+    original = SendAttempt.__init__
     seen = 0
 
-    def later(self: i.Send, job: int, worker: str, time_out: float = 0.0) -> None:
+    def later(self: SendAttempt, job: int, worker: str, time_out: float = 0.0) -> None:
         nonlocal seen
         seen += 1
         original(self, job, worker, time_out + (1e-9 if seen == 20 else 0.0))
 
-    monkeypatch.setattr(i.Send, "__init__", later)
+    monkeypatch.setattr(SendAttempt, "__init__", later)
     after, _ = play_night(small, 1, Recorder())
     assert seen >= 20
     assert after.decisions != before.decisions
@@ -95,26 +95,28 @@
 
 
 def test_actions_are_written_by_canonical_names_and_exact_values() -> None:
-    assert canonical_action(i.Send(7, "w", 0.1)) == ('send job=7 time_out=0x1.999999999999ap-4 worker="w"')
-    assert canonical_action(i.Refuse(7, 200.0, "full fleet")) == (
+    assert canonical_action(SendAttempt(7, "w", 0.1)) == (
+        'send job=7 time_out=0x1.999999999999ap-4 worker="w"'
+    )
+    assert canonical_action(RejectJob(7, 200.0, "full fleet")) == (
         'refuse job=7 retry_after=0x1.9000000000000p+7 why="full fleet"'
     )
-    assert canonical_action(i.FollowList()) == "follow_list"
-    assert canonical_action(i.Log("pace 1.25, -3 jobs held")) == "log text=[1.25 -3]"
+    assert canonical_action(WatchEndpoints()) == "follow_list"
+    assert canonical_action(LogLine("pace 1.25, -3 jobs held")) == "log text=[1.25 -3]"
 
 
 def test_an_action_that_the_mapping_lacks_is_an_error() -> None:
     @dataclass(frozen=True)
-    class Send:
+    class SendAttempt:
         job: int
         worker: str
 
     with pytest.raises(UnmappedNameError, match="Send has the fields"):
-        canonical_action(Send(1, "w"))
+        canonical_action(SendAttempt(1, "w"))
     with pytest.raises(UnmappedNameError, match="ACTIONS has no int"):
         canonical_action(1)
     with pytest.raises(UnmappedNameError, match="REASONS has no"):
-        canonical_action(i.Refuse(1, 0.0, "other"))
+        canonical_action(RejectJob(1, 0.0, "other"))
 
 
 def test_an_unmapped_action_ends_the_play_although_the_engine_goes_on(
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -10,8 +10,24 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.decisions.load_shedding import KEPT, REJECTED_MOST, LoadShedding
+from elderstall.interface import (
+    AttemptEnded,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    JobArrived,
+    JobClass,
+    ListScope,
+    LoadPolled,
+    PollLoad,
+    RejectJob,
+    SendAttempt,
+    Settings,
+    Started,
+    Tenant,
+)
 from elderstall.limits.shares import CHANCE, SEEN_FOR, Shares
 
 WORTHS = st.lists(st.floats(0.01, 1_000.0), min_size=1, max_size=8)
@@ -92,7 +108,7 @@
         rng = random.Random(seed)
         fleet = [LoadShedding() for _ in range(dispatchers)]
         for p in fleet:
-            p.adopt(worth for worth, _ in classes)
+            p.adopt(priority_weight for priority_weight, _ in classes)
         whole = sum(part for _, part in classes)
         taken, full, now = [0.0] * len(classes), 0.0, 0.0
         for step in range(400):
@@ -100,16 +116,17 @@
             for p in fleet:
                 p.record(now, full=rng.random() < full)
             chances = [
-                sum(1.0 - p.rejection_probability(worth) for p in fleet) / dispatchers for worth, _ in classes
+                sum(1.0 - p.rejection_probability(priority_weight) for p in fleet) / dispatchers
+                for priority_weight, _ in classes
             ]
             let = load * sum(c * part for c, (_, part) in zip(chances, classes, strict=True)) / whole
             full += 0.2 * (min(1.0, let) - full)  # queues fill and empty within some steps
             if step >= 100:
                 taken = [t + c * min(1.0, 1.0 / let) / 300 for t, c in zip(taken, chances, strict=True)]
         mean = sum(t * part for t, (_, part) in zip(taken, classes, strict=True)) / whole
-        for (worth, _), share in zip(classes, taken, strict=True):
-            self.assertGreaterEqual(share, 0.9 * KEPT * min(1.0, 1.0 / load), (worth, taken))
-            self.assertGreaterEqual(share, 0.9 * KEPT * mean, (worth, taken))
+        for (priority_weight, _), share in zip(classes, taken, strict=True):
+            self.assertGreaterEqual(share, 0.9 * KEPT * min(1.0, 1.0 / load), (priority_weight, taken))
+            self.assertGreaterEqual(share, 0.9 * KEPT * mean, (priority_weight, taken))
         order = [t for _, t in sorted(zip((w for w, _ in classes), taken, strict=True))]
         self.assertTrue(all(a <= b + 1e-6 for a, b in zip(order, order[1:], strict=False)), order)
 
@@ -130,7 +147,7 @@
         """Every tenant at nine tenths of its share, one dispatcher at `busy` times the mean."""
         rng, shares, now = random.Random(seed), Shares(), 0.0
         quotas = {f"t{n}": part * 2.0 for n, part in enumerate(parts)}  # jobs a ms: 2,000 a second at most
-        shares.adopt([i.Tenant(name, 1_000.0 * q) for name, q in quotas.items()], dispatchers, True)
+        shares.adopt([Tenant(name, 1_000.0 * q) for name, q in quotas.items()], dispatchers, True)
         rate = 0.9 * sum(quotas.values()) * busy / dispatchers
         within = []
         for _ in range(600):
@@ -142,7 +159,7 @@
 
     def test_a_tenant_that_crowds_out_others_is_beyond_its_share_by_what_it_brings_more(self) -> None:
         rng, shares, now = random.Random(1), Shares(), 0.0
-        shares.adopt([i.Tenant("quiet", 100.0), i.Tenant("loud", 100.0)], 100, True)
+        shares.adopt([Tenant("quiet", 100.0), Tenant("loud", 100.0)], 100, True)
         within: dict[str, list[float]] = {"quiet": [], "loud": []}
         for _ in range(4_000):  # ten times the even part of all shares comes here, four fifths of it of one
             now += rng.expovariate(10 * 0.2 / 100)
@@ -154,43 +171,43 @@
     @given(st.floats(0.0, 1e6), st.integers(1, 1_024))
     def test_a_few_jobs_by_chance_are_within(self, at: float, dispatchers: int) -> None:
         shares = Shares()
-        shares.adopt([i.Tenant("t", 0.0), i.Tenant("u", 0.0)], dispatchers, True)
+        shares.adopt([Tenant("t", 0.0), Tenant("u", 0.0)], dispatchers, True)
         self.assertEqual([1.0] * int(CHANCE), [shares.within(at, "t") for _ in range(int(CHANCE))])
         self.assertEqual(1.0, shares.within(at, None))
 
     def test_purchases_at_a_busy_dispatcher_of_a_full_fleet_are_not_refused_as_beyond_shares(self) -> None:
         """The cause: three times the mean traffic, every tenant within its share, all workers full."""
         classes = (
-            i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-            i.JobClass("purchase", 10.0, 150.0, 5_000.0, i.Effect.UNSAFE, stretch=1.75),
+            JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+            JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.NOT_IDEMPOTENT, stretch=1.75),
         )
         d = Dispatcher(
-            i.Settings(
+            Settings(
                 classes,
-                tenants=(i.Tenant("a", 60.0), i.Tenant("b", 40.0)),
+                tenants=(Tenant("a", 60.0), Tenant("b", 40.0)),
                 dispatchers=200,
                 report_free_slots=0,
-                over_share_worth=0.05,
+                over_quota_weight=0.05,
                 probes=True,
                 connect_timeout=250.0,
             ),
             1,
         )
-        d.handle(0.0, i.Begin())
-        d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(f"w{n}", "k") for n in range(120))))
+        d.handle(0.0, Started())
+        d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(f"w{n}", "k") for n in range(120))))
         rng, now, refused = random.Random(2), 1_000.0, 0
         for job in range(300):  # 1.5 jobs a second where the even part of the shares is 0.5
             now += rng.expovariate(1.5 / 1_000.0)
             d.shedding.full, d.shedding.sampled_at = 0.95, now  # the workers told so just now
             tenant = rng.choices("ab", (60, 40))[0]
-            actions = d.handle(now, i.JobArrived(job, "purchase", 5_000.0, tenant, work_hint=100.0))
-            refused += sum(isinstance(a, i.Refuse) for a in actions)
+            actions = d.handle(now, JobArrived(job, "purchase", 5_000.0, tenant, work_hint=100.0))
+            refused += sum(isinstance(a, RejectJob) for a in actions)
             for a in actions:
-                if isinstance(a, i.Probe):
-                    d.handle(now + 2.0, i.Probed(a.worker, i.Ending.FULL))
+                if isinstance(a, PollLoad):
+                    d.handle(now + 2.0, LoadPolled(a.worker, Ending.FULL))
             for a in actions:
-                if isinstance(a, i.Send):
-                    d.handle(now + 50.0, i.AttemptEnded(job, 0, a.worker, i.Ending.SERVED, final=True))
+                if isinstance(a, SendAttempt):
+                    d.handle(now + 50.0, AttemptEnded(job, 0, a.worker, Ending.SERVED, final=True))
         self.assertLess(refused, 15)
 
 
@@ -203,7 +220,7 @@
     def test_it_is_what_fading_all_at_each_job_comes_to(
         self, jobs: list[tuple[int, float]], now: float
     ) -> None:
-        tenants = [i.Tenant(f"t{n}", 0.5 + n) for n in range(4)]
+        tenants = [Tenant(f"t{n}", 0.5 + n) for n in range(4)]
         shares = Shares()
         shares.adopt(tenants, 200, many=True)
         seen, at = [0.0] * 4, now
@@ -220,7 +237,7 @@
 
     def test_a_job_looks_at_no_other_tenant(self) -> None:
         shares = Shares()
-        shares.adopt([i.Tenant(f"t{n}", 1.0) for n in range(1_000)], 200, many=True)
+        shares.adopt([Tenant(f"t{n}", 1.0) for n in range(1_000)], 200, many=True)
         shares.within(1.0, "t0")
         before = dict(shares.seen)
         shares.within(5_000.0, "t1")
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from elderstall import interface as i
+from elderstall.interface import AttemptEnded, Ending, FailJob
 from tests.driver import SAFE, UNSAFE, Driver, fleet, settings
 from tests.test_mechanism import sends, serve_all
 
@@ -24,7 +24,7 @@
         for o in d.outs():
             if o.worker != hung.worker:
                 d.note(o)
-                d.end(o, i.Ending.SERVED)
+                d.end(o, Ending.SERVED)
     assert got.count(hung.worker) <= 1
 
 
@@ -63,7 +63,7 @@
         assert sends(d.arrive(job, SAFE)) == ["k0"]
         out = d.outs()[0]
         d.leave(job)
-        d.end(out, i.Ending.CANCELLED)
+        d.end(out, Ending.CANCELLED)
     assert d.dispatcher.endpoints.workers["k0"].backoff_until <= d.now
 
 
@@ -72,7 +72,7 @@
     d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1))
     d.listed(fleet(3))
     sent = sends(d.arrive(1, UNSAFE))
-    d.end(d.outs()[0], i.Ending.ERROR)
+    d.end(d.outs()[0], Ending.ERROR)
     proved = 0
     for job in range(2, 200):
         cls = UNSAFE if job % 2 else SAFE
@@ -81,7 +81,7 @@
             proved += 1
         for o in d.outs():
             d.advance(20.0)
-            d.end(o, i.Ending.SERVED)
+            d.end(o, Ending.SERVED)
     assert proved > 20
 
 
@@ -94,7 +94,7 @@
         d.arrive(job, UNSAFE)
         for o in d.outs():
             d.advance(600.0)
-            d.end(o, i.Ending.ERROR)
+            d.end(o, Ending.ERROR)
             served.add(o.worker)
     assert len(served) == 4
 
@@ -103,14 +103,14 @@
     """Guards against a busy dispatcher that holds jobs while half of each worker idles (rude+fleet, .26)."""
     most = []
     for dispatchers, free in ((2, 1.0), (2, 0.2), (8, 1.0)):
-        s = settings(classes=(UNSAFE,), dispatchers=dispatchers, tells_start=False, report_free_slots=0)
+        s = settings(classes=(UNSAFE,), dispatchers=dispatchers, notifies_start=False, report_free_slots=0)
         d = Driver(s)
         d.listed(fleet(1))
         d.arrive(0, UNSAFE)
         out = d.outs()[0]
         del d.jobs[0].out[0]
         d.jobs[0].ended = True
-        d.tell(i.AttemptEnded(0, 0, out.worker, i.Ending.SERVED, True, (free,)))
+        d.tell(AttemptEnded(0, 0, out.worker, Ending.SERVED, True, (free,)))
         for job in range(1, 6):
             d.arrive(job, UNSAFE)
         most.append(len(d.outs()))
@@ -119,14 +119,14 @@
 
 def test_half_a_fleet_that_breaks_attempts_has_the_safe_jobs_and_late_ones() -> None:
     """Guards unsafe jobs against workers that reset connections just made (wide: one exchange in three)."""
-    d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1, tells_start=False))
+    d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1, notifies_start=False))
     d.listed(fleet(4))
     for job in range(100, 160):
         d.arrive(job, SAFE if job % 2 else UNSAFE)
         for o in d.outs():
             d.advance(5.0)
             bad = o.worker in ("k0", "k1")
-            d.end(o, i.Ending.BROKEN if bad and d.jobs[o.job].sent == 1 else i.Ending.SERVED)
+            d.end(o, Ending.BROKEN if bad and d.jobs[o.job].sent == 1 else Ending.SERVED)
     assert {w.name for w in d.dispatcher.endpoints.workers.values() if w.probation} == {"k0", "k1"}
     d.advance(5_000.0)
     assert set(sends(d.arrive(1, UNSAFE)) + sends(d.arrive(2, UNSAFE))) <= {"k2", "k3"}
@@ -140,5 +140,5 @@
     d = Driver(settings(classes=(UNSAFE,), dispatchers=1))
     d.listed(fleet(1))
     d.arrive(1, UNSAFE)
-    assert i.Fail(1) in d.end(d.outs()[0], i.Ending.CUT)
+    assert FailJob(1) in d.end(d.outs()[0], Ending.STALE_CONNECTION)
     assert sends(d.arrive(2, UNSAFE)) == ["k0"]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from elderstall import Dispatcher
-from elderstall import interface as i
+from elderstall.interface import EndpointListUpdate, JobArrived, ListScope, SendAttempt
 from tests.driver import SAFE, Driver, fleet, settings
 from tests.test_mechanism import sends, serve_all
 
@@ -70,16 +70,18 @@
 def test_where_all_keepers_of_its_pool_hold_many_a_key_goes_to_another_pool_s() -> None:
     """Guards against fetches all over the fleet: each dispatcher's rotation is at another place (L60d3ed)."""
     d = Dispatcher(settings(dispatchers=50, fetch_price=0.1), 1)
-    d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(40)))
+    d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(40)))
     home, other = d.pools.pools[2], d.pools.pools[1]
     held = {w.name for w in home}
     d.handle(
         1.0,
-        i.WorkerList(
-            i.ListScope.CHANGES, tuple(replace(e, weight=0.1 if e.worker in held else 1.0) for e in fleet(40))
+        EndpointListUpdate(
+            ListScope.CHANGES, tuple(replace(e, weight=0.1 if e.worker in held else 1.0) for e in fleet(40))
         ),
     )
-    (send,) = [a for a in d.handle(2.0, i.JobArrived(1, "safe", 2_000.0, key="k")) if isinstance(a, i.Send)]
+    (send,) = [
+        a for a in d.handle(2.0, JobArrived(1, "safe", 2_000.0, key="k")) if isinstance(a, SendAttempt)
+    ]
     assert (
         send.worker in {w.name for w in d.pools.key_candidates(1, "k")}
         and d.endpoints.workers[send.worker] in other
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -10,25 +10,39 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.decisions import reserved_workers
 from elderstall.decisions.records import Job, Worker
 from elderstall.decisions.reserved_workers import ReservedWorkers, spare_time
 from elderstall.hashing import stable_hash
-from elderstall.interface import Effect, Ending
+from elderstall.interface import (
+    Actions,
+    AttemptEnded,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    JobArrived,
+    JobClass,
+    ListScope,
+    LoadPolled,
+    PollLoad,
+    SendAttempt,
+    Settings,
+    Started,
+)
 
 CLASSES = (
-    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-    i.JobClass("build", 5.0, 600.0, 15_000.0, Effect.UNSAFE, stretch=2.5),
-    i.JobClass("order", 10.0, 1_000.0, 20_000.0, Effect.UNSAFE, stretch=2.0),
-    i.JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.UNSAFE, stretch=1.75),
+    JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+    JobClass("build", 5.0, 600.0, 15_000.0, Effect.NOT_IDEMPOTENT, stretch=2.5),
+    JobClass("order", 10.0, 1_000.0, 20_000.0, Effect.NOT_IDEMPOTENT, stretch=2.0),
+    JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.NOT_IDEMPOTENT, stretch=1.75),
 )
 NAMES = [f"s-{n:04x}" for n in range(60)]
 
 
 def module(dispatchers: int = 40, rank: int = 0, names: list[str] = NAMES) -> Dispatcher:
     d = Dispatcher(
-        i.Settings(
+        Settings(
             CLASSES,
             dispatchers=dispatchers,
             rank=rank,
@@ -40,8 +54,8 @@
         ),
         rank,
     )
-    d.handle(0.0, i.Begin())
-    d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(n, "k") for n in names)))
+    d.handle(0.0, Started())
+    d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(n, "k") for n in names)))
     return d
 
 
@@ -49,12 +63,12 @@
     return {n for n in names if stable_hash(n) < 0.1 * 2**32}  # as sized before anything is seen
 
 
-def probes(actions: i.Actions) -> list[str]:
-    return [a.worker for a in actions if isinstance(a, i.Probe)]
+def probes(actions: Actions) -> list[str]:
+    return [a.worker for a in actions if isinstance(a, PollLoad)]
 
 
-def sends(actions: i.Actions) -> list[str]:
-    return [a.worker for a in actions if isinstance(a, i.Send)]
+def sends(actions: Actions) -> list[str]:
+    return [a.worker for a in actions if isinstance(a, SendAttempt)]
 
 
 class Lane(unittest.TestCase):
@@ -72,12 +86,12 @@
     def test_the_lane_is_sized_by_the_urgent_work_seen(self, part: float) -> None:
         reserved, rng = ReservedWorkers(), random.Random(1)
         reserved.adopt([200.0])
-        fleet = [Worker.of(i.Listed(f"worker-{n}")) for n in range(2_000)]
+        fleet = [Worker.of(Endpoint(f"worker-{n}")) for n in range(2_000)]
         for n in range(5_000):
-            cls = i.JobClass("c", 1.0, 100.0 if rng.random() < part else 9_000.0, 60_000.0, stretch=1.0)
+            cls = JobClass("c", 1.0, 100.0 if rng.random() < part else 9_000.0, 60_000.0, stretch=1.0)
             reserved.candidates(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
         reserved.fill(fleet)
-        cls = i.JobClass("long", 1.0, 9_000.0, 60_000.0, stretch=1.0)
+        cls = JobClass("long", 1.0, 9_000.0, 60_000.0, stretch=1.0)
         long = Job(1, cls, 1.0, 0, 1, 5_000.0, None, 0.0, 60_000.0)
         kept = sum(reserved.excludes(w, long) for w in fleet) / len(fleet)
         self.assertAlmostEqual(
@@ -100,8 +114,8 @@
 
     def test_a_purchase_asks_in_the_lane_first(self) -> None:
         d = module()
-        d.handle(0.0, i.JobArrived(0, "build", 5_000.0, work_hint=3_000.0))
-        asked = probes(d.handle(1.0, i.JobArrived(1, "purchase", 5_000.0, work_hint=100.0)))
+        d.handle(0.0, JobArrived(0, "build", 5_000.0, work_hint=3_000.0))
+        asked = probes(d.handle(1.0, JobArrived(1, "purchase", 5_000.0, work_hint=100.0)))
         self.assertTrue(asked)
         self.assertTrue(set(asked) <= lane_of(NAMES), asked)
 
@@ -109,12 +123,12 @@
         d, went = module(), {"build": list[str](), "purchase": list[str]()}
         for n in range(120):
             (cls, work), now = ("build", 1_200.0) if n % 2 else ("purchase", 100.0), 10.0 * n
-            actions = d.handle(now, i.JobArrived(n, cls, 5_000.0, work_hint=work))
+            actions = d.handle(now, JobArrived(n, cls, 5_000.0, work_hint=work))
             for name in probes(actions):
-                actions += d.handle(now + 1, i.Probed(name, Ending.SERVED, (2.0,)))
+                actions += d.handle(now + 1, LoadPolled(name, Ending.SERVED, (2.0,)))
             went[cls] += sends(actions)
             for name in sends(actions):
-                d.handle(now + 5, i.AttemptEnded(n, 0, name, Ending.SERVED, final=True))
+                d.handle(now + 5, AttemptEnded(n, 0, name, Ending.SERVED, final=True))
         self.assertEqual(60, len(went["build"]))
         self.assertFalse(set(went["build"]) & lane_of(NAMES))
         self.assertGreater(sum(name in lane_of(NAMES) for name in went["purchase"]), 50)
@@ -126,16 +140,16 @@
         st.floats(1, 20_000),
     )
     def test_only_long_jobs_with_time_to_spare_keep_out(
-        self, spares: list[float], aim: float, stretch: float, work: float
+        self, spares: list[float], latency_objective: float, stretch: float, work: float
     ) -> None:
         reserved, w = ReservedWorkers(), Worker("w", "k", None, 0, None, (0, "w"))
         reserved.adopt(spares)
         reserved.fill([w])
-        cls = i.JobClass("c", 1.0, aim, 60_000.0, stretch=stretch)
+        cls = JobClass("c", 1.0, latency_objective, 60_000.0, stretch=stretch)
         job = Job(1, cls, 1.0, 0, 1, work, None, 0.0, 60_000.0)
         if reserved.excludes(w, job):
             self.assertGreater(work, min(spares))
-            self.assertGreaterEqual(spare_time(aim, stretch, work), min(spares))
+            self.assertGreaterEqual(spare_time(latency_objective, stretch, work), min(spares))
         w.hash_order = (int(reserved.hash_limit) + 1, "w")
         self.assertFalse(reserved.excludes(w, job))
 
@@ -146,7 +160,7 @@
         reserved.workers = [Worker("w", "k", None, 0, None, (0, "w"))]
         for n in range(4_000):
             urgent = rng.random() < part
-            cls = i.JobClass("c", 1.0, 100.0 if urgent else 9_000.0, 60_000.0, stretch=1.0)
+            cls = JobClass("c", 1.0, 100.0 if urgent else 9_000.0, 60_000.0, stretch=1.0)
             job = Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0)
             asks = bool(reserved.candidates(job, rng))
             self.assertTrue(urgent or not asks)
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -11,8 +11,19 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.decisions.context import TIMER_POLL_ENDPOINTS
+from elderstall.interface import (
+    Actions,
+    Endpoint,
+    EndpointListUpdate,
+    JobClass,
+    ListScope,
+    SetTimer,
+    Settings,
+    Started,
+    TimerFired,
+    WatchEndpoints,
+)
 from elderstall.recovery import listing
 from elderstall.recovery.listing import (
     AGAIN_EACH,
@@ -27,27 +38,27 @@
     ListCalls,
 )
 
-CLASSES = (i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),)
-KNOWN = (i.Listed("w1", "k"), i.Listed("w2", "k"))
+CLASSES = (JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),)
+KNOWN = (Endpoint("w1", "k"), Endpoint("w2", "k"))
 
 
 def module(dispatchers: int, rank: int = 0, seed: int = 1) -> Dispatcher:
     return Dispatcher(
-        i.Settings(CLASSES, dispatchers=dispatchers, rank=rank, must_follow=True, ask_within=10_000.0), seed
+        Settings(CLASSES, dispatchers=dispatchers, rank=rank, watches_list=True, poll_interval=10_000.0), seed
     )
 
 
-def started(d: Dispatcher, now: float = 0.0) -> i.Actions:
+def started(d: Dispatcher, now: float = 0.0) -> Actions:
     """Begin as the core does: the start, then the list known from before."""
-    return d.handle(now, i.Begin()) + d.handle(now, i.WorkerList(i.ListScope.WHOLE, KNOWN))
+    return d.handle(now, Started()) + d.handle(now, EndpointListUpdate(ListScope.WHOLE, KNOWN))
 
 
-def follows(actions: i.Actions) -> int:
-    return sum(isinstance(a, i.FollowList) for a in actions)
+def follows(actions: Actions) -> int:
+    return sum(isinstance(a, WatchEndpoints) for a in actions)
 
 
-def asks_in(actions: i.Actions) -> list[float]:
-    return [a.delay for a in actions if isinstance(a, i.SetTimer) and a.token == TIMER_POLL_ENDPOINTS]
+def asks_in(actions: Actions) -> list[float]:
+    return [a.delay for a in actions if isinstance(a, SetTimer) and a.token == TIMER_POLL_ENDPOINTS]
 
 
 class Small(unittest.TestCase):
@@ -73,20 +84,20 @@
         self.assertEqual(0, follows(actions))
         (delay,) = asks_in(actions)
         self.assertLessEqual(delay, min(SPREAD_EACH * 40, 2_500.0))
-        self.assertEqual(1, follows(d.handle(delay, i.TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(1, follows(d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))))
 
     def test_a_timer_that_fires_a_hair_early_calls_all_the_same(self) -> None:
         """Deadlines run up to a microsecond early; a call left out then was never made."""
         d = module(40, seed=7)
         (delay,) = asks_in(started(d))
-        self.assertEqual(1, follows(d.handle(delay - 0.001, i.TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(1, follows(d.handle(delay - 0.001, TimerFired(TIMER_POLL_ENDPOINTS))))
 
     def test_an_answer_after_a_call_ends_the_plan(self) -> None:
         d = module(40, seed=7)
         (delay,) = asks_in(started(d))
-        d.handle(delay, i.TimerFired(TIMER_POLL_ENDPOINTS))
-        d.handle(delay + 5, i.WorkerList(i.ListScope.CHANGES, ()))
-        self.assertEqual(0, follows(d.handle(delay + 2_500.0, i.TimerFired(TIMER_POLL_ENDPOINTS))))
+        d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
+        d.handle(delay + 5, EndpointListUpdate(ListScope.CHANGES, ()))
+        self.assertEqual(0, follows(d.handle(delay + 2_500.0, TimerFired(TIMER_POLL_ENDPOINTS))))
 
     @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_refused_at_once_waits_double_up_to_what_the_6_s_leave(
@@ -118,11 +129,11 @@
 
     @given(st.integers(1, 1_024), st.floats(1.0, 1e6), st.integers(0, 2**32))
     def test_no_first_failure_of_any_fleet_puts_the_next_call_off_past_the_6_s(
-        self, n: int, ask_within: float, seed: int
+        self, n: int, poll_interval: float, seed: int
     ) -> None:
         rng = random.Random(seed)
         for waited_for in (0.0, 3_000.0):
-            calls = ListCalls(n, ask_within)
+            calls = ListCalls(n, poll_interval)
             self.assertLessEqual(calls.first(rng), RETRY_MOST)
             calls.call(0.0)
             self.assertLessEqual(calls.fail(rng, waited_for), RETRY_MOST)
@@ -134,13 +145,11 @@
         """Silence is noticed after 3 s and counts as told after 6: the call must go out well before."""
         d = module(n, n - 1, seed)
         (delay,) = asks_in(started(d))
-        d.handle(delay, i.TimerFired(TIMER_POLL_ENDPOINTS))
-        d.handle(delay + 5.0, i.WorkerList(i.ListScope.CHANGES, ()))
-        (again,) = asks_in(d.handle(delay + 5.0 + lived, i.WorkerList(i.ListScope.FAILED)))
+        d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
+        d.handle(delay + 5.0, EndpointListUpdate(ListScope.CHANGES, ()))
+        (again,) = asks_in(d.handle(delay + 5.0 + lived, EndpointListUpdate(ListScope.FAILED)))
         self.assertTrue(AGAIN_LEAST <= again <= BROKEN_MOST, again)
-        self.assertEqual(
-            1, follows(d.handle(delay + 5.0 + lived + again, i.TimerFired(TIMER_POLL_ENDPOINTS)))
-        )
+        self.assertEqual(1, follows(d.handle(delay + 5.0 + lived + again, TimerFired(TIMER_POLL_ENDPOINTS))))
 
     @given(st.integers(MANY + 1, 1_024), st.integers(0, 2**32), st.booleans())
     def test_a_call_that_falls_silent_before_its_first_line_is_made_anew_soon(
@@ -151,8 +160,8 @@
         (delay,) = asks_in(started(d))
         now = delay
         for _ in range(1 + again):
-            self.assertEqual(1, follows(d.handle(now, i.TimerFired(TIMER_POLL_ENDPOINTS))))
-            (delay,) = asks_in(d.handle(now + 4_000.0, i.WorkerList(i.ListScope.SILENT)))
+            self.assertEqual(1, follows(d.handle(now, TimerFired(TIMER_POLL_ENDPOINTS))))
+            (delay,) = asks_in(d.handle(now + 4_000.0, EndpointListUpdate(ListScope.SILENT)))
             self.assertTrue(AGAIN_LEAST <= delay <= 2_000.0, delay)
             now += 4_000.0 + delay
 
@@ -199,15 +208,15 @@
     queue: list[tuple[float, int, int, object]] = []
     count = 0
 
-    def act(rank: int, now: float, actions: i.Actions) -> None:
+    def act(rank: int, now: float, actions: Actions) -> None:
         nonlocal count
         for a in actions:
-            if isinstance(a, i.SetTimer) and a.token == TIMER_POLL_ENDPOINTS:
-                heapq.heappush(queue, (now + a.delay, count, rank, i.TimerFired(TIMER_POLL_ENDPOINTS)))
-            elif isinstance(a, i.FollowList):
+            if isinstance(a, SetTimer) and a.token == TIMER_POLL_ENDPOINTS:
+                heapq.heappush(queue, (now + a.delay, count, rank, TimerFired(TIMER_POLL_ENDPOINTS)))
+            elif isinstance(a, WatchEndpoints):
                 at, good = discovery.call(now)
-                scope = i.ListScope.CHANGES if good else i.ListScope.FAILED
-                heapq.heappush(queue, (at, count, rank, i.WorkerList(scope, ())))
+                scope = ListScope.CHANGES if good else ListScope.FAILED
+                heapq.heappush(queue, (at, count, rank, EndpointListUpdate(scope, ())))
             count += 1
 
     discovery, holding = Fifo(), [float("inf")] * n
@@ -215,7 +224,7 @@
         act(rank, 0.0, started(d))
     while queue and queue[0][0] < seconds * 1000:
         now, _, rank, event = heapq.heappop(queue)
-        if isinstance(event, i.WorkerList) and event.scope is i.ListScope.CHANGES:
+        if isinstance(event, EndpointListUpdate) and event.scope is ListScope.CHANGES:
             holding[rank] = min(holding[rank], now)
         act(rank, now, ds[rank].handle(now, event))  # type: ignore[arg-type]
     return holding
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,12 +7,26 @@
 import pytest
 
 from elderstall import Dispatcher
-from elderstall import interface as i
+from elderstall.interface import (
+    Actions,
+    AttemptEnded,
+    AttemptProgressed,
+    Ending,
+    EndpointListUpdate,
+    JobClass,
+    JobReleased,
+    ListScope,
+    LogLine,
+    ResponseStarted,
+    SendAttempt,
+    Tenant,
+    TimerFired,
+)
 from tests.driver import SAFE, UNSAFE, Driver, fleet, settings
 
 
-def sends(actions: i.Actions) -> list[str]:
-    return [a.worker for a in actions if isinstance(a, i.Send)]
+def sends(actions: Actions) -> list[str]:
+    return [a.worker for a in actions if isinstance(a, SendAttempt)]
 
 
 def serve_all(d: Driver, run: float = 50.0) -> None:
@@ -20,7 +34,7 @@
         d.note(o)
     d.advance(run)
     for o in d.outs():
-        d.end(o, i.Ending.SERVED)
+        d.end(o, Ending.SERVED)
 
 
 def test_pools_agree_between_instances_and_share_each_kind() -> None:
@@ -47,7 +61,7 @@
         out = d.outs()[0]
         d.note(out)
         d.advance(40.0 if out.worker.startswith("fast") else 160.0)
-        d.end(out, i.Ending.SERVED)
+        d.end(out, Ending.SERVED)
     assert tally["fast0"] > 2 * tally["slow0"]
 
 
@@ -56,7 +70,7 @@
     d.listed(fleet(2))
     d.arrive(1, SAFE)
     full = d.outs()[0].worker
-    d.end(d.outs()[0], i.Ending.FULL)
+    d.end(d.outs()[0], Ending.FULL)
     assert d.outs()[0].worker != full
     serve_all(d, 20.0)
     assert full not in sends(d.arrive(2, SAFE))
@@ -84,7 +98,7 @@
     assert not sends(d.arrive(2, SAFE, work_hint=100.0))
     assert not sends(d.arrive(3, UNSAFE, work_hint=100.0))
     actions = d.note(d.outs()[0])
-    assert [a.job for a in actions if isinstance(a, i.Send)] == [3]
+    assert [a.job for a in actions if isinstance(a, SendAttempt)] == [3]
 
 
 def test_a_late_start_keeps_us_away_for_a_while() -> None:
@@ -97,7 +111,7 @@
     d.advance(250.0)
     out = d.outs()[0]
     d.note(out)
-    assert not sends(d.end(out, i.Ending.SERVED) + d.arrive(3, UNSAFE))
+    assert not sends(d.end(out, Ending.SERVED) + d.arrive(3, UNSAFE))
     d.advance(1_000.0)
     assert d.jobs[3].sent == 1
 
@@ -114,14 +128,14 @@
     d.advance(1_500.0)
     d.arrive(3, UNSAFE)
     d.note(d.outs()[0])
-    d.end(d.outs()[0], i.Ending.SERVED)
+    d.end(d.outs()[0], Ending.SERVED)
     before = len(d.actions)
     d.advance(1_500.0)
-    assert [a.job for a in d.actions[before:] if isinstance(a, i.Send)][0] == 3
+    assert [a.job for a in d.actions[before:] if isinstance(a, SendAttempt)][0] == 3
 
 
 def test_a_class_bound_to_a_kind_goes_only_there() -> None:
-    bound = i.JobClass("bound", 1.0, 100.0, 1_000.0, kind="b")
+    bound = JobClass("bound", 1.0, 100.0, 1_000.0, kind="b")
     d = Driver(settings(classes=(bound, SAFE)))
     d.listed(fleet(4, "a") + fleet(1, "b"))
     for job in range(5):
@@ -131,7 +145,7 @@
 
 
 def test_an_over_share_tenant_s_work_falls_to_a_lower_tier() -> None:
-    d = Driver(settings(classes=(SAFE,), tenants=(i.Tenant("t", 4.0),)))
+    d = Driver(settings(classes=(SAFE,), tenants=(Tenant("t", 4.0),)))
     d.listed(fleet(9))
     for job in range(20):
         d.arrive(job, SAFE, tenant="t")
@@ -166,7 +180,7 @@
     assert random_day(7, settings()).actions == random_day(7, settings()).actions
 
 
-NO_EFFECT = i.JobClass("x", 1, 1, 1, "odd")  # type: ignore[arg-type]
+NO_EFFECT = JobClass("x", 1, 1, 1, "odd")  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -174,17 +188,17 @@
     [
         ("classes", ()),
         ("dispatchers", 0),
-        ("ask_within", -1.0),
-        ("cold_share", 0.0),
+        ("poll_interval", -1.0),
+        ("slow_start_share", 0.0),
         ("max_attempts", 0),
         ("classes", (SAFE, SAFE)),
-        ("tenants", (i.Tenant("t", -1.0),)),
+        ("tenants", (Tenant("t", -1.0),)),
         ("classes", (NO_EFFECT,)),
-        ("classes", (i.JobClass("x", -1, 1, 1),)),
+        ("classes", (JobClass("x", -1, 1, 1),)),
     ],
 )
 def test_settings_without_sense_raise_and_name_the_field(field: str, value: object) -> None:
-    names = {"tenants": "quota_per_s"}
+    names = {"tenants": "quota_per_s", "poll_interval": "ask_within", "slow_start_share": "cold_share"}
     with pytest.raises(ValueError, match=f"{names.get(field, field)}|effect|worth"):
         settings(**{field: value})
 
@@ -192,18 +206,18 @@
 def test_unknown_ids_are_ignored() -> None:
     d = Dispatcher(settings(), 1)
     for event in (
-        i.AttemptEnded(9, 0, "w", i.Ending.SERVED),
-        i.AttemptNoted(9, 0, "w"),
-        i.JobLeft(9),
-        i.TimerFired(77),
-        i.AnswerBegan(9, 0, "w"),
+        AttemptEnded(9, 0, "w", Ending.SERVED),
+        AttemptProgressed(9, 0, "w"),
+        JobReleased(9),
+        TimerFired(77),
+        ResponseStarted(9, 0, "w"),
     ):
         assert d.handle(1.0, event) == []
 
 
 def test_own_zone_comes_first_where_crossing_costs() -> None:
     for price, zones in ((0.03, {"a"}), (0.0, {"a", "b"})):
-        d = Driver(settings(classes=(SAFE,), crossing_price=price))
+        d = Driver(settings(classes=(SAFE,), cross_zone_price=price))
         d.listed(fleet(8))
         for job in range(12):
             d.arrive(job, SAFE)
@@ -227,10 +241,10 @@
 
 
 def test_the_log_tells_of_a_list_out_of_reach() -> None:
-    d = Driver(settings(classes=(SAFE,), dispatchers=1, must_follow=True))
+    d = Driver(settings(classes=(SAFE,), dispatchers=1, watches_list=True))
     d.listed(fleet(2))
-    d.tell(i.WorkerList(i.ListScope.FAILED))
+    d.tell(EndpointListUpdate(ListScope.FAILED))
     d.advance(2_000.0)
-    said = [a.text for a in d.actions if isinstance(a, i.Log)]
+    said = [a.text for a in d.actions if isinstance(a, LogLine)]
     assert sum("out of reach" in text for text in said) == 1
     assert any("our part" in text for text in said)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,8 +6,16 @@
 from collections import Counter
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.decisions.rotation import Rotation
+from elderstall.interface import (
+    EndpointListUpdate,
+    JobArrived,
+    ListScope,
+    SendAttempt,
+    Started,
+    Tenant,
+    TimerFired,
+)
 from tests.driver import KEYED, SAFE, Driver, fleet, settings
 
 
@@ -17,11 +25,11 @@
     for rank in range(dispatchers):
         s = settings(classes=(SAFE,), dispatchers=dispatchers, rank=rank)
         d = Dispatcher(s, 1000 + rank)
-        d.handle(0.0, i.Begin())
-        d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(workers)))
+        d.handle(0.0, Started())
+        d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(workers)))
         for job in range(jobs):
-            actions = d.handle(1.0, i.JobArrived(job, "safe", 2_000.0))
-            count.update(a.worker for a in actions if isinstance(a, i.Send))
+            actions = d.handle(1.0, JobArrived(job, "safe", 2_000.0))
+            count.update(a.worker for a in actions if isinstance(a, SendAttempt))
     return count
 
 
@@ -36,13 +44,19 @@
     """Guards against cold workers left idle until warm, and guards rule 4, by many light dispatchers."""
     sent: Counter[str] = Counter()
     for rank in range(100):
-        s = settings(classes=(SAFE,), dispatchers=100, rank=rank, cold_for=8_000.0, push_window=2_000.0)
+        s = settings(
+            classes=(SAFE,),
+            dispatchers=100,
+            rank=rank,
+            slow_start_duration=8_000.0,
+            slow_start_window=2_000.0,
+        )
         d = Dispatcher(s, rank)
-        d.handle(0.0, i.Begin())
-        d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(40, started=-1_000.0)))
+        d.handle(0.0, Started())
+        d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(40, started=-1_000.0)))
         for job in range(10):
-            d.handle(1.0, i.JobArrived(job, "safe", 2_000.0))
-        d.handle(1.0, i.TimerFired(2))
+            d.handle(1.0, JobArrived(job, "safe", 2_000.0))
+        d.handle(1.0, TimerFired(2))
         for w in d.endpoints.workers.values():
             sent[w.name] += sum(work for _, work in w.warm_up_sends)  # type: ignore[assignment]
     w = d.endpoints.workers["k0"]
@@ -71,10 +85,10 @@
 
 def test_a_cold_worker_ranks_as_our_own_in_the_window_of_our_turn() -> None:
     """Guards against a fleet renewed by a deploy that stands idle while the old workers queue."""
-    d = Dispatcher(settings(classes=(SAFE,), dispatchers=100, rank=3, cold_for=8_000.0), 1)
-    d.handle(0.0, i.Begin())
-    d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(60, "warm") + fleet(60, "cold", started=-500.0)))
-    d.handle(1.0, i.JobArrived(1, "safe", 2_000.0))
+    d = Dispatcher(settings(classes=(SAFE,), dispatchers=100, rank=3, slow_start_duration=8_000.0), 1)
+    d.handle(0.0, Started())
+    d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(60, "warm") + fleet(60, "cold", started=-500.0)))
+    d.handle(1.0, JobArrived(1, "safe", 2_000.0))
     cold = [w for w in d.endpoints.workers.values() if w.kind == "cold" and not w.slot_share]
     rotation = Rotation()
     rotation.fill(cold, {w.name: d.pools.rotation_group(w) for w in cold})
@@ -88,15 +102,15 @@
     d.listed(fleet(50))
     own = sum(w.slot_share > 0 for w in d.dispatcher.endpoints.workers.values())
     assert own < 10
-    sent = [len([a for a in d.arrive(job, SAFE) if isinstance(a, i.Send)]) for job in range(own + 1)]
+    sent = [len([a for a in d.arrive(job, SAFE) if isinstance(a, SendAttempt)]) for job in range(own + 1)]
     assert sum(sent) > own  # nothing is overdue yet
     d.advance(40.0)
-    assert not [a for a in d.arrive(99, SAFE) if isinstance(a, i.Send)]
+    assert not [a for a in d.arrive(99, SAFE) if isinstance(a, SendAttempt)]
 
 
 def test_chance_bursts_of_a_light_dispatcher_are_within_a_share() -> None:
     """Guards against chance bursts at a light dispatcher, taken for work over a share (L60d3ed)."""
-    tenants = (i.Tenant("t", 50.0), i.Tenant("u", 50.0))
+    tenants = (Tenant("t", 50.0), Tenant("u", 50.0))
     d, rng = Dispatcher(settings(classes=(SAFE,), dispatchers=100, tenants=tenants), 1), random.Random(1)
     now, within = 0.0, 0.0
     for _ in range(400):  # four fifths of the share, as it comes to one of a hundred
@@ -112,9 +126,9 @@
 
 def test_pools_of_many_dispatchers_start_with_the_tiers_that_work_in_shares_uses() -> None:
     """Guards against a third of the fleet kept for work over shares while light dispatchers cannot solve."""
-    tenants = (i.Tenant("t", 50.0),)
+    tenants = (Tenant("t", 50.0),)
     for dispatchers, least in ((100, 1), (2, 10)):
         d = Dispatcher(settings(dispatchers=dispatchers, tenants=tenants, classes=(SAFE, KEYED)), 1)
-        d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, fleet(31)))
+        d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(31)))
         assert sum(d.pools.policy.sizes) == 31
         assert d.pools.policy.sizes[2] == least and min(d.pools.policy.sizes[:2]) >= 10
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -39,13 +39,13 @@
 class Trouble(Loopback):
     """What is common."""
 
-    def served(self, cid: str, job_class: str = "deck-fetch", side: Side | None = None) -> Side:
+    def served(self, request_id: str, job_class: str = "deck-fetch", side: Side | None = None) -> Side:
         """Have a job served; gives its worker's connection."""
         side = side or self.client()
-        side.send(self.job(cid, job_class))
-        worker = self.take(f"POST {cid}")
+        side.send(self.job(request_id, job_class))
+        worker = self.take(f"POST {request_id}")
         worker.send(http.response(202))
-        self.call_back(cid, worker=self.name(worker))
+        self.call_back(request_id, worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
         return worker
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -147,26 +147,26 @@
     def work(self, line: Line) -> None:
         while True:
             message = line.read()
-            cid = message.headers.get("X-Call-Id") or message.target
-            self.calls.append(f"{message.method} {cid}")
+            request_id = message.headers.get("X-Call-Id") or message.target
+            self.calls.append(f"{message.method} {request_id}")
             if self.streams:
                 head = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
                 line.sock.sendall(http.head_of("HTTP/1.1 200 OK", head))
                 line.sock.sendall(http.chunk(b'event: progress\ndata: {"share":0.5}\n\n'))
-                if cid == "drop":
+                if request_id == "drop":
                     raise EOFError
-                if cid == "stall":
+                if request_id == "stall":
                     line.read()
                 line.sock.sendall(http.chunk(b"event: result\ndata: a deck\n\n") + http.chunk(b""))
                 continue
             line.sock.sendall(http.response(202))
-            if cid == "held":
+            if request_id == "held":
                 self.seen.set()
-            if message.method == "POST" and cid not in ("held", "never"):
-                self.call_back(cid)
+            if message.method == "POST" and request_id not in ("held", "never"):
+                self.call_back(request_id)
 
-    def call_back(self, cid: str) -> None:
-        call = {"id": cid, "from": "w1", "state": "done", "result": f"deck {cid}"}
+    def call_back(self, request_id: str) -> None:
+        call = {"id": request_id, "from": "w1", "state": "done", "result": f"deck {request_id}"}
         answer = self.ask(http.request("POST", "/callback", "x", (), json.dumps(call).encode()))
         assert answer.status == 204, answer.status
 
@@ -189,10 +189,10 @@
             return line.read()
 
     def job(
-        self, cid: str, job_class: str = "deck-fetch", budget: int = 20_000, *more: tuple[str, str]
+        self, request_id: str, job_class: str = "deck-fetch", budget: int = 20_000, *more: tuple[str, str]
     ) -> bytes:
         fields = [
-            ("X-Call-Id", cid),
+            ("X-Call-Id", request_id),
             ("X-Call-Class", job_class),
             ("X-Caller", "norte"),
             ("X-Budget-Ms", str(budget)),
@@ -208,10 +208,10 @@
         self.begin()
         self.assertEqual(200, self.ask(http.request("GET", "/up", "x")).status)
         line = self.connect()
-        for cid in ("a1", "a2", "a3"):
-            line.sock.sendall(self.job(cid))
+        for request_id in ("a1", "a2", "a3"):
+            line.sock.sendall(self.job(request_id))
             answer = line.read()
-            self.assertEqual((200, f"deck {cid}".encode()), (answer.status, answer.body))
+            self.assertEqual((200, f"deck {request_id}".encode()), (answer.status, answer.body))
         line.sock.sendall(self.job("held", "deck-build"))
         self.assertTrue(self.seen.wait(PATIENCE))
         self.program.send_signal(signal.SIGTERM)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -6,7 +6,7 @@
 from hypothesis import settings as tune
 from hypothesis import strategies as st
 
-from elderstall import interface as i
+from elderstall.interface import AttemptProgressed, Event, ResponseStarted
 from elderstall.net.sse import EventParser, ServerEvent, share_of, written
 from tests.scenario import Scenario, World
 
@@ -22,7 +22,7 @@
 
     def test_progress_reaches_client_and_module_and_one_result_closes(self) -> None:
         self.begin()
-        engine, seen = self.world.app.engine, list[i.Event]()
+        engine, seen = self.world.app.engine, list[Event]()
         handle = engine.decisions.handle
         engine.decisions.handle = lambda now, e: (seen.append(e), handle(now, e))[1]  # type: ignore
         self.play(f"""
@@ -45,8 +45,8 @@
             w send event result plain
             c expect 200 plain
         """)
-        self.assertIn(0.4, [e.share for e in seen if isinstance(e, i.AttemptNoted)])
-        self.assertFalse([e for e in seen if isinstance(e, i.AnswerBegan)])
+        self.assertIn(0.4, [e.share for e in seen if isinstance(e, AttemptProgressed)])
+        self.assertFalse([e for e in seen if isinstance(e, ResponseStarted)])
 
     def test_a_worker_that_calls_back_serves_too(self) -> None:
         self.play(f"""
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -8,17 +8,29 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.decisions.capacity import OWN_JOBS_MOST
 from elderstall.decisions.polling import POLLED_FOR_QUEUED
+from elderstall.interface import (
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    JobArrived,
+    JobClass,
+    ListScope,
+    LoadPolled,
+    PollLoad,
+    SendAttempt,
+    Settings,
+    Started,
+)
 from elderstall.settings import settings_of
 
-CLASSES = (i.JobClass("build", 3.0, 300.0, 5_000.0, stretch=1.75),)
+CLASSES = (JobClass("build", 3.0, 300.0, 5_000.0, stretch=1.75),)
 
 
 def module(workers: int, pulled: bool = True, dispatchers: int = 2) -> Dispatcher:
     d = Dispatcher(
-        i.Settings(
+        Settings(
             CLASSES,
             dispatchers=dispatchers,
             max_attempts=6,
@@ -30,8 +42,8 @@
         ),
         1,
     )
-    d.handle(0.0, i.Begin())
-    d.handle(0.0, i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(f"w{n}", "k") for n in range(workers))))
+    d.handle(0.0, Started())
+    d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(f"w{n}", "k") for n in range(workers))))
     return d
 
 
@@ -39,15 +51,15 @@
     """Bring jobs at one moment and answer what is asked; give how many went out, and the questions."""
     sent = probes = 0
     for job in range(jobs):
-        todo = d.handle(now, i.JobArrived(job, "build", 5_000.0, work_hint=400.0))
+        todo = d.handle(now, JobArrived(job, "build", 5_000.0, work_hint=400.0))
         while todo:
             action = todo.pop(0)
-            if isinstance(action, i.Send):
+            if isinstance(action, SendAttempt):
                 sent += 1
-            elif isinstance(action, i.Probe):
+            elif isinstance(action, PollLoad):
                 probes += 1
                 if free is not None:
-                    todo += d.handle(now, i.Probed(action.worker, i.Ending.SERVED, (free,)))
+                    todo += d.handle(now, LoadPolled(action.worker, Ending.SERVED, (free,)))
     return sent, probes
 
 
--- a/tests/test_rehearsal_night.py
+++ b/tests/test_rehearsal_night.py
@@ -15,13 +15,13 @@
 from hypothesis import settings as trials
 from hypothesis import strategies as st
 
-from elderstall import interface as i
 from elderstall.engine import Engine
 from elderstall.engine.answers import Answers
 from elderstall.engine.attempts import Attempts
 from elderstall.engine.endpoint_feed import EndpointFeed
 from elderstall.engine.rules import Rules
-from elderstall.messages import Outcome, Refused
+from elderstall.interface import Effect, Ending, Endpoint, JobClass
+from elderstall.messages import Outcome, Rejected
 from elderstall.rehearsal import script as s
 from elderstall.rehearsal.audit import KEPT, lines_of
 from elderstall.rehearsal.clients import Request, Try
@@ -171,7 +171,7 @@
 def test_a_worker_falls_over_with_unsafe_jobs_in_it() -> None:
     world = World(night(), 1)
 
-    def renew() -> None:
+    def drop_idle() -> None:
         world.machines["w-1"].die()
         world.machines["w-1"].start()
 
@@ -181,7 +181,7 @@
         machine.model.sent.append((world.loop.now, 1e6, False))
         machine.model.pushed += 1e6
 
-    world.loop.at(4_000.0, renew)
+    world.loop.at(4_000.0, drop_idle)
     world.loop.at(4_600.0, push)
     figures = world.play()
     conserved(figures, world)
@@ -209,7 +209,7 @@
 
 def test_lost_safe_work_goes_on_from_what_was_saved() -> None:
     """A long safe job whose worker dies late ends sooner than its work would take anew."""
-    long = s.ClassLoad(i.JobClass("long", 1.0, 9_000.0, 20_000.0), 1.0, 4_000.0)
+    long = s.ClassLoad(JobClass("long", 1.0, 9_000.0, 20_000.0), 1.0, 4_000.0)
     figures, world = played(
         Trouble("restart", 3_000.0, 500.0, workers=("w-0",)),
         classes=(long,),
@@ -335,7 +335,7 @@
 
     def forgetful(self: Attempts, a: Any, outcome: Outcome) -> None:
         """Take a failure for proof that the job never ran."""
-        ended(self, a, Outcome(i.Ending.FULL) if outcome.ending is i.Ending.ERROR else outcome)
+        ended(self, a, Outcome(Ending.FULL) if outcome.ending is Ending.ERROR else outcome)
 
     monkeypatch.setattr(Attempts, "_ended", forgetful)
     found = broken(World(night(Trouble("fail", 2_000.0, 6_000.0, chance=0.5)), 1))
@@ -356,7 +356,7 @@
     monkeypatch.setattr(EndpointFeed, "take", lambda self, scope, entries=(): None)
     listed = Engine.start
 
-    def start(self: Engine, known: tuple[i.Listed, ...], learned: Any = None) -> None:
+    def start(self: Engine, known: tuple[Endpoint, ...], learned: Any = None) -> None:
         monkeypatch.undo()
         listed(self, known, learned)
         self.endpoints.take = lambda scope, entries=(): None  # type: ignore[method-assign]
@@ -392,18 +392,18 @@
     process = world.stations[0].process
     assert process is not None
     job = next(
-        j for j in process.engine.jobs.live if j.attempt is not None and j.cls.effect is i.Effect.UNSAFE
+        j for j in process.engine.jobs.live if j.attempt is not None and j.cls.effect is Effect.NOT_IDEMPOTENT
     )
     other = next(name for name in world.machines if name != job.attempt.worker)  # type: ignore[union-attr]
     process.wire.send(
         other, job.request, process.deadlines.now() + 100.0, lambda share, text: None, lambda: None
     )
-    process.engine.answers.close(job, Refused())
+    process.engine.answers.close(job, Rejected())
     found = [b.what for b in world.audit.broken]
     assert any("second copy" in what for what in found) and any(
         "refused, but it may have run" in what for what in found
     )
-    assert any("sent to" in line for line in lines_of(job.request.parcel.request))  # type: ignore[attr-defined]
+    assert any("sent to" in line for line in lines_of(job.request.original.request))  # type: ignore[attr-defined]
 
 
 def test_playing_twice_in_one_process_gives_the_same() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,18 +7,29 @@
 from hypothesis import settings as tune
 from hypothesis import strategies as st
 
-from elderstall import interface as i
+from elderstall.interface import (
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    FailJob,
+    JobClass,
+    ListScope,
+    RejectJob,
+    SendAttempt,
+    WatchEndpoints,
+    WorkerState,
+)
 from tests.driver import KEYED, KEYED_ALL, SAFE, UNSAFE, Driver, fleet, random_day, settings
 
 
 @tune(max_examples=150, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 2**32), follow=st.booleans(), starts=st.booleans())
 def test_rules_hold_under_random_events(seed: int, follow: bool, starts: bool) -> None:
-    random_day(seed, settings(must_follow=follow, tells_start=starts))
+    random_day(seed, settings(watches_list=follow, notifies_start=starts))
 
 
 @pytest.mark.parametrize("cls", [SAFE, KEYED, KEYED_ALL, UNSAFE])
-def test_rule1_no_workers_known_still_gets_one_answer(cls: i.JobClass) -> None:
+def test_rule1_no_workers_known_still_gets_one_answer(cls: JobClass) -> None:
     d = Driver(settings())
     d.arrive(1, cls)
     d.advance(10_000)
@@ -39,7 +50,7 @@
     d.listed(fleet(1))
     d.arrive(1, UNSAFE)
     d.advance(10_000)
-    assert i.Fail(1) in d.actions
+    assert FailJob(1) in d.actions
 
 
 def test_rule1_nothing_goes_out_after_the_client_left() -> None:
@@ -48,16 +59,16 @@
     d.leave(1)
     d.listed(fleet(3))
     d.advance(10_000)
-    assert not any(isinstance(a, i.Send) for a in d.actions)
+    assert not any(isinstance(a, SendAttempt) for a in d.actions)
 
 
 def test_rule2_unsafe_is_sent_again_only_if_it_never_ran() -> None:
     d = Driver(settings())
     d.listed(fleet(3))
     d.arrive(1, UNSAFE)
-    d.end(d.outs()[0], i.Ending.FULL)
+    d.end(d.outs()[0], Ending.FULL)
     assert d.jobs[1].sent == 2
-    assert i.Fail(1) in d.end(d.outs()[0], i.Ending.ERROR)
+    assert FailJob(1) in d.end(d.outs()[0], Ending.ERROR)
 
 
 def test_rule2_keyed_goes_on_only_inside_its_cell() -> None:
@@ -65,7 +76,7 @@
     d.listed(fleet(6))
     d.arrive(1, KEYED)
     first = d.outs()[0].worker
-    d.end(d.outs()[0], i.Ending.ERROR)
+    d.end(d.outs()[0], Ending.ERROR)
     d.advance(600.0)  # the one worker that it may go to is skipped for a while
     assert d.listing[d.outs()[0].worker].cell == d.listing[first].cell
     assert d.jobs[1].sent == 2
@@ -75,28 +86,28 @@
     d = Driver(settings())
     d.listed(fleet(6))
     d.arrive(1, KEYED)
-    d.advance(KEYED.memory_span)
-    d.end(d.outs()[0], i.Ending.BROKEN)
+    d.advance(KEYED.deduplication_window)
+    d.end(d.outs()[0], Ending.BROKEN)
     assert d.jobs[1].sent == 1
     d.advance(10_000)
-    assert i.Fail(1) in d.actions
+    assert FailJob(1) in d.actions
 
 
 def test_rule2_keyed_everywhere_may_be_refused() -> None:
     d = Driver(settings(max_attempts=1))
     d.listed(fleet(2))
     d.arrive(1, KEYED_ALL)
-    assert any(isinstance(a, i.Refuse) and a.job == 1 for a in d.end(d.outs()[0], i.Ending.ERROR))
+    assert any(isinstance(a, RejectJob) and a.job == 1 for a in d.end(d.outs()[0], Ending.ERROR))
 
 
-@pytest.mark.parametrize("state", [i.WorkerState.DRAINING, i.WorkerState.GONE])
-def test_rule3_a_draining_worker_gets_nothing(state: i.WorkerState) -> None:
+@pytest.mark.parametrize("state", [WorkerState.DRAINING, WorkerState.GONE])
+def test_rule3_a_draining_worker_gets_nothing(state: WorkerState) -> None:
     d = Driver(settings())
     d.listed(fleet(1))
-    d.listed((i.Listed("k0", "k", "a", 0, None, state),), i.ListScope.CHANGES)
+    d.listed((Endpoint("k0", "k", "a", 0, None, state),), ListScope.CHANGES)
     d.arrive(1, SAFE)
     d.advance(5_000)
-    assert not any(isinstance(a, i.Send) for a in d.actions)
+    assert not any(isinstance(a, SendAttempt) for a in d.actions)
 
 
 def test_rule3_a_whole_list_that_drops_a_worker_ends_sends_to_it() -> None:
@@ -105,23 +116,23 @@
     d.listed(fleet(1))
     for job in range(9):
         d.arrive(job, SAFE)
-    assert {a.worker for a in d.actions if isinstance(a, i.Send)} == {"k0"}
+    assert {a.worker for a in d.actions if isinstance(a, SendAttempt)} == {"k0"}
 
 
 def test_rule3_a_failing_list_is_asked_again_within_the_deemed_time() -> None:
-    d = Driver(settings(must_follow=True))
+    d = Driver(settings(watches_list=True))
     d.listed(fleet(2))
     asked = []
-    d.tell(i.WorkerList(i.ListScope.FAILED))
+    d.tell(EndpointListUpdate(ListScope.FAILED))
     for _ in range(400):
         before = len(d.actions)
         d.advance(100.0)
-        if any(isinstance(a, i.FollowList) for a in d.actions[before:]):
+        if any(isinstance(a, WatchEndpoints) for a in d.actions[before:]):
             asked.append(d.now)
-            d.tell(i.WorkerList(i.ListScope.FAILED))
+            d.tell(EndpointListUpdate(ListScope.FAILED))
     gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
     assert len(asked) > 10
-    assert max(gaps) <= d.s.ask_within / 2
+    assert max(gaps) <= d.s.poll_interval / 2
 
 
 @pytest.mark.parametrize("dispatchers", [1, 3])
@@ -132,16 +143,16 @@
     for rank in range(dispatchers):
         d = Driver(s, rank)
         d.listed(fleet(1, started=d.now))
-        for job in range(int(s.push_window / 10)):
+        for job in range(int(s.slow_start_window / 10)):
             d.arrive(job, SAFE, work_hint=100.0)
             d.advance(10.0)
             for o in d.outs():
                 d.note(o)
-                d.end(o, i.Ending.FULL if o.number else i.Ending.SERVED)
-        total += 100.0 * sum(isinstance(a, i.Send) for a in d.actions)
+                d.end(o, Ending.FULL if o.number else Ending.SERVED)
+        total += 100.0 * sum(isinstance(a, SendAttempt) for a in d.actions)
     w = d.dispatcher.endpoints.workers["k0"]
     assert total > 0
-    assert total <= s.push_multiple * w.slots * w.speed * s.push_window
+    assert total <= s.slow_start_multiple * w.slots * w.speed * s.slow_start_window
 
 
 def test_rule4_a_restart_under_the_same_name_is_cold_again() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,8 +19,8 @@
 from benchmarks.scale.fleets import EPOCH, entry, list_text, replacements
 from benchmarks.scale.hollow import HollowDispatcher, settings_of
 from benchmarks.scale.measures import Size, churned, dispatcher_of
-from elderstall import interface as i
 from elderstall.decisions.records import Worker
+from elderstall.interface import Actions, EndpointListUpdate, Event, ListScope, WorkerState
 from elderstall.routing.subset import SLACK, SUBSET_LEAST
 from elderstall.routing.view import GONE_LEAST, GONE_PART
 
@@ -32,17 +32,17 @@
 
     def setUp(self) -> None:
         self.dispatcher = dispatcher_of(Size(WORKERS, 60))
-        self.events: list[i.Event] = []
+        self.events: list[Event] = []
         handle = self.dispatcher.engine.decisions.handle
 
-        def noted(now: float, event: i.Event) -> i.Actions:
+        def noted(now: float, event: Event) -> Actions:
             self.events.append(event)
             return handle(now, event)
 
         self.dispatcher.engine.decisions.handle = noted  # type: ignore[method-assign]
 
     def entries_told(self) -> int:
-        return sum(len(e.entries) for e in self.events if isinstance(e, i.WorkerList))
+        return sum(len(e.entries) for e in self.events if isinstance(e, EndpointListUpdate))
 
     def number_of(self, name: str) -> int:
         return next(n for n in range(WORKERS) if entry(n).worker == name)
@@ -52,14 +52,14 @@
         assert subset is not None
         far = [w for w in self.dispatcher.outside() if not any(arc.covers(w) for arc in subset.arcs())]
         for name in far[:30]:
-            self.dispatcher.change(entry(self.number_of(name), i.WorkerState.DRAINING))
+            self.dispatcher.change(entry(self.number_of(name), WorkerState.DRAINING))
         self.assertEqual([], self.events)
 
     def test_one_inside_tells_of_the_worker_and_its_successor_alone(self) -> None:
         for name in self.dispatcher.members[:10]:
             self.dispatcher.idle(1_000.0)
             self.events.clear()
-            self.dispatcher.change(entry(self.number_of(name), i.WorkerState.GONE))
+            self.dispatcher.change(entry(self.number_of(name), WorkerState.GONE))
             self.assertEqual(2, self.entries_told())
 
     def test_the_same_at_a_fleet_twice_as_large(self) -> None:
@@ -77,11 +77,11 @@
             dispatcher.load(100, 40.0)
             cold = [replace(entry(workers + n), started=EPOCH + dispatcher.loop.now) for n in range(3)]
             for n, joining in enumerate(cold, 1):
-                dispatcher.engine.endpoints.take(i.ListScope.CHANGES, (entry(n, i.WorkerState.GONE), joining))
+                dispatcher.engine.endpoints.take(ListScope.CHANGES, (entry(n, WorkerState.GONE), joining))
             with patch.object(Worker, "warmth", autospec=True, side_effect=Worker.warmth) as warmth:
-                dispatcher.change(entry(9, i.WorkerState.GONE))
+                dispatcher.change(entry(9, WorkerState.GONE))
                 for name in dispatcher.members[:1]:
-                    dispatcher.change(entry(self.number_of(name, workers), i.WorkerState.GONE))
+                    dispatcher.change(entry(self.number_of(name, workers), WorkerState.GONE))
             self.assertLessEqual(len({call.args[0].name for call in warmth.call_args_list}), len(cold))
 
     def number_of(self, name: str, workers: int) -> int:
@@ -96,8 +96,8 @@
         for second in range(25):
             dispatcher.load(40, 40.0)
             joining = replace(entry(workers + second), started=EPOCH + dispatcher.loop.now)
-            leaving = entry(7 * second, i.WorkerState.GONE)
-            dispatcher.engine.endpoints.take(i.ListScope.CHANGES, (leaving, joining))
+            leaving = entry(7 * second, WorkerState.GONE)
+            dispatcher.engine.endpoints.take(ListScope.CHANGES, (leaving, joining))
         return len(dispatcher.carrier.reached)
 
     def test_jobs_reach_no_more_than_twice_the_workers_of_a_usual_fleet(self) -> None:
@@ -163,7 +163,7 @@
     def test_churn_replaces_workers_one_for_one(self) -> None:
         changes = Counter(e.state for _, e in replacements(500, 1.0, random.Random(1)))
         self.assertEqual(1, len(set(changes.values())))
-        self.assertAlmostEqual(8_240 * 500 / 23_000, changes[i.WorkerState.UP], delta=2)
+        self.assertAlmostEqual(8_240 * 500 / 23_000, changes[WorkerState.UP], delta=2)
 
 
 class Plays(unittest.TestCase):
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -25,11 +25,11 @@
     def begin(self, workers: int = 2, **more: Any) -> None:  # type: ignore[override]
         super().begin(workers, classes=[*CLASSES, WAITING], **more)
 
-    def out(self, cid: str = "a1", job_class: str = "thumbs") -> tuple[Side, Side]:
+    def out(self, request_id: str = "a1", job_class: str = "thumbs") -> tuple[Side, Side]:
         """Give a client and the worker's connection that its job came over."""
         side = self.client()
-        side.send(self.job(cid, job_class))
-        return side, self.take(f"POST {cid}")
+        side.send(self.job(request_id, job_class))
+        return side, self.take(f"POST {request_id}")
 
     def kept(self, workers: int = 2) -> None:
         """Have a connection kept to each worker: an attempt is then written in the turn that decides it."""
@@ -45,41 +45,41 @@
         ports = [sock.getsockname()[1] for sock in self.listeners]
         return f"w{ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def at_most_one(self, first: Side, cid: str = "a1", turns: int = 40) -> Side:
+    def at_most_one(self, first: Side, request_id: str = "a1", turns: int = 40) -> Side:
         """See that the next attempt comes only when the first connection has ended; give the next one's."""
         for _ in range(turns):
             reactor.iterate(0)
-            if f"POST {cid}" in [name for name, _ in self.came()]:
+            if f"POST {request_id}" in [name for name, _ in self.came()]:
                 first.read()
                 self.assertTrue(first.ended, "a second copy came while the first connection was open")
-                return self.take(f"POST {cid}")
+                return self.take(f"POST {request_id}")
         return self.fail(f"no second attempt; {self.lines}")
 
     def in_the_reactor(self, ms: float) -> None:
         """Let time pass in the reactor's own turn, as it does in the program: timers first, sockets after."""
         reactor.callLater(0, self.jump, ms)
 
-    def served(self, side: Side, worker: Side, cid: str = "a1") -> None:
+    def served(self, side: Side, worker: Side, request_id: str = "a1") -> None:
         worker.send(TAKEN)
         self.turn()
-        self.call_back(cid, worker=self.name(worker))
+        self.call_back(request_id, worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
 
-    def given_up(self, first: Side, cid: str = "a1") -> None:
+    def given_up(self, first: Side, request_id: str = "a1") -> None:
         """See that the worker is told to give the job up before it goes anywhere else."""
         self.turn()
-        self.assertNotIn(f"POST {cid}", [name for name, _ in self.came()])
-        asked = self.take(f"DELETE /jobs/{cid}")
+        self.assertNotIn(f"POST {request_id}", [name for name, _ in self.came()])
+        asked = self.take(f"DELETE /jobs/{request_id}")
         self.assertEqual(self.name(first), self.name(asked))
         asked.send(http.response(200))
 
-    def in_time(self, cid: str = "a1") -> Side:
+    def in_time(self, request_id: str = "a1") -> Side:
         """Wait until the module sends the job again."""
         for _ in range(200):
-            if f"POST {cid}" in [name for name, _ in self.came()]:
+            if f"POST {request_id}" in [name for name, _ in self.came()]:
                 break
             self.wait(10)
-        return self.take(f"POST {cid}")
+        return self.take(f"POST {request_id}")
 
     # ---- the worker's word and the end of our patience cross ----
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,9 +8,24 @@
 import unittest
 from typing import Any
 
-from elderstall import interface as i
 from elderstall.config import ConfigError, config_of, load
 from elderstall.decisions import Dispatcher
+from elderstall.interface import (
+    AttemptEnded,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    JobArrived,
+    JobClass,
+    JobTakenOver,
+    LearnedStateReceived,
+    ListScope,
+    RejectJob,
+    SendAttempt,
+    Settings,
+    SettingsChanged,
+    Started,
+)
 from tests.driver import Driver
 from tests.scenario import CLASSES, Scenario, platform
 
@@ -191,51 +206,54 @@
 class Module(unittest.TestCase):
     """What the module keeps, and what it works out anew."""
 
-    def settings(self, *worths: float, attempts: int = 3) -> i.Settings:
-        classes = (i.JobClass(f"c{n}", worth=w, aim=100.0, deadline=5_000.0) for n, w in enumerate(worths))
-        return i.Settings(tuple(classes), max_attempts=attempts)
+    def settings(self, *worths: float, attempts: int = 3) -> Settings:
+        classes = (
+            JobClass(f"c{n}", priority_weight=w, latency_objective=100.0, deadline=5_000.0)
+            for n, w in enumerate(worths)
+        )
+        return Settings(tuple(classes), max_attempts=attempts)
 
     def test_what_was_learned_is_kept_and_held_jobs_go_on(self) -> None:
         d = Driver(self.settings(1.0, 10.0), 1)
-        d.listed(tuple(i.Listed(f"w{n}", "k") for n in range(4)))
+        d.listed(tuple(Endpoint(f"w{n}", "k") for n in range(4)))
         module = d.dispatcher
         for n in range(12):
             d.arrive(n, d.s.classes[n % 2])
         held = sum(len(jobs) for jobs in module.queue.buckets)
         self.assertGreater(held, 0)
         module.endpoints.workers["w0"].work_done = module.endpoints.workers["w0"].run_time = 77.0
-        d.tell(i.Retuned(self.settings(1.0, 10.0, 100.0, 5.0)))
+        d.tell(SettingsChanged(self.settings(1.0, 10.0, 100.0, 5.0)))
         self.assertEqual(3, module.context.mode.tiers)
         self.assertEqual(77.0, module.endpoints.workers["w0"].work_done)
         self.assertEqual(held, sum(len(jobs) for jobs in module.queue.buckets))
         self.assertEqual({"w0", "w1", "w2", "w3"}, {w.name for pool in module.pools.pools for w in pool})
-        d.tell(i.Retuned(self.settings(2.0)))
+        d.tell(SettingsChanged(self.settings(2.0)))
         self.assertEqual(1, module.context.mode.tiers)
         while d.outs():
-            d.end(d.outs()[0], i.Ending.SERVED)
+            d.end(d.outs()[0], Ending.SERVED)
         self.assertEqual(0, sum(len([job for job in jobs if job.queued]) for jobs in module.queue.buckets))
 
     def test_a_held_job_whose_attempts_are_spent_is_answered(self) -> None:
         """Guards against one attempt too many: a held job is sent without another look at the limit."""
         module = Dispatcher(self.settings(1.0), 1)
-        module.handle(0.0, i.Begin())
-        module.handle(0.0, i.WorkerList(i.ListScope.WHOLE, (i.Listed("w0"),)))
-        module.handle(0.0, i.JobArrived(1, "c0", 5_000.0))
-        module.handle(1.0, i.AttemptEnded(1, 0, "w0", i.Ending.FULL))
+        module.handle(0.0, Started())
+        module.handle(0.0, EndpointListUpdate(ListScope.WHOLE, (Endpoint("w0"),)))
+        module.handle(0.0, JobArrived(1, "c0", 5_000.0))
+        module.handle(1.0, AttemptEnded(1, 0, "w0", Ending.FULL))
         self.assertTrue(any(module.queue.buckets))
-        actions = module.handle(2.0, i.Retuned(self.settings(1.0, attempts=1)))
-        self.assertEqual([1], [a.job for a in actions if isinstance(a, i.Refuse)])
+        actions = module.handle(2.0, SettingsChanged(self.settings(1.0, attempts=1)))
+        self.assertEqual([1], [a.job for a in actions if isinstance(a, RejectJob)])
 
     def test_what_was_learned_goes_over_to_the_next_process(self) -> None:
         """Guards jobs not to be repeated: a new process knew of no worker that fails jobs."""
-        listed = i.WorkerList(i.ListScope.WHOLE, tuple(i.Listed(f"w{n}", "k") for n in range(4)))
+        listed = EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(f"w{n}", "k") for n in range(4)))
         old, new = Dispatcher(self.settings(1.0, 10.0), 1), Dispatcher(self.settings(1.0, 10.0), 2)
         for module in (old, new):
-            module.handle(0.0, i.Begin())
+            module.handle(0.0, Started())
             module.handle(0.0, listed)
-        sent = [a for a in old.handle(0.0, i.JobArrived(1, "c0", 5_000.0)) if isinstance(a, i.Send)]
-        old.handle(50.0, i.AttemptEnded(1, 0, sent[0].worker, i.Ending.ERROR))
-        new.handle(60.0, i.Learned(json.loads(json.dumps(old.learned()))))
+        sent = [a for a in old.handle(0.0, JobArrived(1, "c0", 5_000.0)) if isinstance(a, SendAttempt)]
+        old.handle(50.0, AttemptEnded(1, 0, sent[0].worker, Ending.ERROR))
+        new.handle(60.0, LearnedStateReceived(json.loads(json.dumps(old.learned()))))
         self.assertEqual(old.unavailable(60.0), new.unavailable(60.0))
         self.assertEqual({sent[0].worker}, new.unavailable(60.0))
         self.assertEqual(
@@ -244,8 +262,8 @@
         )
         new.handle(
             61.0,
-            i.JobInherited(7, new.context.mode.classes["c1"], 0.0, 5_000.0, sent=1, worker="w3", sent_at=9.0),
+            JobTakenOver(7, new.context.mode.classes["c1"], 0.0, 5_000.0, sent=1, worker="w3", sent_at=9.0),
         )
         self.assertEqual(1, new.endpoints.workers["w3"].slots_in_flight)
-        new.handle(99.0, i.AttemptEnded(7, 0, "w3", i.Ending.SERVED, True))
+        new.handle(99.0, AttemptEnded(7, 0, "w3", Ending.SERVED, True))
         self.assertEqual((0, {}), (new.endpoints.workers["w3"].slots_in_flight, new.answers.open))
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -21,7 +21,7 @@
 class Asked:
     """A request that is out, on a connection that was open then."""
 
-    cid: str
+    request_id: str
     at: float  # ms after SIGTERM
     client: Side
     answered: int = 0  # the status
@@ -49,10 +49,10 @@
 
     def send(self, client: Side) -> None:
         self.count += 1
-        cid = f"j{self.count}"
+        request_id = f"j{self.count}"
         job_class = "deck-build" if self.count % 2 else "deck-fetch"
-        client.send(self.job(cid, job_class, int(self.deadline)))
-        self.asked.append(Asked(cid, self.since_term(), client))
+        client.send(self.job(request_id, job_class, int(self.deadline)))
+        self.asked.append(Asked(request_id, self.since_term(), client))
 
     def since_term(self) -> float:
         return 1000 * self.loop.clock.seconds() - self.term
@@ -64,10 +64,10 @@
             worker.send(http.response(202 if what.startswith("POST") else 200))
             if serve and what.startswith("POST"):
                 self.turn()
-                cid = what.split()[1]
-                job = self.app.engine.jobs.by_id.get(cid)
+                request_id = what.split()[1]
+                job = self.app.engine.jobs.by_id.get(request_id)
                 if job is not None and job.attempt is not None:
-                    self.call_back(cid, worker=job.attempt.worker)
+                    self.call_back(request_id, worker=job.attempt.worker)
         self.turn()
         for asked in self.asked:
             asked.client.read()
@@ -102,7 +102,7 @@
         self.assertLessEqual(self.since_term(), self.kill_at)
 
     def unanswered(self, since: float) -> list[tuple[str, float]]:
-        return [(a.cid, a.at) for a in self.asked if not a.answered and a.at >= since]
+        return [(a.request_id, a.at) for a in self.asked if not a.answered and a.at >= since]
 
     def test_every_request_read_is_answered_before_sigkill_may_come(self) -> None:
         for deadline in (300.0, 3_000.0, 60_000.0):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -10,16 +10,28 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall import interface as i
 from elderstall.config import config_of
+from elderstall.interface import (
+    AttemptEnded,
+    Effect,
+    Ending,
+    EndpointListUpdate,
+    JobArrived,
+    JobClass,
+    LoadPolled,
+    PollLoad,
+    SendAttempt,
+    Settings,
+    Started,
+)
 from elderstall.net.discovery import LINE_MOST, list_of
 from elderstall.net.jsonlines import JsonLines
 from tests.scenario import platform
 
 MANY = 1_024
 CLASSES = (
-    i.JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
-    i.JobClass("purchase", 10.0, 150.0, 5_000.0, i.Effect.UNSAFE, stretch=1.75),
+    JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
+    JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.NOT_IDEMPOTENT, stretch=1.75),
 )
 MEMORY = 8 * 1024 * 1024  # bytes that 1,024 workers may take of the module, beside the program's 24 MB
 
@@ -43,7 +55,7 @@
 
 def module(workers: int, dispatchers: int, rank: int) -> Dispatcher:
     d = Dispatcher(
-        i.Settings(
+        Settings(
             CLASSES,
             dispatchers=dispatchers,
             rank=rank,
@@ -52,30 +64,30 @@
             probes=True,
             connect_timeout=250.0,
             tick=2.0,
-            cold_share=0.4,
-            cold_for=5_000.0,
-            push_multiple=4.0,
+            slow_start_share=0.4,
+            slow_start_duration=5_000.0,
+            slow_start_multiple=4.0,
         ),
         rank,
     )
-    d.handle(0.0, i.Begin())
+    d.handle(0.0, Started())
     _, scope, pairs = list_of(json.loads(whole(range(workers))), False)
-    d.handle(0.0, i.WorkerList(scope, tuple(listed for listed, _ in pairs)))
+    d.handle(0.0, EndpointListUpdate(scope, tuple(listed for listed, _ in pairs)))
     return d
 
 
 def served(d: Dispatcher, job: int, now: float) -> int:
     """Bring one job and answer what is asked; give how many attempts it had."""
-    todo = d.handle(now, i.JobArrived(job, "purchase" if job % 5 == 0 else "fetch", 5_000.0, work_hint=120.0))
+    todo = d.handle(now, JobArrived(job, "purchase" if job % 5 == 0 else "fetch", 5_000.0, work_hint=120.0))
     sent = 0
     while todo:
         action = todo.pop(0)
-        if isinstance(action, i.Probe):
-            todo += d.handle(now + 2.0, i.Probed(action.worker, i.Ending.SERVED, (2.0,)))
-        elif isinstance(action, i.Send):
+        if isinstance(action, PollLoad):
+            todo += d.handle(now + 2.0, LoadPolled(action.worker, Ending.SERVED, (2.0,)))
+        elif isinstance(action, SendAttempt):
             sent += 1
             assert d.endpoints.workers[action.worker].up
-            todo += d.handle(now + 130.0, i.AttemptEnded(job, 0, action.worker, i.Ending.SERVED, final=True))
+            todo += d.handle(now + 130.0, AttemptEnded(job, 0, action.worker, Ending.SERVED, final=True))
     return sent
 
 
@@ -99,7 +111,7 @@
             for state, numbers, since in steps:
                 told = {"index": 2, "snapshot": False, "endpoints": [entry(n, state, since) for n in numbers]}
                 _, scope, pairs = list_of(json.loads(json.dumps(told)), False)
-                d.handle(5_000.0, i.WorkerList(scope, tuple(listed for listed, _ in pairs)))
+                d.handle(5_000.0, EndpointListUpdate(scope, tuple(listed for listed, _ in pairs)))
             self.assertEqual(MANY, sum(w.up for w in d.endpoints.workers.values()))
             self.assertEqual(60, sum(served(d, 100 + n, 20_000.0 + 10 * n) for n in range(60)))
             self.assertLess(tracemalloc.get_traced_memory()[1], MEMORY)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -74,10 +74,10 @@
         self.assertEqual(0, self.app.server.weight)
         self.assertEqual({}, self.app.engine.jobs.by_id)
 
-    def served(self, side: Side, cid: str = "good") -> None:
-        side.send(self.job(cid))
-        self.take(f"POST {cid}").send(http.response(202))
-        self.call_back(cid)
+    def served(self, side: Side, request_id: str = "good") -> None:
+        side.send(self.job(request_id))
+        self.take(f"POST {request_id}").send(http.response(202))
+        self.call_back(request_id)
         self.assertEqual(200, self.answer(side).status)
 
     def slowly(self, side: Side, data: bytes) -> None:
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -182,17 +182,17 @@
         accepted.close()
         self.turn()
 
-    def job_fields(self, cid: str) -> dict[str, Any]:
+    def job_fields(self, request_id: str) -> dict[str, Any]:
         now = self.app.deadlines.now()
         state: dict[str, Any] = {
-            "cid": cid,
+            "cid": request_id,
             "cls": {"name": "album", "worth": 4.0, "aim": 4000.0, "deadline": 9000.0, "effect": "safe",
                     "scope": "all"},
             "tenant": "norte", "key": None, "hint": None, "slots": 1, "arrived": now - 10,
             "deadline": now + 8_000, "sent": 0, "ran": False, "unsure": [], "attempt": None,
         }  # fmt: skip
-        parcel = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").plain()
-        return {"job": state, "parcel": parcel, "last": False}
+        original = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").plain()
+        return {"job": state, "parcel": original, "last": False}
 
     def test_a_listener_that_cannot_be_taken_on_yet_is_tried_again(self) -> None:
         self.adopt_port_fails(system_error(errno.EMFILE), system_error(errno.ENOMEM))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -33,14 +33,14 @@
     def shows(self, at: tuple[str, int], figure: str) -> bool:
         return f"edge_relay.{figure}\n".encode() in self.call(at, "GET", "/api/telemetry").body
 
-    def serve(self, line: Line, cid: str) -> None:
-        line.sock.sendall(self.job(cid))
+    def serve(self, line: Line, request_id: str) -> None:
+        line.sock.sendall(self.job(request_id))
         answer = line.read()
-        self.assertEqual((200, f"deck {cid}".encode()), (answer.status, answer.body))
+        self.assertEqual((200, f"deck {request_id}".encode()), (answer.status, answer.body))
 
-    def hold(self, cid: str = "held") -> Line:
+    def hold(self, request_id: str = "held") -> Line:
         line = self.connect()
-        line.sock.sendall(self.job(cid, "deck-build"))
+        line.sock.sendall(self.job(request_id, "deck-build"))
         self.assertTrue(self.seen.wait(PATIENCE))
         self.seen.clear()
         return line
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -10,27 +10,46 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import Deferred
 
-from elderstall import interface as i
 from elderstall.decisions import Dispatcher
-from elderstall.interface import Ending, ListScope, WorkerState
+from elderstall.interface import (
+    AttemptEnded,
+    Effect,
+    Ending,
+    Endpoint,
+    EndpointListUpdate,
+    Event,
+    JobArrived,
+    JobClass,
+    ListScope,
+    LoadPolled,
+    SendAttempt,
+    Settings,
+    SettingsChanged,
+    Started,
+    WorkersForgotten,
+    WorkerState,
+)
 from elderstall.messages import Failed, Outcome, Served
 from elderstall.routing.subset import SLACK, SUBSET_LEAST
 from elderstall.routing.view import ENTER_EVERY, ENTER_PART, GONE_FOR, GONE_LEAST, FleetView
 from tests.test_core import CLASSES as CORE_CLASSES
 from tests.test_core import One
 
-CLASSES = (i.JobClass("deck", 2.0, 500.0, 5_000.0), i.JobClass("build", 4.0, 500.0, 5_000.0, i.Effect.UNSAFE))
-SETTINGS = i.Settings(CLASSES, dispatchers=60, rank=3)
+CLASSES = (
+    JobClass("deck", 2.0, 500.0, 5_000.0),
+    JobClass("build", 4.0, 500.0, 5_000.0, Effect.NOT_IDEMPOTENT),
+)
+SETTINGS = Settings(CLASSES, dispatchers=60, rank=3)
 LARGE = 4_000
 UP, DRAINING, GONE = WorkerState.UP, WorkerState.DRAINING, WorkerState.GONE
 WITHIN = 2_000.0  # ms of the rule on drains
 
 
-def entry(n: int, state: WorkerState = UP, started: float | None = None) -> i.Listed:
-    return i.Listed(f"w{n}", f"kind-{n % 2}", f"zone-{n % 10}", n // 4, started, state)
+def entry(n: int, state: WorkerState = UP, started: float | None = None) -> Endpoint:
+    return Endpoint(f"w{n}", f"kind-{n % 2}", f"zone-{n % 10}", n // 4, started, state)
 
 
-def entries(count: int, first: int = 0) -> tuple[i.Listed, ...]:
+def entries(count: int, first: int = 0) -> tuple[Endpoint, ...]:
     return tuple(entry(n) for n in range(first, first + count))
 
 
@@ -39,15 +58,15 @@
         self.lines: list[str] = []
         self.view = FleetView(SETTINGS, log=lambda code, text: self.lines.append(f"{code} {text}"))
 
-    def whole(self, listed: tuple[i.Listed, ...], now: float = 0.0) -> list[i.Event]:
+    def whole(self, listed: tuple[Endpoint, ...], now: float = 0.0) -> list[Event]:
         return self.view.take(now, ListScope.WHOLE, listed)
 
-    def change(self, *listed: i.Listed, now: float = 0.0) -> list[i.Event]:
+    def change(self, *listed: Endpoint, now: float = 0.0) -> list[Event]:
         return self.view.take(now, ListScope.CHANGES, listed)
 
-    def told(self, events: list[i.Event]) -> dict[str, WorkerState]:
+    def told(self, events: list[Event]) -> dict[str, WorkerState]:
         """Give what the module is told of workers, the last word of each."""
-        lists = [event for event in events if isinstance(event, i.WorkerList)]
+        lists = [event for event in events if isinstance(event, EndpointListUpdate)]
         return {e.worker: e.state for event in lists for e in event.entries}
 
 
@@ -56,10 +75,10 @@
 
     def test_lists_and_changes_pass_as_they_are(self) -> None:
         listed = entries(1_000)
-        self.assertEqual([i.WorkerList(ListScope.WHOLE, listed)], self.whole(listed))
+        self.assertEqual([EndpointListUpdate(ListScope.WHOLE, listed)], self.whole(listed))
         change = entry(1, DRAINING)
-        self.assertEqual([i.WorkerList(ListScope.CHANGES, (change,))], self.change(change))
-        self.assertEqual([i.WorkerList(ListScope.SILENT)], self.view.take(0.0, ListScope.SILENT))
+        self.assertEqual([EndpointListUpdate(ListScope.CHANGES, (change,))], self.change(change))
+        self.assertEqual([EndpointListUpdate(ListScope.SILENT)], self.view.take(0.0, ListScope.SILENT))
         self.assertEqual(0.0, self.view.sharing)
 
     def test_a_ban_holds_whatever_the_list_says_and_ends_as_a_new_start(self) -> None:
@@ -70,7 +89,7 @@
         self.assertFalse(self.view.may_send("w1", 5.0 + WITHIN + 1.0, WITHIN))
         self.view.include("w1", 7.0)
         (news,) = self.view.refresh("w1", 7.0)
-        assert isinstance(news, i.WorkerList)
+        assert isinstance(news, EndpointListUpdate)
         self.assertEqual((UP, 7.0), (news.entries[0].state, news.entries[0].started))
         self.assertTrue(self.view.may_send("w1", 1e9, WITHIN))
 
@@ -146,7 +165,7 @@
         self.change(entry(1, GONE), now=1.0)
         self.assertTrue(self.view.knows("w1"))
         events = self.change(entry(2), now=GONE_FOR + 2.0)
-        self.assertEqual([i.WorkersForgotten(("w1",))], events[1:])
+        self.assertEqual([WorkersForgotten(("w1",))], events[1:])
         self.assertFalse(self.view.knows("w1"))
 
     def test_bans_outlive_their_worker(self) -> None:
@@ -178,18 +197,18 @@
         self.assertLessEqual(len(self.view.entries), 100)
 
     def test_entries_with_no_zone_or_kind_where_others_have_one_and_doubled_names(self) -> None:
-        odd = (i.Listed("a", "k", None), i.Listed("b", "", "z"), i.Listed("b", "k", "z"))
+        odd = (Endpoint("a", "k", None), Endpoint("b", "", "z"), Endpoint("b", "k", "z"))
         self.whole(entries(3) + odd)
         self.assertEqual({"no zone": 1, "no kind": 1, "doubled name": 1}, self.view.counts.odd_entries)
         self.assertIn("list taken, but 1 with doubled name, 1 with no kind, 1 with no zone", self.lines)
         self.assertEqual(5, len(self.view.entries))
 
     def test_where_none_names_a_zone_nothing_is_odd(self) -> None:
-        self.whole((i.Listed("a"), i.Listed("b")))
+        self.whole((Endpoint("a"), Endpoint("b")))
         self.assertEqual(0, self.view.counts.odd_entries.total())
 
     def test_they_are_taken_in_a_large_list_too(self) -> None:
-        events = self.whole(entries(LARGE) + tuple(i.Listed(f"x{n}") for n in range(100)))
+        events = self.whole(entries(LARGE) + tuple(Endpoint(f"x{n}") for n in range(100)))
         self.assertGreater(len([name for name in self.told(events) if name[0] == "x"]), 20)
 
 
@@ -265,7 +284,7 @@
         cut = [name for name in self.inside if self.number(name) % 10 == 3]
         for name in cut[:3]:
             self.assertEqual([], self.view.ended(name, Ending.UNREACHABLE, True, 50_000.0))
-        events: list[i.Event] = []
+        events: list[Event] = []
         for name in self.inside:  # others answer, and so show that they are in reach
             if name not in cut:
                 events += self.view.ended(name, Ending.SERVED, False, 50_000.0)
@@ -284,7 +303,7 @@
     def test_other_settings_cut_it_anew_and_the_same_ones_do_not(self) -> None:
         self.assertEqual([], self.view.retune(replace(SETTINGS, max_attempts=4), 1.0))
         (news,) = self.view.retune(replace(SETTINGS, rank=4), 1.0)
-        assert isinstance(news, i.WorkerList)
+        assert isinstance(news, EndpointListUpdate)
         self.assertIs(ListScope.WHOLE, news.scope)
         self.assertNotEqual(set(self.first), {e.worker for e in news.entries})
 
@@ -340,7 +359,7 @@
 
     def out(self, job_class: str = "safe") -> Deferred[Any]:
         self.number = self.job(job_class)
-        self.ask(i.Send(self.number, self.member))
+        self.ask(SendAttempt(self.number, self.member))
         return self.carrier.sent[-1][1]
 
     def leave_subset(self) -> None:
@@ -348,7 +367,7 @@
         view = self.engine.view
         del view.members[self.member]
         told = replace(view.entry_of(self.member), state=GONE)
-        self.engine.endpoints.notify([i.WorkerList(ListScope.CHANGES, (told,))])
+        self.engine.endpoints.notify([EndpointListUpdate(ListScope.CHANGES, (told,))])
 
     def test_its_answer_counts(self) -> None:
         sending = self.out()
@@ -371,14 +390,14 @@
         self.engine.endpoints.take(ListScope.CHANGES, (entry(number, DRAINING),))
         self.clock.advance(2.1)
         job = self.job("safe")
-        self.ask(i.Send(job, self.member))
+        self.ask(SendAttempt(job, self.member))
         self.assertEqual([], self.carrier.sent)
 
     def test_the_module_is_told_of_its_sharers_before_the_list(self) -> None:
         self.engine.endpoints.take(ListScope.WHOLE, entries(2 * LARGE))
         kinds = [type(event) for event in self.events]
-        self.assertLess(kinds.index(i.Retuned), kinds.index(i.WorkerList))
-        retuned = next(event for event in self.events if isinstance(event, i.Retuned))
+        self.assertLess(kinds.index(SettingsChanged), kinds.index(EndpointListUpdate))
+        retuned = next(event for event in self.events if isinstance(event, SettingsChanged))
         self.assertAlmostEqual(self.engine.view.sharing, retuned.settings.sharers)
 
     def test_an_answer_of_discovery_with_nothing_for_the_module_ends_its_call_all_the_same(self) -> None:
@@ -386,7 +405,7 @@
         far = next(w for w in self.engine.view.entries if w not in self.engine.view.members)
         self.engine.endpoints.take(ListScope.CHANGES, (entry(int(far[1:]), started=1.0),))
         self.engine.endpoints.take(ListScope.CHANGES, (entry(int(far[1:]), started=2.0),))
-        self.assertEqual([i.WorkerList(ListScope.CHANGES)], self.events)
+        self.assertEqual([EndpointListUpdate(ListScope.CHANGES)], self.events)
 
     def test_those_that_wait_to_enter_come_by_themselves(self) -> None:
         members = [int(name[1:]) for name in self.engine.view.members]
@@ -405,23 +424,23 @@
 
     def test_a_worker_with_an_attempt_or_a_question_out_is_kept_until_that_ends(self) -> None:
         d = Dispatcher(replace(SETTINGS, dispatchers=1), 1)
-        d.handle(0.0, i.Begin())
-        d.handle(0.0, i.WorkerList(ListScope.WHOLE, entries(2)))
-        (send,) = [a for a in d.handle(1.0, i.JobArrived(1, "deck", 5_000.0)) if isinstance(a, i.Send)]
+        d.handle(0.0, Started())
+        d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, entries(2)))
+        (send,) = [a for a in d.handle(1.0, JobArrived(1, "deck", 5_000.0)) if isinstance(a, SendAttempt)]
         asked = next(name for name in d.endpoints.workers if name != send.worker)
         d.endpoints.workers[asked].poll_pending = True
-        d.handle(2.0, i.WorkerList(ListScope.WHOLE))
-        d.handle(3.0, i.WorkersForgotten(("w0", "w1", "nobody")))
+        d.handle(2.0, EndpointListUpdate(ListScope.WHOLE))
+        d.handle(3.0, WorkersForgotten(("w0", "w1", "nobody")))
         self.assertEqual({"w0", "w1"}, set(d.endpoints.workers))
-        d.handle(4.0, i.AttemptEnded(1, 0, send.worker, Ending.SERVED, True))
-        d.handle(5.0, i.Probed(asked, Ending.SERVED))
-        d.handle(6.0, i.WorkersForgotten(()))
+        d.handle(4.0, AttemptEnded(1, 0, send.worker, Ending.SERVED, True))
+        d.handle(5.0, LoadPolled(asked, Ending.SERVED))
+        d.handle(6.0, WorkersForgotten(()))
         self.assertEqual({}, d.endpoints.workers)
 
     def test_one_that_is_up_again_is_kept(self) -> None:
         d = Dispatcher(replace(SETTINGS, dispatchers=1), 1)
-        d.handle(0.0, i.WorkerList(ListScope.WHOLE, entries(2)))
-        d.handle(3.0, i.WorkersForgotten(("w0",)))
+        d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, entries(2)))
+        d.handle(3.0, WorkersForgotten(("w0",)))
         self.assertEqual({"w0", "w1"}, set(d.endpoints.workers))
 
 
--- a/tests/test_worker_read_errors_fleet.py
+++ b/tests/test_worker_read_errors_fleet.py
@@ -51,14 +51,14 @@
     running: list[tuple[float, str]] = field(default_factory=list)  # when each ends, the first at the top
     given_up: set[str] = field(default_factory=set)
 
-    def take(self, cid: str) -> None:
-        self.given_up.discard(cid)
-        self.queue.append(cid)
+    def take(self, request_id: str) -> None:
+        self.given_up.discard(request_id)
+        self.queue.append(request_id)
 
-    def give_up(self, cid: str) -> None:
-        self.given_up.add(cid)
-        if cid in self.queue:
-            self.queue.remove(cid)
+    def give_up(self, request_id: str) -> None:
+        self.given_up.add(request_id)
+        if request_id in self.queue:
+            self.queue.remove(request_id)
 
     def work(self, now: float, rng: random.Random) -> list[str]:
         """Begin what there are slots for, and give the jobs that have ended."""
@@ -66,9 +66,9 @@
             heapq.heappush(self.running, (now + MEAN_WORK * rng.uniform(0.5, 1.5), self.queue.popleft()))
         ended = []
         while self.running and self.running[0][0] <= now:
-            _, cid = heapq.heappop(self.running)
-            if cid not in self.given_up:
-                ended.append(cid)
+            _, request_id = heapq.heappop(self.running)
+            if request_id not in self.given_up:
+                ended.append(request_id)
         return ended
 
 
@@ -95,13 +95,13 @@
                 waiting[f"j{count}"] = side, now
                 due, count = due + rng.expovariate(RATE / 1_000), count + 1
             self.work(now, rng)
-            for cid, (side, came) in list(waiting.items()):
+            for request_id, (side, came) in list(waiting.items()):
                 side.read()
                 if side.messages:
                     if came >= FAULT_FROM:
                         (during if came < FAULT_UNTIL else after)[side.messages[0].status] += 1
                     side.sock.close()
-                    del waiting[cid]
+                    del waiting[request_id]
             self.jump(STEP)
             self.turn(4)
         return during, after
@@ -109,23 +109,23 @@
     def work(self, now: float, rng: random.Random) -> None:
         """Have the workers take what has come, and call back about what has ended."""
         for what, side in self.came():
-            method, cid = what.split()
+            method, request_id = what.split()
             side.messages.pop(0)
             worker = self.models[side.sock.getsockname()[1]]
             if method == "DELETE":
-                worker.give_up(cid.removeprefix("/jobs/"))
+                worker.give_up(request_id.removeprefix("/jobs/"))
             elif not side.ended:
-                worker.take(cid)
+                worker.take(request_id)
             if not side.ended:
                 side.send(http.response(202 if method == "POST" else 200))
         for worker in self.models.values():
-            for cid in worker.work(now, rng):
-                self.tell_done(cid, worker)
+            for request_id in worker.work(now, rng):
+                self.tell_done(request_id, worker)
 
-    def tell_done(self, cid: str, worker: QueueingWorker) -> None:
+    def tell_done(self, request_id: str, worker: QueueingWorker) -> None:
         """Call back until it is answered."""
         load = {"cpu_share": 0.5, "x0": SLOTS - len(worker.running)}
-        call = {"id": cid, "from": worker.name, "state": "done", "result": "x", "load": load}
+        call = {"id": request_id, "from": worker.name, "state": "done", "result": "x", "load": load}
         for _ in range(CALL_TRIES):
             side = self.client()
             side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -83,7 +83,7 @@
     def work(self) -> None:
         """Have workers take every job that has come, and end it at once."""
         for what, side in self.came():
-            method, cid = what.split()
+            method, request_id = what.split()
             side.messages.pop(0)
             if side.ended:
                 continue
@@ -92,12 +92,12 @@
                 continue
             side.send(TAKEN)
             self.turn(3)
-            self.call_back(cid, worker=self.name(side))
+            self.call_back(request_id, worker=self.name(side))
 
-    def submit(self, cid: str, job_class: str = SAFE) -> Side:
+    def submit(self, request_id: str, job_class: str = SAFE) -> Side:
         client = self.client()
-        client.send(self.job(cid, job_class))
-        self.until(lambda: self.app.engine.jobs.knows(cid))
+        client.send(self.job(request_id, job_class))
+        self.until(lambda: self.app.engine.jobs.knows(request_id))
         return client
 
     def finish(self, client: Side, ms: float = 3_000) -> http.Message:
@@ -112,8 +112,8 @@
         self.turn()
         return message
 
-    def serve(self, cid: str, job_class: str = SAFE) -> None:
-        self.assertEqual(200, self.finish(self.submit(cid, job_class)).status, self.lines)
+    def serve(self, request_id: str, job_class: str = SAFE) -> None:
+        self.assertEqual(200, self.finish(self.submit(request_id, job_class)).status, self.lines)
 
     def close_ended(self) -> None:
         """Close the workers' ends of connections that the program has closed."""
@@ -127,7 +127,7 @@
     def open_now(self) -> int:
         """Count descriptors with all kept connections to workers closed."""
         for name in list(self.app.workers.pools):
-            self.app.workers.renew(name)
+            self.app.workers.drop_idle(name)
         self.turn()
         self.came()
         self.close_ended()
@@ -340,9 +340,9 @@
                     self.assertEqual(before, self.open_now())
                     self.end()
 
-    def fail_202(self, cid: str, error: int) -> Fault:
+    def fail_202(self, request_id: str, error: int) -> Fault:
         """Have a worker take a job, and the read of its 202 fail."""
-        worker = self.take(f"POST {cid}")
+        worker = self.take(f"POST {request_id}")
         fault = self.plan.add("recv", error, 1, worker.sock.getsockname()[1])
         worker.send(TAKEN)
         self.turn()
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -186,8 +186,8 @@
 class LittleTime(Trouble):
     """Requests with very little time left, which workers may drop without a word."""
 
-    def short(self, cid: str, budget: int) -> bytes:
-        return self.job(cid, budget=budget).replace(*SHORT_WORK)
+    def short(self, request_id: str, budget: int) -> bytes:
+        return self.job(request_id, budget=budget).replace(*SHORT_WORK)
 
     def test_none_or_nearly_none_is_answered_in_time_and_nothing_is_written(self) -> None:
         for dispatchers in (1, 200):
