--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -33,9 +33,9 @@
 
 from benchmarks import random_events
 from elderstall.decisions import Dispatcher
-from elderstall.rehearsal.reading import ENDING, SHIPPED, find, read
-from elderstall.rehearsal.script import Night
-from elderstall.rehearsal.world import World
+from elderstall.simulation.reading import ENDING, SHIPPED, find, read
+from elderstall.simulation.script import Night
+from elderstall.simulation.world import World
 
 RECORDED = Path(__file__).parent.parent / "tests" / "data" / "decision_digests.json"
 SEEDS = (1, 2)
--- a/benchmarks/fidelity.py
+++ b/benchmarks/fidelity.py
@@ -23,8 +23,8 @@
 import numpy as np
 
 from elderstall.atomic_file import write_text_atomically
-from elderstall.rehearsal.reading import read
-from elderstall.rehearsal.world import play
+from elderstall.simulation.reading import read
+from elderstall.simulation.world import play
 
 NOISES = (
     2301020008297118,
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,7 +13,7 @@
 from elderstall.interface import Effect, Ending, Endpoint, JobClass, ListScope, Settings, Tenant
 from elderstall.log import Log
 from elderstall.messages import Answer, JobRequest, Outcome
-from elderstall.rehearsal.loop import VirtualTime
+from elderstall.simulation.loop import VirtualTime
 
 MEAN_WORK = 300.0  # ms
 CLASSES = (
--- a/benchmarks/scale/play.py
+++ b/benchmarks/scale/play.py
@@ -19,8 +19,8 @@
 from benchmarks.scale.measures import know_all_workers
 from elderstall.atomic_file import write_text_atomically
 from elderstall.interface import Effect, JobClass
-from elderstall.rehearsal import script as s
-from elderstall.rehearsal.world import World
+from elderstall.simulation import script as s
+from elderstall.simulation.world import World
 
 WORK = 20_000.0  # ms, mean: at the target tasks run 8.7 s
 BUSY = 0.43  # of the fleet's slots, at the rate that follows
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -21,9 +21,9 @@
 
 from elderstall.atomic_file import write_text_atomically
 from elderstall.decisions import Dispatcher
-from elderstall.rehearsal import script as s
-from elderstall.rehearsal.reading import find, read, with_parts
-from elderstall.rehearsal.world import World
+from elderstall.simulation import script as s
+from elderstall.simulation.reading import find, read, with_parts
+from elderstall.simulation.world import World
 
 spent = 0.0
 
--- a/elderstall/__main__.py
+++ b/elderstall/__main__.py
@@ -22,7 +22,8 @@
         from elderstall.cli.group import main as tools
     except ModuleNotFoundError as error:
         print(
-            f"elderstall: {words[0]} needs {error.name}: pip install 'elderstall[rehearsal]'", file=sys.stderr
+            f"elderstall: {words[0]} needs {error.name}: pip install 'elderstall[simulation]'",
+            file=sys.stderr,
         )
         return 2
     return tools(words)
--- a/elderstall/cli/group.py
+++ b/elderstall/cli/group.py
@@ -1,17 +1,13 @@
-"""The click group that holds the tools, and what their commands share."""
+"""The click group that holds the tools, and the door that runs one."""
 
 from __future__ import annotations
 
-import json
 import sys
 from collections.abc import Callable
-from typing import Any
 
 import click
 
-from elderstall.atomic_file import write_text_atomically
-
-GOOD, FAILED, BAD = 0, 1, 2
+from elderstall.cli.output import BAD, FAILED, GOOD, complain
 
 
 class Lazy(click.Group):
@@ -29,35 +25,29 @@
         return load() if load is not None else None
 
 
-def rehearse() -> click.Command:
-    """Import the rehearsal's commands."""
-    from elderstall.cli.rehearse import rehearse as group
+def simulate() -> click.Group:
+    """Import the simulator's commands."""
+    from elderstall.cli.simulate import simulate as group
 
     return group
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
-def tools() -> None:
-    """Tools around the dispatcher. Without a command, elderstall runs one dispatcher."""
+def rehearse() -> click.Group:
+    """Give the simulator's commands under their former name, with a notice, for one version."""
+    group = simulate()
 
+    def notice() -> None:
+        complain("'rehearse' is now 'simulate'; the old name works for this version only")
 
-tools.words = {"rehearse": rehearse}
+    return click.Group("rehearse", group.commands, callback=notice, help=group.help, hidden=True)
 
 
-def complain(message: str) -> None:
-    """Say on standard error what is wrong."""
-    click.echo(f"elderstall: {message}", err=True)
+@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+def tools() -> None:
+    """Tools around the dispatcher. Without a command, elderstall runs one dispatcher."""
 
 
-def write_json(value: Any, path: str) -> None:
-    """Write JSON to a file, or to standard output for ``-``; the same value gives the same bytes."""
-    text = json.dumps(value, indent=1, ensure_ascii=False, allow_nan=False) + "\n"
-    if path != "-":
-        write_text_atomically(path, text)
-        return
-    with click.open_file(path, "w", encoding="utf-8") as out:
-        out.write(text)
-        out.flush()  # here an error still gets its message and status
+tools.words = {"simulate": simulate, "rehearse": rehearse}
 
 
 def main(argv: list[str]) -> int:
--- /dev/null
+++ b/elderstall/cli/output.py
@@ -0,0 +1,28 @@
+"""What the tools share: exit statuses, messages on standard error, JSON files."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import click
+
+from elderstall.atomic_file import write_text_atomically
+
+GOOD, FAILED, BAD = 0, 1, 2
+
+
+def complain(message: str) -> None:
+    """Say on standard error what is wrong."""
+    click.echo(f"elderstall: {message}", err=True)
+
+
+def write_json(value: Any, path: str) -> None:
+    """Write JSON to a file, or to standard output for ``-``; the same value gives the same bytes."""
+    text = json.dumps(value, indent=1, ensure_ascii=False, allow_nan=False) + "\n"
+    if path != "-":
+        write_text_atomically(path, text)
+        return
+    with click.open_file(path, "w", encoding="utf-8") as out:
+        out.write(text)
+        out.flush()  # here an error still gets its message and status
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -20,7 +20,7 @@
     parser = argparse.ArgumentParser(
         prog="elderstall",
         description="A job dispatcher.",
-        epilog="Tools, each with a --help of its own: elderstall rehearse (bad nights in virtual time).",
+        epilog="Tools, each with a --help of its own: elderstall simulate (bad nights in virtual time).",
     )
     parser.add_argument(
         "command",
--- a/elderstall/cli/rehearse.py
+++ b/elderstall/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``elderstall rehearse``: play nights, compare them, explain what became of a request."""
+"""``elderstall simulate``: play nights, compare them, explain what became of a request."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from elderstall.cli.group import BAD, FAILED, GOOD, complain, write_json
-from elderstall.rehearsal.audit import lines_of
-from elderstall.rehearsal.reading import ENDING, SHIPPED, ScriptError, find, read
-from elderstall.rehearsal.script import Night
-from elderstall.rehearsal.world import World
+from elderstall.cli.output import BAD, FAILED, GOOD, complain, write_json
+from elderstall.simulation.audit import lines_of
+from elderstall.simulation.reading import ENDING, SHIPPED, ScriptError, find, read
+from elderstall.simulation.script import Night
+from elderstall.simulation.world import World
 
 settings = click.option(
     "--set",
@@ -145,11 +145,11 @@
 
 
 @click.group()
-def rehearse() -> None:
-    """Rehearse bad nights in virtual time, with the real core and decisions inside."""
+def simulate() -> None:
+    """Simulate bad nights in virtual time, with the real core and decisions inside."""
 
 
-@rehearse.command()
+@simulate.command()
 @click.argument("script")
 @seed_option
 @settings
@@ -167,7 +167,7 @@
     if json_path:
         write_json(figures, json_path)
     if report:
-        from elderstall.rehearsal.report import write
+        from elderstall.simulation.report import write
 
         write(world, figures, Path(report), cpu)
     if json_path != "-":
@@ -178,7 +178,7 @@
     return GOOD
 
 
-@rehearse.command()
+@simulate.command()
 @click.argument("script")
 @settings
 @click.option("--json", "as_json", is_flag=True, help="for programs")
@@ -212,7 +212,7 @@
     }
 
 
-@rehearse.command(name="list")
+@simulate.command(name="list")
 @click.option("--json", "as_json", is_flag=True, help="for programs")
 @click.option(
     "--folder",
@@ -261,7 +261,7 @@
     return list(dict.fromkeys(seeds))
 
 
-@rehearse.command()
+@simulate.command()
 @click.argument("first")
 @click.argument("second")
 @click.option(
@@ -292,7 +292,7 @@
     json_path: str | None,
 ) -> int:
     """Compare the nights FIRST and SECOND, paired by seed, with 95% intervals of the difference."""
-    from elderstall.rehearsal.compare import compare as pair_up
+    from elderstall.simulation.compare import compare as pair_up
 
     nights = opened(first, changes), opened(second, (*changes, *second_changes))
     with progress_bar(f"{nights[0].name}, {nights[1].name}") as bar:
@@ -342,7 +342,7 @@
     return found
 
 
-@rehearse.command()
+@simulate.command()
 @click.argument("script")
 @click.option(
     "--dispatcher",
@@ -378,7 +378,7 @@
     what ran is printed as JSON; exit status 1 if a job of a class that must not repeat has run twice.
     """
     from elderstall.net import monotonic_reactor
-    from elderstall.rehearsal.serve import Stage
+    from elderstall.simulation.serve import Stage
 
     loop: Any = monotonic_reactor.install()  # in a process that has none yet
     stage = Stage(opened(script, changes), loop, time.monotonic, time.time() * 1000, dispatchers, seed)
@@ -395,7 +395,7 @@
     return FAILED if figures["broken"] else GOOD
 
 
-@rehearse.command()
+@simulate.command()
 @click.argument("script")
 @click.argument("job", type=click.IntRange(1))
 @seed_option
--- a/elderstall/rehearsal/audit.py
+++ b/elderstall/simulation/audit.py
@@ -24,14 +24,14 @@
     WorkerState,
 )
 from elderstall.messages import Answer, Rejected, Served
-from elderstall.rehearsal.script import EPOCH, Rules
+from elderstall.simulation.script import EPOCH, Rules
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.clients import Request, Try
-    from elderstall.rehearsal.loop import VirtualTime
-    from elderstall.rehearsal.machine import Machine
-    from elderstall.rehearsal.station import Process
-    from elderstall.rehearsal.wire import Errand
+    from elderstall.simulation.clients import Request, Try
+    from elderstall.simulation.loop import VirtualTime
+    from elderstall.simulation.machine import Machine
+    from elderstall.simulation.station import Process
+    from elderstall.simulation.wire import Errand
 
 TO_BLAME = 2 / 3  # of the work that pushed a worker over came from dispatchers told of its start: rule 4
 KEPT = 200  # broken rules that are kept with their history; further ones are counted
--- a/elderstall/rehearsal/clients.py
+++ b/elderstall/simulation/clients.py
@@ -11,13 +11,13 @@
 from elderstall.client.policy import Answer as Reply
 from elderstall.interface import Effect
 from elderstall.messages import Answer, Failed, Rejected, Served
-from elderstall.rehearsal.draws import Choice
-from elderstall.rehearsal.script import ClassLoad, Traffic
+from elderstall.simulation.draws import Choice
+from elderstall.simulation.script import ClassLoad, Traffic
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.station import Process, Station
-    from elderstall.rehearsal.wire import Errand
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.station import Process, Station
+    from elderstall.simulation.wire import Errand
+    from elderstall.simulation.world import World
 
 
 class Request:
--- a/elderstall/rehearsal/compare.py
+++ b/elderstall/simulation/compare.py
@@ -9,8 +9,8 @@
 from statistics import fmean, stdev
 from typing import Any
 
-from elderstall.rehearsal.script import Night
-from elderstall.rehearsal.world import play
+from elderstall.simulation.script import Night
+from elderstall.simulation.world import play
 
 # Quantiles of Student's t at 97.5% by degrees of freedom, 1 to 30; beyond, the normal one is close.
 T975 = (
--- a/elderstall/rehearsal/figures.py
+++ b/elderstall/simulation/figures.py
@@ -12,13 +12,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-from elderstall.rehearsal.script import Night, Worker
+from elderstall.simulation.script import Night, Worker
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.clients import Request
-    from elderstall.rehearsal.wire import Errand
-    from elderstall.rehearsal.worker import Task
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.clients import Request
+    from elderstall.simulation.wire import Errand
+    from elderstall.simulation.worker import Task
+    from elderstall.simulation.world import World
 
 BIN = 1_000.0  # ms
 WINDOW = 5  # bins shown together
--- a/elderstall/rehearsal/listing.py
+++ b/elderstall/simulation/listing.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from elderstall.interface import Endpoint, ListScope, WorkerState
-from elderstall.rehearsal.script import Listing
+from elderstall.simulation.script import Listing
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.machine import Machine
-    from elderstall.rehearsal.station import Process
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.machine import Machine
+    from elderstall.simulation.station import Process
+    from elderstall.simulation.world import World
 
 
 class ListService:
--- a/elderstall/rehearsal/machine.py
+++ b/elderstall/simulation/machine.py
@@ -8,13 +8,13 @@
 
 from elderstall.interface import Ending, WorkerState
 from elderstall.messages import Outcome
-from elderstall.rehearsal.loop import Call
-from elderstall.rehearsal.script import Kind, Worker
-from elderstall.rehearsal.worker import CardWorker, Happening, Push, Task, What
+from elderstall.simulation.loop import Call
+from elderstall.simulation.script import Kind, Worker
+from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.wire import Errand, Link
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.wire import Errand, Link
+    from elderstall.simulation.world import World
 
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
--- a/elderstall/rehearsal/reading.py
+++ b/elderstall/simulation/reading.py
@@ -21,7 +21,7 @@
 from ZConfig.cmdline import ExtendedConfigLoader
 
 from elderstall.interface import Effect, JobClass
-from elderstall.rehearsal import script as s
+from elderstall.simulation import script as s
 
 SCHEMA = Path(__file__).with_name("schema.xml")
 ALONE = ("network", "rules", "list", "reports", "clients", "dispatchers", "goal")  # one of each at most
--- a/elderstall/rehearsal/report.py
+++ b/elderstall/simulation/report.py
@@ -16,7 +16,7 @@
 from elderstall.atomic_file import write_text_atomically
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.world import World
 
 TEMPLATE = "report.html.j2"
 MOST_ROWS = 200  # workers in the heat map; of more, every so many-th
--- a/elderstall/rehearsal/serve.py
+++ b/elderstall/simulation/serve.py
@@ -13,11 +13,11 @@
 from elderstall.atomic_file import write_text_atomically
 from elderstall.net import http
 from elderstall.net.discovery import told_as
-from elderstall.rehearsal.draws import Draws
-from elderstall.rehearsal.listing import ListService
-from elderstall.rehearsal.machine import Machine
-from elderstall.rehearsal.script import ClassLoad, Kind, Night, Worker
-from elderstall.rehearsal.sockets import (
+from elderstall.simulation.draws import Draws
+from elderstall.simulation.listing import ListService
+from elderstall.simulation.machine import Machine
+from elderstall.simulation.script import ClassLoad, Kind, Night, Worker
+from elderstall.simulation.sockets import (
     Caller,
     Factories,
     ListLink,
@@ -26,8 +26,8 @@
     SocketJob,
     WorkerLink,
 )
-from elderstall.rehearsal.troubles import Troubles
-from elderstall.rehearsal.worker import Task
+from elderstall.simulation.troubles import Troubles
+from elderstall.simulation.worker import Task
 
 HOST = "127.0.0.1"
 ELSEWHERE = ("burst", "heavy-tail", "dispatcher-restart")  # troubles of those who are real here
--- a/elderstall/rehearsal/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -20,12 +20,12 @@
 from elderstall.messages import Outcome
 from elderstall.net import http
 from elderstall.net.discovery import told_as
-from elderstall.rehearsal.script import ClassLoad
-from elderstall.rehearsal.worker import Task
+from elderstall.simulation.script import ClassLoad
+from elderstall.simulation.worker import Task
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.machine import Machine
-    from elderstall.rehearsal.serve import Stage
+    from elderstall.simulation.machine import Machine
+    from elderstall.simulation.serve import Stage
 
 HEARTBEAT = 2_000.0  # ms between the empty lines of a watch
 CALL_WAIT = 2_000.0  # ms that a dispatcher may take over a call-back
--- a/elderstall/rehearsal/station.py
+++ b/elderstall/simulation/station.py
@@ -10,12 +10,12 @@
 from elderstall.interface import Ending, Endpoint, ListScope
 from elderstall.log import Log
 from elderstall.messages import JobRequest
-from elderstall.rehearsal.script import EPOCH
-from elderstall.rehearsal.wire import Errand, Wire
+from elderstall.simulation.script import EPOCH
+from elderstall.simulation.wire import Errand, Wire
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.clients import Try
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.clients import Try
+    from elderstall.simulation.world import World
 
 KILLED_AFTER = 1_700.0  # ms after a planned restart has stopped taking jobs until it is killed
 
--- a/elderstall/rehearsal/troubles.py
+++ b/elderstall/simulation/troubles.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from elderstall.rehearsal.reading import select
-from elderstall.rehearsal.script import Trouble
+from elderstall.simulation.reading import select
+from elderstall.simulation.script import Trouble
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.machine import Machine
-    from elderstall.rehearsal.station import Station
-    from elderstall.rehearsal.world import World
+    from elderstall.simulation.machine import Machine
+    from elderstall.simulation.station import Station
+    from elderstall.simulation.world import World
 
 RAMP_STEPS = 10  # a slow-down comes and goes in so many steps
 
--- a/elderstall/rehearsal/wire.py
+++ b/elderstall/simulation/wire.py
@@ -16,13 +16,13 @@
 from elderstall.interface import Ending, Endpoint, WorkerState
 from elderstall.messages import JobRequest, Outcome
 from elderstall.net.workers import ACCEPT_SOON, ACCEPT_WAIT, RECALL_WAIT, STALE_WITHIN
-from elderstall.rehearsal.loop import Call
+from elderstall.simulation.loop import Call
 
 if TYPE_CHECKING:
-    from elderstall.rehearsal.clients import Request, Try
-    from elderstall.rehearsal.machine import Machine
-    from elderstall.rehearsal.station import Process
-    from elderstall.rehearsal.worker import Task
+    from elderstall.simulation.clients import Request, Try
+    from elderstall.simulation.machine import Machine
+    from elderstall.simulation.station import Process
+    from elderstall.simulation.worker import Task
 
 
 class Link:
--- a/elderstall/rehearsal/worker.py
+++ b/elderstall/simulation/worker.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from elderstall.rehearsal.script import Kind
+from elderstall.simulation.script import Kind
 
 NEAR_ENOUGH = 1e-6  # ms of work: rounding in the solved ends
 
--- a/elderstall/rehearsal/world.py
+++ b/elderstall/simulation/world.py
@@ -8,18 +8,18 @@
 from contextlib import contextmanager
 from typing import Any
 
-from elderstall.rehearsal.audit import Auditor
-from elderstall.rehearsal.clients import Clients, Request
-from elderstall.rehearsal.draws import Draws
-from elderstall.rehearsal.figures import BIN, Tally, figures_of
-from elderstall.rehearsal.listing import ListService
-from elderstall.rehearsal.loop import VirtualTime
-from elderstall.rehearsal.machine import Machine
-from elderstall.rehearsal.script import EPOCH, Night
-from elderstall.rehearsal.station import Station
-from elderstall.rehearsal.station import Tally as CountingLog
-from elderstall.rehearsal.troubles import Troubles
-from elderstall.rehearsal.wire import Wire
+from elderstall.simulation.audit import Auditor
+from elderstall.simulation.clients import Clients, Request
+from elderstall.simulation.draws import Draws
+from elderstall.simulation.figures import BIN, Tally, figures_of
+from elderstall.simulation.listing import ListService
+from elderstall.simulation.loop import VirtualTime
+from elderstall.simulation.machine import Machine
+from elderstall.simulation.script import EPOCH, Night
+from elderstall.simulation.station import Station
+from elderstall.simulation.station import Tally as CountingLog
+from elderstall.simulation.troubles import Troubles
+from elderstall.simulation.wire import Wire
 
 COLLECT = 50_000, 10, 10  # allocations between looks for cycles, by generation
 STEP = 250.0  # ms of the night between looks at its progress
--- a/tests/nights.py
+++ b/tests/nights.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from elderstall.interface import Effect, JobClass
-from elderstall.rehearsal import script as s
-from elderstall.rehearsal.script import Trouble
+from elderstall.simulation import script as s
+from elderstall.simulation.script import Trouble
 
 SAFE = s.ClassLoad(JobClass("fetch", 2.0, 250.0, 3_000.0, stretch=2.0), 0.6, 120.0, 1.0, noise=0.2)
 UNSAFE = s.ClassLoad(
--- a/tests/serve_trial.py
+++ b/tests/serve_trial.py
@@ -14,8 +14,8 @@
 
 from elderstall.app import App
 from elderstall.config import config_of
-from elderstall.rehearsal.script import Trouble
-from elderstall.rehearsal.serve import Stage
+from elderstall.simulation.script import Trouble
+from elderstall.simulation.serve import Stage
 from tests.nights import night
 
 JOBS = 60
--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -15,9 +15,9 @@
 import pytest
 
 from elderstall.atomic_file import write_bytes_atomically, write_text_atomically
-from elderstall.cli import group
-from elderstall.rehearsal.serve import Stage
-from tests.test_rehearsal_script import TEXT
+from elderstall.cli import group, output
+from elderstall.simulation.serve import Stage
+from tests.test_simulation_script import TEXT
 
 FORMER, NEW = "former\n", "new " * 1_000
 STEPS = ("open", "write", "fsync", "replace")  # each comes before the new content is in place
@@ -153,9 +153,9 @@
     night = folder / "night.conf"
     night.write_text(TEXT)
     return {
-        "figures": ["rehearse", "run", str(night), "--json", str(folder / "out")],
-        "report": ["rehearse", "run", str(night), "--report", str(folder / "out")],
-        "comparison": ["rehearse", "compare", str(night), str(night), "--seeds", "1", "--processes", "1",
+        "figures": ["simulate", "run", str(night), "--json", str(folder / "out")],
+        "report": ["simulate", "run", str(night), "--report", str(folder / "out")],
+        "comparison": ["simulate", "compare", str(night), str(night), "--seeds", "1", "--processes", "1",
                        "--json", str(folder / "out")],
     }  # fmt: skip
 
@@ -171,7 +171,7 @@
 ) -> None:
     words = commands(tmp_path)[command]
     failing(monkeypatch, step, OSError(errno.ENOSPC, os.strerror(errno.ENOSPC)))
-    assert group.main(words) == group.FAILED
+    assert group.main(words) == output.FAILED
     assert f"elderstall: {tmp_path / 'out'}: No space left on device" in capfd.readouterr().err
     assert os.listdir(tmp_path) == ["night.conf"]
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -129,7 +129,7 @@
             for path in (ROOT / "elderstall").rglob("*.py")
             if READS_WALL_CLOCK.search(path.read_text())
         }
-        self.assertEqual({"elderstall/deadlines.py", "elderstall/cli/rehearse.py"}, reading)
+        self.assertEqual({"elderstall/deadlines.py", "elderstall/cli/simulate.py"}, reading)
 
     def test_a_process_held_up_between_its_clocks_sees_no_step(self) -> None:
         held = iter([0.0, 0.15, 1.0, 1.0])
--- a/tests/test_rehearsal_loop.py
+++ b/tests/test_simulation_loop.py
@@ -10,7 +10,7 @@
 from zope.interface.verify import verifyObject
 
 from elderstall.deadlines import Deadlines
-from elderstall.rehearsal.loop import COMPACT_AT, VirtualTime
+from elderstall.simulation.loop import COMPACT_AT, VirtualTime
 
 
 def test_it_is_a_reactors_clock() -> None:
--- a/tests/test_rehearsal_night.py
+++ b/tests/test_simulation_night.py
@@ -22,12 +22,12 @@
 from elderstall.engine.rules import Rules
 from elderstall.interface import Effect, Ending, Endpoint, JobClass
 from elderstall.messages import Outcome, Rejected
-from elderstall.rehearsal import script as s
-from elderstall.rehearsal.audit import KEPT, lines_of
-from elderstall.rehearsal.clients import Request, Try
-from elderstall.rehearsal.reading import find, read
-from elderstall.rehearsal.script import Trouble
-from elderstall.rehearsal.world import World, play
+from elderstall.simulation import script as s
+from elderstall.simulation.audit import KEPT, lines_of
+from elderstall.simulation.clients import Request, Try
+from elderstall.simulation.reading import find, read
+from elderstall.simulation.script import Trouble
+from elderstall.simulation.world import World, play
 from tests.nights import QUICK_LIST, night, shorter
 
 ROOT = Path(__file__).parent.parent
@@ -68,7 +68,7 @@
             sys.executable,
             "-m",
             "elderstall",
-            "rehearse",
+            "simulate",
             "run",
             str(where),
             "--seed",
--- a/tests/test_rehearsal_script.py
+++ b/tests/test_simulation_script.py
@@ -11,10 +11,10 @@
 
 from elderstall.__main__ import main as door
 from elderstall.cli.group import tools
-from elderstall.rehearsal import values
-from elderstall.rehearsal.compare import difference
-from elderstall.rehearsal.draws import Draws
-from elderstall.rehearsal.reading import SHIPPED, ScriptError, find, read
+from elderstall.simulation import values
+from elderstall.simulation.compare import difference
+from elderstall.simulation.draws import Draws
+from elderstall.simulation.reading import SHIPPED, ScriptError, find, read
 
 TEXT = """name test
 length 4s
@@ -128,14 +128,14 @@
 
 
 def run(*words: str) -> Any:
-    return CliRunner().invoke(tools, ["rehearse", *words], standalone_mode=False)
+    return CliRunner().invoke(tools, ["simulate", *words], standalone_mode=False)
 
 
 def test_run_prints_tables_and_writes_json_and_a_report(
     script: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out, report = script.with_name("out.json"), script.with_name("out.html")
-    assert door(["rehearse", "run", str(script), "--json", str(out), "--report", str(report)]) == 0
+    assert door(["simulate", "run", str(script), "--json", str(out), "--report", str(report)]) == 0
     figures = json.loads(out.read_text())
     assert figures["night"] == "test" and sum(figures["endings"].values()) == figures["requests"] > 40
     shown = capsys.readouterr().out
@@ -150,17 +150,39 @@
 
 
 def test_exit_status_and_messages(script: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert door(["rehearse", "check", str(script)]) == 0
-    assert door(["rehearse", "check", "no-such-night"]) == 2
+    assert door(["simulate", "check", str(script)]) == 0
+    assert door(["simulate", "check", "no-such-night"]) == 2
     assert "no such file" in capsys.readouterr().err
     script.write_text(TEXT.replace("factor 3", "factor 0"))
-    assert door(["rehearse", "run", str(script)]) == 2
+    assert door(["simulate", "run", str(script)]) == 2
     assert "test.conf:25: <slow> factor" in capsys.readouterr().err
-    assert door(["rehearse", "run"]) == 2
-    assert door(["rehearse", "nonsense"]) == 2
+    assert door(["simulate", "run"]) == 2
+    assert door(["simulate", "nonsense"]) == 2
     assert door(["nonsense"]) == 2
     script.write_text(TEXT)
-    assert door(["rehearse", "run", str(script), "--json", str(script.parent / "no" / "x.json")]) == 1
+    assert door(["simulate", "run", str(script), "--json", str(script.parent / "no" / "x.json")]) == 1
+
+
+def test_the_former_command_works_with_one_line_of_notice(
+    script: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert door(["simulate", "run", str(script), "--json", "-"]) == 0
+    today = capsys.readouterr()
+    assert door(["rehearse", "run", str(script), "--json", "-"]) == 0
+    former = capsys.readouterr()
+    notice = "elderstall: 'rehearse' is now 'simulate'; the old name works for this version only\n"
+    assert "core_time" in today.out and without_times(today.out) == without_times(former.out)
+    assert former.err == notice + today.err
+    assert door(["rehearse", "check", "no-such-night"]) == 2
+    assert capsys.readouterr().err.startswith(notice)
+    assert door(["rehearse", "nonsense"]) == 2
+    shown = CliRunner().invoke(tools, ["--help"]).output
+    assert "simulate" in shown and "rehearse" not in shown
+
+
+def without_times(figures: str) -> Any:
+    """Give the figures but for the CPU time that they took."""
+    return {key: value for key, value in json.loads(figures).items() if key != "core_time"}
 
 
 def test_a_broken_rule_is_printed_with_its_history_and_exit_status_1(
@@ -174,7 +196,7 @@
     monkeypatch.setattr("elderstall.engine.answers.Answers._overdue", lambda self, job: None)
     monkeypatch.setattr("elderstall.engine.attempts.Attempts.timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
-    assert door(["rehearse", "run", str(script)]) == 1
+    assert door(["simulate", "run", str(script)]) == 1
     told = capsys.readouterr().err
     assert "rule 1 broken" in told and "attempt 0 sent to w-" in told and "try 1 of fetch at n1" in told
 
