--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -34,7 +34,7 @@
 from benchmarks import random_events
 from elderstall.decisions import Dispatcher
 from elderstall.simulation.reading import ENDING, SHIPPED, find, read
-from elderstall.simulation.script import Night
+from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import World
 
 RECORDED = Path(__file__).parent.parent / "tests" / "data" / "decision_digests.json"
@@ -200,13 +200,13 @@
             figures = random_events.drive(name, seed)
         return result_of(figures, recorder)
     script, changes = VARIANTS.get(name, (name, ()))
-    return play_night(read(find(script), changes)[0], seed, recorder)
+    return play_scenario(read(find(script), changes)[0], seed, recorder)
 
 
-def play_night(night: Night, seed: int, recorder: Recorder) -> tuple[Digest, str]:
-    """Play a night; gives its digest and the canonical figures."""
+def play_scenario(scenario: Scenario, seed: int, recorder: Recorder) -> tuple[Digest, str]:
+    """Play a scenario; gives its digest and the canonical figures."""
     with recorded(recorder):
-        figures = World(night, seed).play()
+        figures = World(scenario, seed).play()
     return result_of(figures, recorder)
 
 
--- a/benchmarks/fidelity.py
+++ b/benchmarks/fidelity.py
@@ -42,7 +42,7 @@
 
 
 def script_of(day: dict[str, Any], name: str, rate: float) -> str:
-    """Describe a day as a night's script."""
+    """Describe a day as a scenario's script."""
     tier, clients, net = day["tiers"][0], day["clients"], day["net"]
     lines = [
         f"name {name}",
@@ -187,8 +187,8 @@
 
 
 def emulate(args: tuple[str, int]) -> dict[str, Any]:
-    night, _ = read(Path(args[0]))
-    return play(night, args[1])
+    scenario, _ = read(Path(args[0]))
+    return play(scenario, args[1])
 
 
 def spearman(a: list[float], b: list[float]) -> float:
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -21,8 +21,8 @@
 
 from elderstall.atomic_file import write_text_atomically
 from elderstall.decisions import Dispatcher
-from elderstall.simulation import script as s
 from elderstall.simulation.reading import find, read, with_parts
+from elderstall.simulation.scenario import Dispatchers, Scenario, TenantLoad, Traffic, Worker
 from elderstall.simulation.world import World
 
 spent = 0.0
@@ -42,38 +42,38 @@
     return timed
 
 
-def night_of(
+def scenario_of(
     workers: int, jobs: int, dispatchers: int | None = None, seconds: float | None = None
-) -> s.Night:
-    """Describe a calm, busy night of a size."""
+) -> Scenario:
+    """Describe a calm, busy scenario of a size."""
     base, _ = read(find("calm"))
     posts = dispatchers or max(4, workers // 10)
     rate = 3.0 * workers
     length = 1000 * (seconds or max(5.0, jobs / rate))
     quick = round(0.6 * workers)
     fleet = tuple(
-        s.Worker(f"w{n}", "fast-2c" if n < quick else "slow-2c", "bog-1", n // 4) for n in range(workers)
+        Worker(f"w{n}", "fast-2c" if n < quick else "slow-2c", "bog-1", n // 4) for n in range(workers)
     )
-    night = with_parts(
+    scenario = with_parts(
         base,
         name=f"{workers} workers",
         workers=fleet,
         length=length,
-        troubles=(),
-        dispatchers=s.Dispatchers((1.0,) * posts),
+        faults=(),
+        dispatchers=Dispatchers((1.0,) * posts),
     )
-    capacity = night.capacity * 1000 / night.mean_work
-    night = with_parts(night, load=s.Traffic(min(rate, 0.75 * capacity)))
-    scale = night.load.rate / sum(t.quota for t in night.tenants)
+    capacity = scenario.capacity * 1000 / scenario.mean_work
+    scenario = with_parts(scenario, load=Traffic(min(rate, 0.75 * capacity)))
+    scale = scenario.load.rate / sum(t.quota for t in scenario.tenants)
     return with_parts(
-        night, tenants=tuple(s.TenantLoad(t.name, t.share, t.quota * scale) for t in night.tenants)
+        scenario, tenants=tuple(TenantLoad(t.name, t.share, t.quota * scale) for t in scenario.tenants)
     )
 
 
-def measure(night: s.Night, profile: bool = False) -> dict[str, Any]:
-    """Play a night, and say what it took."""
+def measure(scenario: Scenario, profile: bool = False) -> dict[str, Any]:
+    """Play a scenario, and say what it took."""
     global spent
-    world = World(night, 1)
+    world = World(scenario, 1)
     profiler = cProfile.Profile() if profile else None
     spent, wall, cpu = 0.0, time.perf_counter(), time.process_time()
     if profiler is not None:
@@ -85,9 +85,9 @@
     wall, cpu = time.perf_counter() - wall, time.process_time() - cpu
     jobs = max(1, figures["requests"])
     return {
-        "workers": len(night.workers),
-        "dispatchers": len(night.dispatchers.weights),
-        "rate": round(night.load.rate, 1),
+        "workers": len(scenario.workers),
+        "dispatchers": len(scenario.dispatchers.weights),
+        "rate": round(scenario.load.rate, 1),
         "jobs": jobs,
         "night_s": round(world.loop.now / 1000, 1),
         "wall_s": round(wall, 2),
@@ -100,14 +100,14 @@
     }
 
 
-def bytes_a_job(night: s.Night) -> float:
+def bytes_a_job(scenario: Scenario) -> float:
     """Say what memory remains for each job that is over, and what an open one takes."""
     tracemalloc.start()
-    world = World(night, 1)
+    world = World(scenario, 1)
     world.begin()
-    world.loop.run(night.length / 2)
+    world.loop.run(scenario.length / 2)
     first, jobs = tracemalloc.get_traced_memory()[0], world.tally.requests
-    world.loop.run(night.length)
+    world.loop.run(scenario.length)
     second, more = tracemalloc.get_traced_memory()[0], world.tally.requests
     tracemalloc.stop()
     return (second - first) / max(1, more - jobs)
@@ -129,10 +129,10 @@
     sizes = [10] if args.hour else [int(n) for n in args.sizes.split(",")]
     for n in sizes:
         seconds = 3_600.0 if args.hour else args.seconds
-        night = night_of(n, args.jobs, args.dispatchers, seconds)
-        row = measure(night, args.profile)
+        scenario = scenario_of(n, args.jobs, args.dispatchers, seconds)
+        row = measure(scenario, args.profile)
         if args.memory:
-            row["bytes_left_a_job"] = round(bytes_a_job(night_of(n, args.jobs // 4, args.dispatchers)), 1)
+            row["bytes_left_a_job"] = round(bytes_a_job(scenario_of(n, args.jobs // 4, args.dispatchers)), 1)
         rows.append(row)
         print(json.dumps(row), flush=True)
     if args.json:
--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``elderstall simulate``: play nights, compare them, explain what became of a request."""
+"""``elderstall simulate``: play scenarios, compare them, explain what became of a request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from elderstall.cli.output import BAD, FAILED, GOOD, complain, write_json
 from elderstall.simulation.audit import lines_of
 from elderstall.simulation.reading import ENDING, SHIPPED, ScriptError, find, read
-from elderstall.simulation.script import Night
+from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import World
 
 settings = click.option(
@@ -29,16 +29,16 @@
 seed_option = click.option("--seed", type=click.IntRange(0), help="instead of the script's")
 
 
-def opened(name: str, changes: Sequence[str]) -> Night:
+def opened(name: str, changes: Sequence[str]) -> Scenario:
     """Read a script, and say what is odd about it; a faulty one ends the command."""
     try:
-        night, warnings = read(find(name), changes)
+        scenario, warnings = read(find(name), changes)
     except ScriptError as error:
         complain(str(error))
         raise click.exceptions.Exit(BAD) from None
     for warning in warnings:
         complain(f"warning: {warning}")
-    return night
+    return scenario
 
 
 def shown() -> Console:
@@ -60,11 +60,13 @@
     )
 
 
-def played(night: Night, seed: int | None, explain: int | None = None) -> tuple[dict[str, Any], World, float]:
-    """Play a night behind a progress bar; gives the CPU seconds that it took too."""
-    world = World(night, seed, explain)
+def played(
+    scenario: Scenario, seed: int | None, explain: int | None = None
+) -> tuple[dict[str, Any], World, float]:
+    """Play a scenario behind a progress bar; gives the CPU seconds that it took too."""
+    world = World(scenario, seed, explain)
     before = time.process_time()
-    with progress_bar(night.name) as bar:
+    with progress_bar(scenario.name) as bar:
         task = bar.add_task("", total=100)
         figures = world.play(lambda share: bar.update(task, completed=round(100 * share)))
     return figures, world, time.process_time() - before
@@ -76,7 +78,7 @@
 
 
 def show(figures: dict[str, Any], cpu: float) -> None:
-    """Print a night's figures as tables."""
+    """Print a scenario's figures as tables."""
     out, service, core = shown(), figures["service"], figures["core_time"]
 
     def say(*parts: str) -> None:
@@ -146,7 +148,7 @@
 
 @click.group()
 def simulate() -> None:
-    """Simulate bad nights in virtual time, with the real core and decisions inside."""
+    """Simulate bad scenarios in virtual time, with the real core and decisions inside."""
 
 
 @simulate.command()
@@ -158,12 +160,12 @@
 def run(
     script: str, seed: int | None, changes: tuple[str, ...], json_path: str | None, report: str | None
 ) -> int:
-    """Play the night SCRIPT, a file or the name of one that comes with the program.
+    """Play the scenario SCRIPT, a file or the name of one that comes with the program.
 
     Exit status 1 if a rule was broken.
     """
-    night = opened(script, changes)
-    figures, world, cpu = played(night, seed)
+    scenario = opened(script, changes)
+    figures, world, cpu = played(scenario, seed)
     if json_path:
         write_json(figures, json_path)
     if report:
@@ -183,32 +185,32 @@
 @settings
 @click.option("--json", "as_json", is_flag=True, help="for programs")
 def check(script: str, changes: tuple[str, ...], as_json: bool) -> int:
-    """Check the night SCRIPT and say what it holds, without playing it."""
-    night = opened(script, changes)
-    summary = summary_of(night)
+    """Check the scenario SCRIPT and say what it holds, without playing it."""
+    scenario = opened(script, changes)
+    summary = summary_of(scenario)
     if as_json:
         write_json(summary, "-")
     else:
         shown().print(
-            f"{night.name}: {summary['workers']} workers, {summary['dispatchers']} dispatchers, "
+            f"{scenario.name}: {summary['workers']} workers, {summary['dispatchers']} dispatchers, "
             f"{summary['rate']:g} jobs a second for {summary['length_s']:g} s, "
-            f"{percent(summary['load'])} of what the fleet can do, {len(night.troubles)} troubles"
+            f"{percent(summary['load'])} of what the fleet can do, {len(scenario.faults)} troubles"
         )
     return GOOD
 
 
-def summary_of(night: Night) -> dict[str, Any]:
-    """Say in figures what a night holds."""
-    rate = night.load.rate
+def summary_of(scenario: Scenario) -> dict[str, Any]:
+    """Say in figures what a scenario holds."""
+    rate = scenario.load.rate
     return {
-        "name": night.name,
-        "describe": night.describe,
-        "length_s": night.length / 1000,
-        "workers": len(night.workers),
-        "dispatchers": len(night.dispatchers.weights),
+        "name": scenario.name,
+        "describe": scenario.describe,
+        "length_s": scenario.length / 1000,
+        "workers": len(scenario.workers),
+        "dispatchers": len(scenario.dispatchers.weights),
         "rate": round(rate, 3),
-        "load": round(rate * night.mean_work / 1000 / night.capacity, 4),
-        "troubles": [t.kind for t in night.troubles],
+        "load": round(rate * scenario.mean_work / 1000 / scenario.capacity, 4),
+        "troubles": [t.kind for t in scenario.faults],
     }
 
 
@@ -222,7 +224,7 @@
     show_default=False,
 )
 def list_scripts(as_json: bool, folder: Path) -> int:
-    """List the nights that come with the program."""
+    """List the scenarios that come with the program."""
     rows, good = [], True
     for path in sorted(folder.glob(f"*{ENDING}")):
         try:
@@ -291,13 +293,13 @@
     processes: int | None,
     json_path: str | None,
 ) -> int:
-    """Compare the nights FIRST and SECOND, paired by seed, with 95% intervals of the difference."""
+    """Compare the scenarios FIRST and SECOND, paired by seed, with 95% intervals of the difference."""
     from elderstall.simulation.compare import compare as pair_up
 
-    nights = opened(first, changes), opened(second, (*changes, *second_changes))
-    with progress_bar(f"{nights[0].name}, {nights[1].name}") as bar:
+    scenarios = opened(first, changes), opened(second, (*changes, *second_changes))
+    with progress_bar(f"{scenarios[0].name}, {scenarios[1].name}") as bar:
         task = bar.add_task("", total=2 * len(seeds))
-        table, pairs = pair_up(nights, seeds, lambda: bar.advance(task), processes)
+        table, pairs = pair_up(scenarios, seeds, lambda: bar.advance(task), processes)
     broken = sum(side["rules"]["broken"] for pair in pairs for side in pair)
     if json_path:
         write_json(
@@ -372,7 +374,7 @@
     seed: int | None,
     changes: tuple[str, ...],
 ) -> int:
-    """Put the workers, the list and the troubles of SCRIPT on loopback sockets, in real time.
+    """Put the workers, the list and the faults of SCRIPT on loopback sockets, in real time.
 
     Dispatchers are started by hand with the configuration written for each. At the end, or at an interrupt,
     what ran is printed as JSON; exit status 1 if a job of a class that must not repeat has run twice.
--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -1,11 +1,11 @@
-"""The auditor: it watches from outside, shares nothing with the core, and holds the night to the rules.
+"""The auditor: it watches from outside, shares nothing with the core, and holds the scenario to the rules.
 
 1. What a dispatcher has taken is answered once and finally, in time, while the dispatcher lives.
 2. What may have run goes again only as its class allows, never in two copies; nothing unsafe runs twice.
 3. Nothing new goes to a worker later than the grace after the dispatcher was told that it drains or is gone.
 4. No cold worker is pushed over by dispatchers that had been told of its start.
 
-It is fed by the network, the machines and the clients, never by the dispatchers' own account of themselves.
+It is fed by the network, the workers and the clients, never by the dispatchers' own account of themselves.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     WorkerState,
 )
 from elderstall.messages import Answer, Rejected, Served
-from elderstall.simulation.script import EPOCH, Rules
+from elderstall.simulation.scenario import EPOCH, Rules
 
 if TYPE_CHECKING:
     from elderstall.simulation.clients import Request, Try
+    from elderstall.simulation.dispatcher_host import Process
     from elderstall.simulation.loop import VirtualTime
-    from elderstall.simulation.machine import Machine
-    from elderstall.simulation.station import Process
-    from elderstall.simulation.wire import Errand
+    from elderstall.simulation.upstream import SimulatedAttempt
+    from elderstall.simulation.worker_host import WorkerHost
 
 TO_BLAME = 2 / 3  # of the work that pushed a worker over came from dispatchers told of its start: rule 4
 KEPT = 200  # broken rules that are kept with their history; further ones are counted
@@ -121,20 +121,20 @@
             if up:
                 starts[e.worker] = e.started
 
-    def informed(self, process: Process, machine: Machine) -> bool:
+    def informed(self, process: Process, worker_host: WorkerHost) -> bool:
         """Say whether a dispatcher had been told of a worker's present start."""
-        if machine.model.started is None:
+        if worker_host.model.started is None:
             return True
-        return self.starts.get(id(process), {}).get(machine.name) == EPOCH + machine.model.started
+        return self.starts.get(id(process), {}).get(worker_host.name) == EPOCH + worker_host.model.started
 
-    def fell(self, machine: Machine) -> None:
+    def fell(self, worker_host: WorkerHost) -> None:
         """Note that a cold worker was pushed over; who is to blame hangs on what they knew."""
-        if machine.model.blame >= TO_BLAME:
-            age = self.loop.now - (machine.model.started or 0.0)
+        if worker_host.model.blame >= TO_BLAME:
+            age = self.loop.now - (worker_host.model.started or 0.0)
             self.breaks(
                 4,
-                f"{machine.name} was pushed over {age:.0f} ms after its start; "
-                f"{machine.model.blame:.0%} of the work came from dispatchers told of it",
+                f"{worker_host.name} was pushed over {age:.0f} ms after its start; "
+                f"{worker_host.model.blame:.0%} of the work came from dispatchers told of it",
             )
 
     # ---- a try ----
@@ -143,18 +143,18 @@
         """Note that a dispatcher has a client's try."""
         self.taken_count += 1
         self.watched[tried.request_id] = Watched(tried.deadline, tried.request)
-        station = tried.process.station.name if tried.process is not None else "?"
+        dispatcher_host = tried.process.dispatcher_host.name if tried.process is not None else "?"
         load = tried.request.load
         self.note(
             tried.request,
-            f"try {tried.number} of {load.cls.name} at {station}, "
+            f"try {tried.number} of {load.cls.name} at {dispatcher_host}, "
             f"{tried.deadline - self.loop.now:.0f} ms left",
         )
 
-    def sent(self, errand: Errand) -> None:
+    def sent(self, attempt: SimulatedAttempt) -> None:
         """Check a send."""
-        tried, request, worker = errand.tried, errand.job, errand.machine.name
-        self.note(request, f"attempt {errand.number} sent to {worker}")
+        tried, request, worker = attempt.tried, attempt.job, attempt.worker_host.name
+        self.note(request, f"attempt {attempt.number} sent to {worker}")
         watched = self.watched.get(tried.request_id)
         if watched is None:
             self.breaks(1, f"attempt for {tried.request_id}, which is answered", request)
@@ -173,7 +173,7 @@
                     request,
                 )
             elif now - earlier.at > cls.deduplication_window or not self.same_group(
-                cls, earlier, errand.machine
+                cls, earlier, attempt.worker_host
             ):
                 self.breaks(
                     2,
@@ -182,30 +182,31 @@
                 )
         if len(watched.sent) >= self.rules.max_attempts:
             self.breaks(2, f"attempt {len(watched.sent) + 1} of {tried.request_id}", request)
-        up, since = self.states.get(id(errand.wire.process), {}).get(worker, (False, -1e18))
+        up, since = self.states.get(id(attempt.upstream.process), {}).get(worker, (False, -1e18))
         if not up and now - since > self.rules.drain_grace:
             self.breaks(
                 3,
                 f"{tried.request_id} sent to {worker}, told draining or gone {now - since:.0f} ms before",
                 request,
             )
-        spec = errand.machine.spec
-        watched.sent.append(Sent(worker, spec.zone, spec.cell, now, errand.number))
+        spec = attempt.worker_host.spec
+        watched.sent.append(Sent(worker, spec.zone, spec.cell, now, attempt.number))
 
     @staticmethod
-    def same_group(job_class: JobClass, earlier: Sent, machine: Machine) -> bool:
-        """Say whether a repeat at a machine is dropped after an earlier attempt."""
-        spec = machine.spec
+    def same_group(job_class: JobClass, earlier: Sent, worker_host: WorkerHost) -> bool:
+        """Say whether a repeat at a worker host is dropped after an earlier attempt."""
+        spec = worker_host.spec
         if job_class.scope is Scope.ALL:
             return True
         return earlier.zone == spec.zone and (job_class.scope is Scope.ZONE or earlier.cell == spec.cell)
 
-    def started(self, errand: Errand) -> None:
+    def started(self, attempt: SimulatedAttempt) -> None:
         """Note that an attempt has begun to run: for what must never run twice, the truth."""
-        request = errand.job
+        request = attempt.job
         request.runs += 1
         self.note(
-            request, f"attempt {errand.number} of try {errand.tried.number} runs at {errand.machine.name}"
+            request,
+            f"attempt {attempt.number} of try {attempt.tried.number} runs at {attempt.worker_host.name}",
         )
         if request.runs > 1 and request.load.cls.effect is Effect.NOT_IDEMPOTENT:
             self.breaks(
@@ -214,26 +215,26 @@
                 request,
             )
 
-    def ended(self, errand: Errand, ending: Ending) -> None:
+    def ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
         """Note how an attempt ended, as its dispatcher was told."""
-        self.note(errand.job, f"attempt {errand.number} at {errand.machine.name}: {ending.value}")
-        sent = self.find(errand)
+        self.note(attempt.job, f"attempt {attempt.number} at {attempt.worker_host.name}: {ending.value}")
+        sent = self.find(attempt)
         if sent is not None and sent.out:
             sent.out, sent.proven = False, ending in NEVER_RAN
 
-    def given_up(self, errand: Errand) -> None:
+    def given_up(self, attempt: SimulatedAttempt) -> None:
         """Note that a dispatcher no longer waits for an attempt."""
-        self.note(errand.job, f"attempt {errand.number} at {errand.machine.name}: given up")
-        sent = self.find(errand)
+        self.note(attempt.job, f"attempt {attempt.number} at {attempt.worker_host.name}: given up")
+        sent = self.find(attempt)
         if sent is not None and sent.out:
-            sent.out, sent.proven = False, not errand.written
+            sent.out, sent.proven = False, not attempt.written
 
-    def find(self, errand: Errand) -> Sent | None:
+    def find(self, attempt: SimulatedAttempt) -> Sent | None:
         """Find what is held of an attempt."""
-        watched = self.watched.get(errand.tried.request_id)
+        watched = self.watched.get(attempt.tried.request_id)
         if watched is None:
             return None
-        return next((s for s in watched.sent if s.number == errand.number), None)
+        return next((s for s in watched.sent if s.number == attempt.number), None)
 
     def answered(self, tried: Try, answer: Answer) -> None:
         """Check a final answer."""
@@ -276,7 +277,7 @@
         self.watched.pop(tried.request_id, None)
 
     def close(self) -> None:
-        """Check at the night's end that nothing is owed."""
+        """Check at the scenario's end that nothing is owed."""
         for request_id, watched in self.watched.items():
             if self.loop.now > watched.deadline + self.rules.slack:
                 self.breaks(1, f"{request_id} was never answered", watched.request)
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -12,11 +12,11 @@
 from elderstall.interface import Effect
 from elderstall.messages import Answer, Failed, Rejected, Served
 from elderstall.simulation.draws import Choice
-from elderstall.simulation.script import ClassLoad, Traffic
+from elderstall.simulation.scenario import ClassLoad, Traffic
 
 if TYPE_CHECKING:
-    from elderstall.simulation.station import Process, Station
-    from elderstall.simulation.wire import Errand
+    from elderstall.simulation.dispatcher_host import DispatcherHost, Process
+    from elderstall.simulation.upstream import SimulatedAttempt
     from elderstall.simulation.world import World
 
 
@@ -27,6 +27,7 @@
         "asked",
         "current",
         "deadline",
+        "dispatcher_host",
         "ended",
         "heeds",
         "hint",
@@ -39,7 +40,6 @@
         "runs",
         "saved",
         "slots",
-        "station",
         "tenant",
         "tries",
         "work",
@@ -54,7 +54,7 @@
         self.hint: float | None = None
         self.slots = 1
         self.in_share = self.heeds = True
-        self.station: Station | None = None
+        self.dispatcher_host: DispatcherHost | None = None
         self.tries = self.runs = 0
         self.retries = 0
         self.leaves = math.inf
@@ -70,7 +70,7 @@
 
     @property
     def aim(self) -> float:
-        """When its answer is wanted: a reading of the night's clock."""
+        """When its answer is wanted: a reading of the scenario's clock."""
         cls = self.load.cls
         return self.asked + min(cls.latency_objective + cls.stretch * self.work, cls.deadline)
 
@@ -101,7 +101,7 @@
         self.job = 0
         self.attempts = 0
         self.over = self.joined = False
-        self.served_by: Errand | None = None
+        self.served_by: SimulatedAttempt | None = None
 
     def answered(self, answer: Answer) -> None:
         """Take the one final answer; see ``messages.Client``."""
@@ -128,51 +128,57 @@
 
 
 class Clients:
-    """All clients of a night."""
+    """All clients of a scenario."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.night, self.spec = world, world.night, world.night.clients
+        self.world, self.scenario, self.spec = world, world.scenario, world.scenario.clients
         draws = world.draws
         self.count = 0
         self.open: dict[int, Request] = {}
-        loads = self.night.classes
+        loads = self.scenario.classes
         self.shares = [c.share for c in loads]
         self.tails: dict[str, list[tuple[float, float]]] = {c.cls.name: [] for c in loads}  # chance, factor
-        self.tokens = {t.name: (max(1.0, t.quota), 0.0) for t in self.night.tenants}
-        self.quotas = {t.name: t.quota for t in self.night.tenants}
+        self.tokens = {t.name: (max(1.0, t.quota), 0.0) for t in self.scenario.tenants}
+        self.quotas = {t.name: t.quota for t in self.scenario.tenants}
         self.waits = draws.uniform("client", "waits")
         self.joins = draws.uniform("client", "joins")
         self.library = Library(self) if self.spec.policy == "library" else None
-        self.hop = draws.spread(self.night.network.jitter, "client", "hops")
+        self.hop = draws.spread(self.scenario.network.jitter, "client", "hops")
 
-    def begin(self, stations: list[Station]) -> None:
+    def begin(self, dispatcher_hosts: list[DispatcherHost]) -> None:
         """Have requests arrive at every dispatcher, in proportion to their weights."""
-        total = sum(station.weight for station in stations)
-        for station in stations:
-            if station.weight > 0:
-                rate = self.night.load.rate * station.weight / total / 1000
-                Arrivals(self, station, rate, "").next()
+        total = sum(dispatcher_host.weight for dispatcher_host in dispatcher_hosts)
+        for dispatcher_host in dispatcher_hosts:
+            if dispatcher_host.weight > 0:
+                rate = self.scenario.load.rate * dispatcher_host.weight / total / 1000
+                Arrivals(self, dispatcher_host, rate, "").next()
 
     def rush(
-        self, stations: list[Station], factor: float, ramp: float, at: float, length: float, name: str
+        self,
+        dispatcher_hosts: list[DispatcherHost],
+        factor: float,
+        ramp: float,
+        at: float,
+        length: float,
+        name: str,
     ) -> None:
         """Have further requests come for a while: the others stay as they are."""
-        total = sum(station.weight for station in stations)
-        for station in stations:
-            if station.weight > 0:
-                rate = self.night.load.rate * (factor - 1) * station.weight / total / 1000
-                Arrivals(self, station, rate, name, at, length, ramp).next()
+        total = sum(dispatcher_host.weight for dispatcher_host in dispatcher_hosts)
+        for dispatcher_host in dispatcher_hosts:
+            if dispatcher_host.weight > 0:
+                rate = self.scenario.load.rate * (factor - 1) * dispatcher_host.weight / total / 1000
+                Arrivals(self, dispatcher_host, rate, name, at, length, ramp).next()
 
     # ---- a request ----
 
-    def arrive(self, station: Station, source: Arrivals) -> None:
+    def arrive(self, dispatcher_host: DispatcherHost, source: Arrivals) -> None:
         """Make a request and send it."""
         world, now = self.world, self.world.loop.now
         self.count += 1
         n = source.choose()
-        load = self.night.classes[n]
+        load = self.scenario.classes[n]
         request = Request(self.count, load, now)
-        request.station = station
+        request.dispatcher_host = dispatcher_host
         request.work = next(source.works[n])
         for chance, factor in self.tails[load.cls.name]:
             if next(source.tail) < chance:
@@ -182,10 +188,10 @@
             request.hint = request.work * next(source.hints[n])
         if len(load.slots) > 1:
             request.slots = source.slots[n]() + 1
-        if self.night.tenants:
-            request.tenant = self.night.tenants[source.tenant()].name
+        if self.scenario.tenants:
+            request.tenant = self.scenario.tenants[source.tenant()].name
             request.in_share = self.meter(request.tenant)
-        rules = self.night.rules
+        rules = self.scenario.rules
         request.worth = (
             load.cls.priority_weight
             * (request.work * request.slots if rules.worth_by_work else 1.0)
@@ -216,7 +222,7 @@
 
     def delay(self) -> float:
         """Draw the time of one way between a client and its dispatcher, ms."""
-        mean = self.night.network.client_delay
+        mean = self.scenario.network.client_delay
         return mean * next(self.hop) if mean > 0 else 0.0
 
     def send(self, request: Request) -> None:
@@ -232,15 +238,15 @@
 
     def reach(self, tried: Try) -> None:
         """Reach the dispatcher, if one is there."""
-        request, station, world = tried.request, tried.request.station, self.world
+        request, dispatcher_host, world = tried.request, tried.request.dispatcher_host, self.world
         if request.ended is not None:
             return
-        assert station is not None
-        process = station.process
-        if process is not None and station.lives > 1 and not tried.joined:
+        assert dispatcher_host is not None
+        process = dispatcher_host.process
+        if process is not None and dispatcher_host.lives > 1 and not tried.joined:
             # It was away: each client finds it again at a moment of its own.
             tried.joined = True
-            back = station.since + self.spec.reconnect * next(self.joins)
+            back = dispatcher_host.since + self.spec.reconnect * next(self.joins)
             if back > world.loop.now:
                 world.loop.at(min(back, request.deadline), self.reach, tried)
                 return
@@ -329,17 +335,17 @@
         spec = clients.spec
         self.habits = Habits(max_tries=spec.max_tries)
         # One budget for the clients of each dispatcher, as each client process has one.
-        self.budgets = [RetryBudget(spec.retry_share) for _ in clients.night.dispatchers.weights]
+        self.budgets = [RetryBudget(spec.retry_share) for _ in clients.scenario.dispatchers.weights]
         self.calls: dict[int, Call] = {}
 
     def begin(self, request: Request) -> None:
         """Start a request's call."""
-        cls, station = request.load.cls, request.station
-        assert station is not None
+        cls, dispatcher_host = request.load.cls, request.dispatcher_host
+        assert dispatcher_host is not None
         call = self.calls[request.number] = Call(
             Rule(cls.name, cls.deadline, request.safe),
             self.habits,
-            self.budgets[station.rank],
+            self.budgets[dispatcher_host.rank],
             self.world.loop.now,
             lambda: "",
             self.clients.waits,
@@ -385,29 +391,31 @@
     def __init__(
         self,
         clients: Clients,
-        station: Station,
+        dispatcher_host: DispatcherHost,
         rate: float,
         name: str,
         at: float = 0.0,
         length: float | None = None,
         ramp: float = 0.0,
     ) -> None:
-        self.clients, self.station, self.rate, self.ramp = clients, station, rate, ramp
-        world, night = clients.world, clients.night
-        self.loop, self.load = world.loop, night.load
-        self.at, self.end = at, min(night.length, math.inf if length is None else at + length)
-        draws, words = world.draws, (station.name, name)
+        self.clients, self.dispatcher_host, self.rate, self.ramp = clients, dispatcher_host, rate, ramp
+        world, scenario = clients.world, clients.scenario
+        self.loop, self.load = world.loop, scenario.load
+        self.at, self.end = at, min(scenario.length, math.inf if length is None else at + length)
+        draws, words = world.draws, (dispatcher_host.name, name)
         self.gaps = draws.exponential("arrivals", *words)
         self.keep = draws.uniform("arrivals", "kept", *words)
         self.choose = Choice(clients.shares, draws.uniform("class", *words))
         self.works: list[Iterator[float]] = [
-            draws.work(c.distribution, c.work, c.spread, "work", c.cls.name, *words) for c in night.classes
+            draws.work(c.distribution, c.work, c.spread, "work", c.cls.name, *words) for c in scenario.classes
+        ]
+        self.hints = [
+            draws.spread(c.hint_spread or 0.0, "hints", c.cls.name, *words) for c in scenario.classes
         ]
-        self.hints = [draws.spread(c.hint_spread or 0.0, "hints", c.cls.name, *words) for c in night.classes]
-        self.slots = [Choice(c.slots, draws.uniform("slots", c.cls.name, *words)) for c in night.classes]
+        self.slots = [Choice(c.slots, draws.uniform("slots", c.cls.name, *words)) for c in scenario.classes]
         self.tail = draws.uniform("tail", *words)
         self.habits = draws.uniform("habits", *words)
-        self.tenant = Choice([t.share for t in night.tenants] or [1.0], draws.uniform("tenant", *words))
+        self.tenant = Choice([t.share for t in scenario.tenants] or [1.0], draws.uniform("tenant", *words))
         self.most = peak(self.load)
         self.when = max(world.loop.now, at)
 
@@ -430,7 +438,7 @@
 
     def come(self) -> None:
         """Arrive, and plan the next."""
-        self.clients.arrive(self.station, self)
+        self.clients.arrive(self.dispatcher_host, self)
         self.next()
 
 
--- a/elderstall/simulation/compare.py
+++ b/elderstall/simulation/compare.py
@@ -1,4 +1,4 @@
-"""Compares two nights paired by seed: the same seeds on both sides, and the difference with its interval."""
+"""Compares two scenarios paired by seed: the same seeds on both sides, the difference with its interval."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from statistics import fmean, stdev
 from typing import Any
 
-from elderstall.simulation.script import Night
+from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import play
 
 # Quantiles of Student's t at 97.5% by degrees of freedom, 1 to 30; beyond, the normal one is close.
@@ -93,16 +93,18 @@
 
 
 def compare(
-    nights: tuple[Night, Night],
+    scenarios: tuple[Scenario, Scenario],
     seeds: Sequence[int],
     done: Callable[[], None] = lambda: None,
     processes: int | None = None,
 ) -> tuple[list[Difference], list[tuple[dict[str, Any], dict[str, Any]]]]:
-    """Play both nights under each seed, side by side, and compare. ``done`` is called after each play."""
+    """Play both scenarios under each seed, side by side, and compare. ``done`` is called after each play."""
     results: dict[tuple[int, int], dict[str, Any]] = {}
     with ProcessPoolExecutor(processes) as pool:
         plays = {
-            pool.submit(play, night, seed): (n, seed) for seed in seeds for n, night in enumerate(nights)
+            pool.submit(play, scenario, seed): (n, seed)
+            for seed in seeds
+            for n, scenario in enumerate(scenarios)
         }
         for one in as_completed(plays):
             results[plays[one]] = one.result()
--- a/elderstall/simulation/station.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -10,8 +10,8 @@
 from elderstall.interface import Ending, Endpoint, ListScope
 from elderstall.log import Log
 from elderstall.messages import JobRequest
-from elderstall.simulation.script import EPOCH
-from elderstall.simulation.wire import Errand, Wire
+from elderstall.simulation.scenario import EPOCH
+from elderstall.simulation.upstream import SimulatedAttempt, SimulatedUpstream
 
 if TYPE_CHECKING:
     from elderstall.simulation.clients import Try
@@ -38,19 +38,19 @@
 class Process:
     """One life of a dispatcher."""
 
-    def __init__(self, station: Station, seed: int) -> None:
-        self.station, self.world = station, station.world
+    def __init__(self, dispatcher_host: DispatcherHost, seed: int) -> None:
+        self.dispatcher_host, self.world = dispatcher_host, dispatcher_host.world
         world = self.world
         self.deadlines = Deadlines(world.loop, world.loop.seconds, EPOCH + world.loop.now)
         self.deadlines.failed = lambda error: world.log.failure("deadline", error)
         self.alive, self.leaving = True, False
-        self.wire = Wire(self)
-        rules = world.night.rules
+        self.upstream = SimulatedUpstream(self)
+        rules = world.scenario.rules
         self.engine = Engine(
-            world.night.settings(station.rank),
+            world.scenario.settings(dispatcher_host.rank),
             seed,
             self.deadlines,
-            self.wire,
+            self.upstream,
             world.log,
             rules.slack,
             rules.max_open,
@@ -62,9 +62,9 @@
 
     def begin(self) -> None:
         """Start with the list as this dispatcher last held it."""
-        self.version, entries = self.station.known
+        self.version, entries = self.dispatcher_host.known
         self.world.audit.told(self, ListScope.WHOLE, entries)
-        self.wire.listed(entries, whole=True)
+        self.upstream.listed(entries, whole=True)
         self.engine.start(entries)
 
     def told(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
@@ -74,14 +74,14 @@
         if scope not in (ListScope.FAILED, ListScope.SILENT):
             self.version = version
             self.world.audit.told(self, scope, entries)
-            self.wire.listed(entries, whole=scope is ListScope.WHOLE)
+            self.upstream.listed(entries, whole=scope is ListScope.WHOLE)
         self.engine.endpoints.take(scope, entries)
 
     def take(self, tried: Try, budget: float) -> bool:
         """Take a client's try on; says no where there is no room."""
         while self.answered:
             request_id = self.answered.popleft()
-            self.wire.ended(request_id)
+            self.upstream.ended(request_id)
             self.tries.pop(request_id, None)
         request = tried.request
         load = request.load
@@ -104,10 +104,10 @@
             return False
         return True
 
-    def audit_ended(self, errand: Errand, ending: Ending) -> None:
+    def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
         """Tell the auditor what this process has learned of an attempt."""
         if self.alive:
-            self.world.audit.ended(errand, ending)
+            self.world.audit.ended(attempt, ending)
 
     def die(self) -> None:
         """End at once; nothing of it is heard any more, and its clients see their connections reset."""
@@ -115,7 +115,7 @@
             return
         self.alive = False
         self.world.listing.forget(self)
-        self.wire.close()
+        self.upstream.close()
         heap, self.deadlines.heap = self.deadlines.heap, []
         for _, _, deadline in heap:
             deadline.cancel()
@@ -127,7 +127,7 @@
             tried.lost()
 
 
-class Station:
+class DispatcherHost:
     """A dispatcher's place: its name and address, whoever serves there."""
 
     def __init__(self, world: World, rank: int, weight: float) -> None:
@@ -154,7 +154,9 @@
         """Restart as planned: serve on for a while, then take nothing new, and end once all is answered."""
         process = self.process
         if process is not None:
-            self.world.loop.after(self.world.night.dispatchers.drain_for, self.stop_taking, process, back_in)
+            self.world.loop.after(
+                self.world.scenario.dispatchers.drain_for, self.stop_taking, process, back_in
+            )
 
     def stop_taking(self, process: Process, back_in: float) -> None:
         """Take nothing new."""
--- a/elderstall/simulation/draws.py
+++ b/elderstall/simulation/draws.py
@@ -1,6 +1,6 @@
 """Random numbers by purpose: one generator each, so that a change in one place leaves the others alone.
 
-A stream is named by words ("arrivals", "n1"). Its numpy generator is spawned from the night's seed and a hash
+A stream is named by words ("arrivals", "n1"). Its numpy generator is spawned from the seed and a hash
 of those words that is alike in every process; see numpy's "Parallel random number generation".
 """
 
@@ -19,7 +19,7 @@
 
 
 class Draws:
-    """Streams of random numbers of one night."""
+    """Streams of random numbers of one scenario."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
--- a/elderstall/simulation/troubles.py
+++ b/elderstall/simulation/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a night: the script's troubles, carried out on machines, list and load."""
+"""What goes wrong in a scenario: the script's faults, carried out on worker hosts, list and load."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from typing import TYPE_CHECKING
 
 from elderstall.simulation.reading import select
-from elderstall.simulation.script import Trouble
+from elderstall.simulation.scenario import Fault
 
 if TYPE_CHECKING:
-    from elderstall.simulation.machine import Machine
-    from elderstall.simulation.station import Station
+    from elderstall.simulation.dispatcher_host import DispatcherHost
+    from elderstall.simulation.worker_host import WorkerHost
     from elderstall.simulation.world import World
 
 RAMP_STEPS = 10  # a slow-down comes and goes in so many steps
 
 
-class Troubles:
-    """All of a night."""
+class Faults:
+    """All of a scenario."""
 
     def __init__(self, world: World) -> None:
         self.world, self.loop = world, world.loop
-        self.acts: dict[str, Callable[[Trouble, int], None]] = {
+        self.acts: dict[str, Callable[[Fault, int], None]] = {
             "slow": self.slow,
             "pause": self.pause,
             "fail": self.fail,
@@ -39,54 +39,56 @@
 
     def begin(self) -> None:
         """Plan all of them."""
-        for n, trouble in enumerate(self.world.night.troubles):
-            self.acts[trouble.kind](trouble, n)
+        for n, fault in enumerate(self.world.scenario.faults):
+            self.acts[fault.kind](fault, n)
 
     # ---- whom it strikes ----
 
-    def struck(self, t: Trouble, n: int) -> list[Machine]:
+    def struck(self, t: Fault, n: int) -> list[WorkerHost]:
         """Choose the workers: by name, or a share drawn; without either all."""
-        machines = self.world.machines
+        worker_hosts = self.world.worker_hosts
         if t.workers:
-            chosen = [name for word in t.workers for name in select(word, machines)]
+            chosen = [name for word in t.workers for name in select(word, worker_hosts)]
         else:
-            chosen = self.drawn(list(machines), 1.0 if t.share is None else t.share, n)
+            chosen = self.drawn(list(worker_hosts), 1.0 if t.share is None else t.share, n)
         chosen = list(dict.fromkeys(chosen))
         self.world.struck.setdefault(n, []).extend(chosen)
-        return [machines[name] for name in chosen]
+        return [worker_hosts[name] for name in chosen]
 
     def drawn(self, names: list[str], share: float, n: int) -> list[str]:
         """Draw a share of them, one at least, in an order of its own; alike for the same seed."""
         order = self.world.draws.generator("trouble", str(n)).permutation(len(names))
         return [names[k] for k in order[: max(1, round(share * len(names)))]] if share > 0 else []
 
-    def posts(self, t: Trouble, n: int) -> list[Station]:
+    def posts(self, t: Fault, n: int) -> list[DispatcherHost]:
         """Choose the dispatchers."""
-        stations = {station.name: station for station in self.world.stations}
+        dispatcher_hosts = {
+            dispatcher_host.name: dispatcher_host for dispatcher_host in self.world.dispatcher_hosts
+        }
         if t.dispatchers:
-            chosen = [name for word in t.dispatchers for name in select(word, stations)]
+            chosen = [name for word in t.dispatchers for name in select(word, dispatcher_hosts)]
         else:
-            chosen = self.drawn(list(stations), 1.0 if t.share is None else t.share, n)
+            chosen = self.drawn(list(dispatcher_hosts), 1.0 if t.share is None else t.share, n)
         self.world.struck.setdefault(n, []).extend(chosen)
-        return [stations[name] for name in chosen]
+        return [dispatcher_hosts[name] for name in chosen]
 
     def each(
         self,
-        t: Trouble,
+        t: Fault,
         n: int,
-        act: Callable[[Machine], None],
-        undo: Callable[[Machine], None] | None = None,
+        act: Callable[[WorkerHost], None],
+        undo: Callable[[WorkerHost], None] | None = None,
     ) -> None:
-        """Strike one after the other, and let each go after the trouble's length."""
-        for k, machine in enumerate(self.struck(t, n)):
+        """Strike one after the other, and let each go after the fault's length."""
+        for k, worker_host in enumerate(self.struck(t, n)):
             at = t.at + k * t.apart
-            self.loop.at(at, act, machine)
+            self.loop.at(at, act, worker_host)
             if undo is not None:
-                self.loop.at(at + t.length, undo, machine)
+                self.loop.at(at + t.length, undo, worker_host)
 
     # ---- workers ----
 
-    def slow(self, t: Trouble, n: int) -> None:
+    def slow(self, t: Fault, n: int) -> None:
         """Run slower; with a ramp in steps."""
         steps = RAMP_STEPS if t.ramp > 0 else 1
         factors = [1 + (t.factor - 1) * (k + 1) / steps for k in range(steps)]
@@ -95,99 +97,99 @@
             before = factors[k - 1] if k else None
             changes.append((t.at + t.ramp * k / steps, before, factor))
             changes.append((t.ends - t.ramp * k / steps, factor, before))
-        for machine in self.struck(t, n):
+        for worker_host in self.struck(t, n):
             for at, old, new in changes:
-                self.loop.at(at, machine.slow_by, old, new)
+                self.loop.at(at, worker_host.slow_by, old, new)
 
-    def pause(self, t: Trouble, n: int) -> None:
+    def pause(self, t: Fault, n: int) -> None:
         """Stand still."""
         self.each(t, n, lambda m: m.pause(True), lambda m: m.pause(False))
 
-    def fail(self, t: Trouble, n: int) -> None:
+    def fail(self, t: Fault, n: int) -> None:
         """Fail a share of the jobs."""
         entry = (t.chance, t.after)
         self.each(t, n, lambda m: m.failing.append(entry), lambda m: m.failing.remove(entry))
 
-    def reset(self, t: Trouble, n: int) -> None:
+    def reset(self, t: Fault, n: int) -> None:
         """Reset a share of the connections as a job is written to them."""
         self.each(t, n, lambda m: m.resetting.append(t.chance), lambda m: m.resetting.remove(t.chance))
 
-    def vanish(self, t: Trouble, n: int) -> None:
+    def vanish(self, t: Fault, n: int) -> None:
         """Say nothing more, and lose all; come back as a new process."""
-        notice = self.world.night.listing.silent_notice
+        notice = self.world.scenario.listing.silent_notice
 
-        def go(m: Machine) -> None:
+        def go(m: WorkerHost) -> None:
             m.silent += 1
             m.die()
             self.world.listing.changed(m, notice)
 
-        def back(m: Machine) -> None:
+        def back(m: WorkerHost) -> None:
             m.silent -= 1
             if not m.silent and not m.model.up:
                 m.start()
 
         self.each(t, n, go, back)
 
-    def restart(self, t: Trouble, n: int) -> None:
+    def restart(self, t: Fault, n: int) -> None:
         """Lose the process, and start it anew, cold."""
 
-        def go(m: Machine) -> None:
+        def go(m: WorkerHost) -> None:
             m.die()
-            self.world.listing.changed(m, self.world.night.listing.notice)
+            self.world.listing.changed(m, self.world.scenario.listing.notice)
 
         self.each(t, n, go, lambda m: self.back(m, t))
 
-    def back(self, m: Machine, t: Trouble) -> None:
-        """Start a machine's process anew, unless something else has already."""
+    def back(self, m: WorkerHost, t: Fault) -> None:
+        """Start a worker host's process anew, unless something else has already."""
         if not m.model.up and not m.silent:
             m.start(t.cold_share)
 
-    def drain(self, t: Trouble, n: int) -> None:
+    def drain(self, t: Fault, n: int) -> None:
         """Drain, end once nothing is left or the time is up, and come back as a new process."""
 
-        def back(m: Machine) -> None:
+        def back(m: WorkerHost) -> None:
             if m.model.draining:
                 m.die()
                 m.start(t.cold_share)
 
         self.each(t, n, lambda m: m.drain(), back)
 
-    def cold(self, t: Trouble, n: int) -> None:
+    def cold(self, t: Fault, n: int) -> None:
         """Come into service only then, cold."""
-        for k, machine in enumerate(self.struck(t, n)):
-            self.world.absent.add(machine.name)
-            self.loop.at(t.at + k * t.apart, self.back, machine, t)
+        for k, worker_host in enumerate(self.struck(t, n)):
+            self.world.absent.add(worker_host.name)
+            self.loop.at(t.at + k * t.apart, self.back, worker_host, t)
 
-    def cut_off(self, t: Trouble, n: int) -> None:
+    def cut_off(self, t: Fault, n: int) -> None:
         """Cut the paths between workers and dispatchers: nothing said there arrives."""
-        machines = self.struck(t, n)
-        ranks = [s.rank for s in (self.posts(t, n) if t.dispatchers else self.world.stations)]
-        pairs = [(rank, machine.name) for machine in machines for rank in ranks]
+        worker_hosts = self.struck(t, n)
+        ranks = [s.rank for s in (self.posts(t, n) if t.dispatchers else self.world.dispatcher_hosts)]
+        pairs = [(rank, worker_host.name) for worker_host in worker_hosts for rank in ranks]
         self.loop.at(t.at, self.world.cut.update, pairs)
         self.loop.at(t.ends, self.world.cut.subtract, pairs)
 
     # ---- load, list, dispatchers ----
 
-    def burst(self, t: Trouble, n: int) -> None:
+    def burst(self, t: Fault, n: int) -> None:
         """Have more requests come."""
-        self.world.clients.rush(self.world.stations, t.factor, t.ramp, t.at, t.length, f"burst {n}")
+        self.world.clients.rush(self.world.dispatcher_hosts, t.factor, t.ramp, t.at, t.length, f"burst {n}")
 
-    def heavy_tail(self, t: Trouble, n: int) -> None:
+    def heavy_tail(self, t: Fault, n: int) -> None:
         """Have a share of one class cost more."""
         tails, entry = self.world.clients.tails[t.job_class], (t.chance, t.factor)
         self.loop.at(t.at, tails.append, entry)
         self.loop.at(t.ends, tails.remove, entry)
 
-    def list_down(self, t: Trouble, n: int) -> None:
+    def list_down(self, t: Fault, n: int) -> None:
         """Take the list out of reach."""
         self.loop.at(t.at, self.world.listing.down, True)
         self.loop.at(t.ends, self.world.listing.down, False)
 
-    def dispatcher_restart(self, t: Trouble, n: int) -> None:
+    def dispatcher_restart(self, t: Fault, n: int) -> None:
         """Restart dispatchers, as planned or by killing them."""
-        for k, station in enumerate(self.posts(t, n)):
+        for k, dispatcher_host in enumerate(self.posts(t, n)):
             at = t.at + k * t.apart
             if t.planned:
-                self.loop.at(at, station.leave, t.length)
+                self.loop.at(at, dispatcher_host.leave, t.length)
             else:
-                self.loop.at(at, station.kill, None, t.length)
+                self.loop.at(at, dispatcher_host.kill, None, t.length)
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a night: service, refusals, attempts, wasted work, latency; alike for the same night.
+"""The figures of a scenario: service, refusals, attempts, wasted work, latency; alike for the same scenario.
 
 Service is worth answered in time over worth asked for. Nothing measured on this machine is among them.
 """
@@ -12,11 +12,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from elderstall.simulation.script import Night, Worker
+from elderstall.simulation.scenario import Scenario, Worker
 
 if TYPE_CHECKING:
     from elderstall.simulation.clients import Request
-    from elderstall.simulation.wire import Errand
+    from elderstall.simulation.upstream import SimulatedAttempt
     from elderstall.simulation.worker import Task
     from elderstall.simulation.world import World
 
@@ -53,15 +53,15 @@
 
 
 class Tally:
-    """Counts as the night goes."""
+    """Counts as the scenario goes."""
 
-    def __init__(self, night: Night) -> None:
-        self.night = night
-        self.bins: list[Bin] = [Bin() for _ in range(int(-(-night.length // BIN)))]
-        self.classes = {c.cls.name: Worth() for c in night.classes}
-        self.tenants = {t.name: Worth() for t in night.tenants}  # within its share
-        self.endings: dict[str, Counter[str]] = {c.cls.name: Counter() for c in night.classes}
-        self.latencies = {c.cls.name: HdrHistogram(1, 3_600_000_000, 3) for c in night.classes}  # us
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        self.bins: list[Bin] = [Bin() for _ in range(int(-(-scenario.length // BIN)))]
+        self.classes = {c.cls.name: Worth() for c in scenario.classes}
+        self.tenants = {t.name: Worth() for t in scenario.tenants}  # within its share
+        self.endings: dict[str, Counter[str]] = {c.cls.name: Counter() for c in scenario.classes}
+        self.latencies = {c.cls.name: HdrHistogram(1, 3_600_000_000, 3) for c in scenario.classes}  # us
         self.requests = self.tries = self.retries = self.attempts = self.connections = self.probes = 0
         self.core_ms = self.useful_ms = 0.0
         self.work_asked = self.late_worth = 0.0
@@ -107,10 +107,10 @@
         """Book the core time of a task that is over."""
         self.core_ms += task.core_time
 
-    def useful(self, errand: Errand) -> None:
+    def useful(self, attempt: SimulatedAttempt) -> None:
         """Book the core time of the attempt that served."""
-        if errand.task is not None:
-            self.useful_ms += errand.task.core_time
+        if attempt.task is not None:
+            self.useful_ms += attempt.task.core_time
 
     def sample(self, busy: list[float], at: float) -> None:
         """Note the load of the workers over the last second."""
@@ -139,19 +139,19 @@
 
 def figures_of(world: World) -> dict[str, Any]:
     """Give the figures as plain data, in a fixed order."""
-    night, tally, audit = world.night, world.tally, world.audit
+    scenario, tally, audit = world.scenario, world.tally, world.audit
     asked = sum(w.asked for w in tally.classes.values())
     earned = sum(w.earned for w in tally.classes.values())
     whole = earned / asked if asked else None
     worst, worst_at = worst_stretch(tally.bins)
     by_class = [w.service for w in tally.classes.values() if w.service is not None]
     by_tenant = [w.service for w in tally.tenants.values() if w.service is not None]
-    goal = night.goal
+    goal = scenario.goal
     wasted = max(0.0, tally.core_ms - tally.useful_ms)
     first_tries = max(1, tally.requests)
     # Work at the fleet's mean speed, so that it compares with the work asked for.
-    speed = sum(m.model.speed * m.kind.cores for m in world.machines.values()) / sum(
-        m.kind.cores for m in world.machines.values()
+    speed = sum(m.model.speed * m.kind.cores for m in world.worker_hosts.values()) / sum(
+        m.kind.cores for m in world.worker_hosts.values()
     )
     prices = {
         "waste": goal.price_waste * wasted * speed / max(1e-9, tally.work_asked),
@@ -170,17 +170,17 @@
     endings: Counter[str] = Counter()
     for counts in tally.endings.values():
         endings.update(counts)
-    cores = sum(m.model.ledger.total for m in world.machines.values())
+    cores = sum(m.model.ledger.total for m in world.worker_hosts.values())
     book = {
-        name: sum(getattr(m.model.ledger, name) for m in world.machines.values())
+        name: sum(getattr(m.model.ledger, name) for m in world.worker_hosts.values())
         for name in ("busy", "overhead", "idle", "paused", "down")
     }
     return {
-        "night": night.name,
+        "night": scenario.name,
         "seed": world.seed,
-        "length_s": night.length / 1000,
-        "workers": len(night.workers),
-        "dispatchers": len(night.dispatchers.weights),
+        "length_s": scenario.length / 1000,
+        "workers": len(scenario.workers),
+        "dispatchers": len(scenario.dispatchers.weights),
         "figure": rounded(figure),
         "service": {
             "whole": rounded(whole),
@@ -221,7 +221,7 @@
             for name, worth in tally.tenants.items()
         },
         "windows": [
-            window(tally.bins[n : n + WINDOW], n, night.workers) for n in range(0, len(tally.bins), WINDOW)
+            window(tally.bins[n : n + WINDOW], n, scenario.workers) for n in range(0, len(tally.bins), WINDOW)
         ],
         "most_lost": [
             {
@@ -235,7 +235,7 @@
         ],
         "troubles": [
             {"kind": t.kind, "at_s": t.at / 1000, "for_s": t.length / 1000, "struck": world.struck.get(n, [])}
-            for n, t in enumerate(night.troubles)
+            for n, t in enumerate(scenario.faults)
         ],
         "log": {code: world.log.codes[code] for code in sorted(world.log.codes)},
         "rules": {
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from elderstall.interface import Endpoint, ListScope, WorkerState
-from elderstall.simulation.script import Listing
+from elderstall.simulation.scenario import Listing
 
 if TYPE_CHECKING:
-    from elderstall.simulation.machine import Machine
-    from elderstall.simulation.station import Process
+    from elderstall.simulation.dispatcher_host import Process
+    from elderstall.simulation.worker_host import WorkerHost
     from elderstall.simulation.world import World
 
 
@@ -27,25 +27,25 @@
         self.free_at = 0.0  # when all calls so far are worked off
         self.outages = 0
 
-    def begin(self, machines: list[Machine]) -> None:
+    def begin(self, worker_hosts: list[WorkerHost]) -> None:
         """Know the fleet as it is."""
-        for m in machines:
+        for m in worker_hosts:
             if m.model.up:
                 self.entries[m.name] = self.entry(m, WorkerState.UP)
 
-    def entry(self, m: Machine, state: WorkerState) -> Endpoint:
-        """Write a machine's line."""
+    def entry(self, m: WorkerHost, state: WorkerState) -> Endpoint:
+        """Write a worker host's line."""
         started = None if m.model.started is None else self.world.epoch + m.model.started
         return Endpoint(m.name, m.kind.name, m.spec.zone, m.spec.cell, started, state)
 
     # ---- learning ----
 
-    def changed(self, m: Machine, notice: float) -> None:
-        """Learn of a machine's state a while later, if it still holds then."""
+    def changed(self, m: WorkerHost, notice: float) -> None:
+        """Learn of a worker host's state a while later, if it still holds then."""
         self.world.loop.after(notice, self.learn, m)
 
-    def learn(self, m: Machine) -> None:
-        """Look at a machine, and publish what is new."""
+    def learn(self, m: WorkerHost) -> None:
+        """Look at a worker host, and publish what is new."""
         state = WorkerState.GONE if m.silent else m.state()
         old = self.entries.get(m.name)
         if old is None and state is WorkerState.GONE:
--- a/elderstall/simulation/reading.py
+++ b/elderstall/simulation/reading.py
@@ -1,4 +1,4 @@
-"""Reads a night's script, an operator's file in the line-based manner of ZConfig, and checks it whole.
+"""Reads a scenario's script, an operator's file in the line-based manner of ZConfig, and checks it whole.
 
 Every error names file, line and key. What is odd but can be played is a warning.
 """
@@ -21,7 +21,22 @@
 from ZConfig.cmdline import ExtendedConfigLoader
 
 from elderstall.interface import Effect, JobClass
-from elderstall.simulation import script as s
+from elderstall.simulation.scenario import (
+    ClassLoad,
+    Clients,
+    Dispatchers,
+    Fault,
+    Goal,
+    Kind,
+    Listing,
+    Network,
+    Reports,
+    Rules,
+    Scenario,
+    TenantLoad,
+    Traffic,
+    Worker,
+)
 
 SCHEMA = Path(__file__).with_name("schema.xml")
 ALONE = ("network", "rules", "list", "reports", "clients", "dispatchers", "goal")  # one of each at most
@@ -107,7 +122,7 @@
 
 
 class Reader:
-    """Turns what ZConfig has read into a night."""
+    """Turns what ZConfig has read into a scenario."""
 
     def __init__(self, path: str, loader: Loader, root: Any) -> None:
         self.path, self.loader, self.root = path, loader, root
@@ -148,14 +163,14 @@
             }
         )
 
-    def kinds(self) -> dict[str, s.Kind]:
+    def kinds(self) -> dict[str, Kind]:
         """Read the kinds of worker."""
-        found: dict[str, s.Kind] = {}
+        found: dict[str, Kind] = {}
         for k in self.root.kinds:
             name = k.getSectionName()
             if k.slots < k.cores:
                 self.odd(k, "slots", f"{k.slots} slots leave some of {k.cores} cores without work")
-            found[name] = s.Kind(
+            found[name] = Kind(
                 name,
                 k.cores,
                 k.slots,
@@ -184,9 +199,9 @@
             self.wrong(section, key, f"{value:.0%} is more than all")
         return value
 
-    def workers(self, kinds: dict[str, s.Kind]) -> tuple[s.Worker, ...]:
+    def workers(self, kinds: dict[str, Kind]) -> tuple[Worker, ...]:
         """Read the fleet: workers are named by their group and a number."""
-        found: list[s.Worker] = []
+        found: list[Worker] = []
         for group in self.root.workers:
             if group.kind not in kinds:
                 self.wrong(group, "kind", f"there is no kind {group.kind!r}; known: {', '.join(kinds)}")
@@ -203,7 +218,7 @@
             for n in range(group.count):
                 cell = sum(w.zone == group.zone for w in found) // group.cell_size
                 found.append(
-                    s.Worker(
+                    Worker(
                         f"{group.getSectionName()}-{n + 1}",
                         group.kind,
                         group.zone,
@@ -213,7 +228,7 @@
                 )
         return tuple(found)
 
-    def classes(self) -> tuple[s.ClassLoad, ...]:
+    def classes(self) -> tuple[ClassLoad, ...]:
         """Read the classes of jobs."""
         found = []
         for c in self.root.classes:
@@ -225,7 +240,7 @@
                 c.getSectionName(), c.worth, c.aim, c.deadline, Effect(c.effect), stretch=c.stretch
             )
             found.append(
-                s.ClassLoad(
+                ClassLoad(
                     cls,
                     c.share,
                     c.work,
@@ -241,70 +256,70 @@
             self.wrong(self.root.classes[0], "share", "the classes' shares sum to nothing")
         return tuple(found)
 
-    def dispatchers(self) -> s.Dispatchers:
+    def dispatchers(self) -> Dispatchers:
         """Read how many dispatchers there are, and their weights."""
         d = self.root.dispatchers
         if d is None:
-            return s.Dispatchers()
+            return Dispatchers()
         if d.count > MOST_DISPATCHERS:
             self.wrong(d, "count", f"at most {MOST_DISPATCHERS} are played")
         if d.weights and len(d.weights) != d.count:
             self.wrong(d, "weights", f"{len(d.weights)} weights for {d.count} dispatchers")
         if d.weights and not sum(d.weights):
             self.wrong(d, "weights", "sum to nothing")
-        return s.Dispatchers(d.weights or (1.0,) * d.count, d.start_spread, d.drain_for)
+        return Dispatchers(d.weights or (1.0,) * d.count, d.start_spread, d.drain_for)
 
-    def load(self, night: s.Night) -> s.Traffic:
+    def load(self, scenario: Scenario) -> Traffic:
         """Read the traffic: jobs a second, or a share of what the fleet can do."""
         section = self.root.load
         if (section.rate is None) == (section.level is None):
             self.wrong(section, "rate", "give rate, jobs a second, or level, a share of the fleet's capacity")
-        rate = section.rate or section.level * night.capacity * 1000 / night.mean_work
-        jobs, asked = rate * night.length / 1000, rate * night.mean_work / 1000 / night.capacity
+        rate = section.rate or section.level * scenario.capacity * 1000 / scenario.mean_work
+        jobs, asked = rate * scenario.length / 1000, rate * scenario.mean_work / 1000 / scenario.capacity
         if jobs > MOST_JOBS:
             self.wrong(section, "rate", f"{jobs:.0f} jobs; at most {MOST_JOBS} are played")
         if asked > ODD_LOAD:
             self.odd(section, "rate", f"asks for {asked:.0f} times what the fleet can do")
-        return s.Traffic(rate, self.fraction(section, "swing"), section.swing_period, section.shape)
+        return Traffic(rate, self.fraction(section, "swing"), section.swing_period, section.shape)
 
-    def troubles(self, night: s.Night) -> tuple[s.Trouble, ...]:
-        """Read the troubles, and check whom they strike and when."""
-        names = [w.name for w in night.workers]
-        posts = [f"n{n + 1}" for n in range(len(night.dispatchers.weights))]
+    def faults(self, scenario: Scenario) -> tuple[Fault, ...]:
+        """Read the faults, and check whom they strike and when."""
+        names = [w.name for w in scenario.workers]
+        posts = [f"n{n + 1}" for n in range(len(scenario.dispatchers.weights))]
         return tuple(
-            sorted((self.trouble(t, night, names, posts) for t in self.root.troubles), key=lambda t: t.at)
+            sorted((self.fault(t, scenario, names, posts) for t in self.root.troubles), key=lambda t: t.at)
         )
 
-    def trouble(self, t: Any, night: s.Night, names: list[str], posts: list[str]) -> s.Trouble:
+    def fault(self, t: Any, scenario: Scenario, names: list[str], posts: list[str]) -> Fault:
         """Read one."""
         kind = t.getSectionType()
-        values = {name: getattr(t, name) for name in s.Trouble.__dataclass_fields__ if hasattr(t, name)}
-        trouble = s.Trouble(kind, **values)
-        if trouble.at >= night.length:
-            end = night.length / 1000
-            self.wrong(t, "at", f"{trouble.at / 1000:g} s is past the night's end at {end:g} s")
-        if trouble.ends > night.length:
+        values = {name: getattr(t, name) for name in Fault.__dataclass_fields__ if hasattr(t, name)}
+        fault = Fault(kind, **values)
+        if fault.at >= scenario.length:
+            end = scenario.length / 1000
+            self.wrong(t, "at", f"{fault.at / 1000:g} s is past the night's end at {end:g} s")
+        if fault.ends > scenario.length:
             self.odd(
                 t,
                 "for",
-                f"lasts to {trouble.ends / 1000:g} s, past the last arrival at {night.length / 1000:g} s",
+                f"lasts to {fault.ends / 1000:g} s, past the last arrival at {scenario.length / 1000:g} s",
             )
-        if trouble.ramp * 2 > trouble.length:
+        if fault.ramp * 2 > fault.length:
             self.wrong(t, "ramp", "rise and fall take longer than the trouble itself")
-        if kind == "burst" and trouble.factor <= 1:
+        if kind == "burst" and fault.factor <= 1:
             self.wrong(t, "factor", "a burst has more requests come: its factor must be above 1")
         for key in ("share", "chance", "after"):
             if hasattr(t, key):
                 self.fraction(t, key)
-        self.check_targets(t, trouble, names, posts)
-        if trouble.job_class and trouble.job_class not in {c.cls.name for c in night.classes}:
-            self.wrong(t, "class", f"there is no class {trouble.job_class!r}")
-        return trouble
+        self.check_targets(t, fault, names, posts)
+        if fault.job_class and fault.job_class not in {c.cls.name for c in scenario.classes}:
+            self.wrong(t, "class", f"there is no class {fault.job_class!r}")
+        return fault
 
-    def check_targets(self, t: Any, trouble: s.Trouble, names: list[str], posts: list[str]) -> None:
+    def check_targets(self, t: Any, fault: Fault, names: list[str], posts: list[str]) -> None:
         """Check that the workers and dispatchers named exist, and that a share is not given beside names."""
         for key, known in (("workers", names), ("dispatchers", posts)):
-            for name in getattr(trouble, key):
+            for name in getattr(fault, key):
                 if not select(name, known):
                     self.wrong(
                         t,
@@ -312,32 +327,32 @@
                         f"there is no {name!r}; known: {', '.join(known[:4])}"
                         f"{' ...' if len(known) > 4 else ''}",
                     )
-        if trouble.share is not None and (
-            trouble.workers or (trouble.kind == "dispatcher-restart" and trouble.dispatchers)
+        if fault.share is not None and (
+            fault.workers or (fault.kind == "dispatcher-restart" and fault.dispatchers)
         ):
             self.wrong(t, "share", "give a share or names, not both")
 
-    def tenants(self) -> tuple[s.TenantLoad, ...]:
+    def tenants(self) -> tuple[TenantLoad, ...]:
         """Read the tenants."""
-        found = tuple(s.TenantLoad(t.getSectionName(), t.share, t.quota) for t in self.root.tenants)
+        found = tuple(TenantLoad(t.getSectionName(), t.share, t.quota) for t in self.root.tenants)
         if found and not sum(t.share for t in found):
             self.wrong(self.root.tenants[0], "share", "the tenants' shares sum to nothing")
         return found
 
-    def night(self) -> s.Night:
-        """Put the night together."""
+    def scenario(self) -> Scenario:
+        """Put the scenario together."""
         root = self.root
         if root.load is None:
             self.wrong(None, "<load>", "is missing")
         kinds = self.kinds()
-        clients = self.part(root.clients, s.Clients)
+        clients = self.part(root.clients, Clients)
         for key in ("honour", "impatient"):
             if root.clients is not None:
                 self.fraction(root.clients, key)
-        night = s.Night(
+        scenario = Scenario(
             root.name,
             root.length,
-            s.Traffic(1.0),
+            Traffic(1.0),
             tuple(kinds.values()),
             self.workers(kinds),
             self.classes(),
@@ -346,21 +361,23 @@
             root.tail,
             self.tenants(),
             (),
-            self.part(root.network, s.Network),
-            self.part(root.rules, s.Rules),
-            self.part(root.list, s.Listing),
-            self.part(root.reports, s.Reports),
+            self.part(root.network, Network),
+            self.part(root.rules, Rules),
+            self.part(root.list, Listing),
+            self.part(root.reports, Reports),
             clients,
             self.dispatchers(),
-            self.part(root.goal, s.Goal),
+            self.part(root.goal, Goal),
         )
-        night = with_parts(night, load=self.load(night))
-        return with_parts(night, troubles=self.troubles(night))
+        scenario = with_parts(scenario, load=self.load(scenario))
+        return with_parts(scenario, faults=self.faults(scenario))
 
 
-def with_parts(night: s.Night, **parts: Any) -> s.Night:
-    """Give the night with some parts replaced."""
-    return s.Night(**{name: parts.get(name, getattr(night, name)) for name in s.Night.__dataclass_fields__})
+def with_parts(scenario: Scenario, **parts: Any) -> Scenario:
+    """Give the scenario with some parts replaced."""
+    return Scenario(
+        **{name: parts.get(name, getattr(scenario, name)) for name in Scenario.__dataclass_fields__}
+    )
 
 
 def select(name: str, known: Iterable[str]) -> list[str]:
@@ -383,8 +400,8 @@
     raise ScriptError(name, None, "", "no such file, and no such night in " + str(folder or SHIPPED))
 
 
-def read(path: Path, changes: Sequence[str] = ()) -> tuple[s.Night, list[str]]:
-    """Read a script, with ``section/key=value`` laid over it. Gives the night and the warnings.
+def read(path: Path, changes: Sequence[str] = ()) -> tuple[Scenario, list[str]]:
+    """Read a script, with ``section/key=value`` laid over it. Gives the scenario and the warnings.
 
     Raises ScriptError for what cannot be played.
     """
@@ -411,7 +428,7 @@
     where: str,
     changes: Sequence[str],
     empty: Sequence[str],
-) -> tuple[s.Night, list[str]]:
+) -> tuple[Scenario, list[str]]:
     """Read a script as if empty sections stood at its end."""
     loader = Loader(ZConfig.loadSchema(str(SCHEMA)))
     try:
@@ -433,4 +450,4 @@
         at = path_of(url) if isinstance(url, str) else where
         raise ScriptError(at, line, loader.by_line.get((at, line), ""), error.message) from None
     reader = Reader(where, loader, root)
-    return reader.night(), reader.warnings
+    return reader.scenario(), reader.warnings
--- a/elderstall/simulation/report.py
+++ b/elderstall/simulation/report.py
@@ -1,4 +1,4 @@
-"""A night's report: one HTML page with tables and, as SVG inside it, plots; by jinja2 and matplotlib."""
+"""A scenario's report: one HTML page with tables and, as SVG inside it, plots; by jinja2 and matplotlib."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def shade(axes: Axes, figures: dict[str, Any]) -> None:
-    """Shade the troubles, and name each at its begin."""
+    """Shade the faults, and name each at its begin."""
     for n, t in enumerate(figures["troubles"]):
         color = SHADES[n % len(SHADES)]
         axes.axvspan(t["at_s"], t["at_s"] + max(t["for_s"], 0.3), color=color, alpha=0.18, linewidth=0)
@@ -97,7 +97,7 @@
     if not rows.size:
         return ""
     step = -(-len(rows) // MOST_ROWS)
-    names = list(world.machines)[::step]
+    names = list(world.worker_hosts)[::step]
     figure = Figure(figsize=(9, min(9.0, 1.2 + 0.16 * len(names))), layout="constrained")
     axes = figure.subplots()
     image = axes.imshow(
@@ -129,7 +129,7 @@
     )
     page = env.get_template(TEMPLATE).render(
         f=figures,
-        night=world.night,
+        scenario=world.scenario,
         cpu_us=1e6 * cpu / max(1, figures["requests"]),
         service_plot=service_plot(figures),
         heat_map=heat_map(world, figures),
--- a/elderstall/simulation/script.py
+++ b/elderstall/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""A night as plain data: what a script says, checked, in milliseconds and standard work.
+"""A scenario as plain data: what a script says, checked, in milliseconds and standard work.
 
 ``reading.py`` makes it of an operator's file; tests and importers may make it themselves.
 """
@@ -10,12 +10,12 @@
 
 from elderstall.interface import JobClass, Settings, Tenant
 
-EPOCH = 1_000_000_000.0  # ms: Unix time at a night's start; no clock is read for it
+EPOCH = 1_000_000_000.0  # ms: Unix time at a scenario's start; no clock is read for it
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of worker machine."""
+    """A kind of worker host."""
 
     name: str
     cores: int = 2
@@ -183,7 +183,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """Something that goes wrong, and when."""
 
     kind: str
@@ -208,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Night:
+class Scenario:
     """All of it."""
 
     name: str
@@ -221,7 +221,7 @@
     seed: int = 1
     tail: float = 20_000.0
     tenants: tuple[TenantLoad, ...] = ()
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
     network: Network = field(default_factory=Network)
     rules: Rules = field(default_factory=Rules)
     listing: Listing = field(default_factory=Listing)
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -1,4 +1,4 @@
-"""A night on loopback sockets, in real time: stand-in workers, the list, call-backs to real dispatchers."""
+"""A scenario on loopback sockets in real time: stand-in workers, the list, call-backs to real dispatchers."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from elderstall.net import http
 from elderstall.net.discovery import told_as
 from elderstall.simulation.draws import Draws
+from elderstall.simulation.faults import Faults
 from elderstall.simulation.listing import ListService
-from elderstall.simulation.machine import Machine
-from elderstall.simulation.script import ClassLoad, Kind, Night, Worker
+from elderstall.simulation.scenario import ClassLoad, Kind, Scenario, Worker
 from elderstall.simulation.sockets import (
     Caller,
     Factories,
     ListLink,
     RealTime,
-    SocketErrand,
+    SocketAttempt,
     SocketJob,
     WorkerLink,
 )
-from elderstall.simulation.troubles import Troubles
 from elderstall.simulation.worker import Task
+from elderstall.simulation.worker_host import WorkerHost
 
 HOST = "127.0.0.1"
-ELSEWHERE = ("burst", "heavy-tail", "dispatcher-restart")  # troubles of those who are real here
+ELSEWHERE = ("burst", "heavy-tail", "dispatcher-restart")  # faults of those who are real here
 INFO_SLOTS = ("cores_needed", "slots")
 
 
@@ -43,31 +43,31 @@
         self.fallen: list[str] = []
         self.core_ms = 0.0
 
-    def started(self, errand: SocketErrand) -> None:
+    def started(self, attempt: SocketAttempt) -> None:
         """Count a run."""
-        self.runs[errand.request_id] += 1
-        if not errand.job.safe:
-            self.unsafe.add(errand.request_id)
+        self.runs[attempt.request_id] += 1
+        if not attempt.job.safe:
+            self.unsafe.add(attempt.request_id)
 
-    def informed(self, process: object, machine: object) -> bool:
+    def informed(self, process: object, worker_host: object) -> bool:
         """Who knew of a start is not known here."""
         return True
 
-    def fell(self, machine: Machine) -> None:
+    def fell(self, worker_host: WorkerHost) -> None:
         """Note a worker that was pushed over."""
-        self.fallen.append(machine.name)
+        self.fallen.append(worker_host.name)
 
     def core_time(self, task: Task) -> None:
         """Book core time."""
         self.core_ms += task.core_time
 
 
-class SocketMachine(Machine):
-    """A machine whose process listens: one port for each dispatcher, all leading to one model."""
+class SocketWorkerHost(WorkerHost):
+    """A worker host whose process listens: one port for each dispatcher, all leading to one model."""
 
     def __init__(self, stage: Stage, spec: Worker, kind: Kind, speed: float) -> None:
         self.stage = stage
-        self.errands: dict[str, SocketErrand] = {}
+        self.attempts: dict[str, SocketAttempt] = {}
         self.ports: dict[Caller, Any] = {}
         self.numbers: dict[Caller, int] = {}
         self.closing: list[Deferred[object]] = []  # ports on their way out: the same can't be had before
@@ -77,7 +77,7 @@
         """Listen, at the same ports as before if there were any."""
         for caller in self.stage.callers:
             if caller in self.ports:
-                continue  # a machine that said nothing for a while went on listening
+                continue  # a worker host that said nothing for a while went on listening
             factory = Factories(lambda caller=caller: WorkerLink(self, caller))  # type: ignore[misc]
             port = self.stage.reactor.listenTCP(self.numbers.get(caller, 0), factory, interface=HOST)
             self.ports[caller], self.numbers[caller] = port, port.getHost().port
@@ -90,7 +90,7 @@
     def die(self) -> None:
         """Lose the process."""
         super().die()
-        self.errands.clear()
+        self.attempts.clear()
         if not self.silent:
             self.hush()
 
@@ -105,78 +105,78 @@
         gatherResults(closing).addCallback(lambda _: self.listen() if self.model.up else None)
         super().start(cold_share)
 
-    def cancel(self, errand: Any) -> None:
+    def cancel(self, attempt: Any) -> None:
         """Hear that an attempt is given up; what runs on has nobody to tell, and is forgotten here."""
-        super().cancel(errand)
-        request_id: str = errand.request_id
-        if self.errands.get(request_id) is errand:
-            del self.errands[request_id]
+        super().cancel(attempt)
+        request_id: str = attempt.request_id
+        if self.attempts.get(request_id) is attempt:
+            del self.attempts[request_id]
 
     def load_json(self, report: tuple[float, ...]) -> dict[str, float]:
         """Write a load report with its fields' names."""
-        return dict(zip(self.world.night.reports.fields, report, strict=False))
+        return dict(zip(self.world.scenario.reports.fields, report, strict=False))
 
 
 class Stage:
-    """Everything but dispatchers and clients; what machines, troubles and the list ask of their world."""
+    """Everything but dispatchers and clients; what worker hosts, faults and the list ask of their world."""
 
     def __init__(
         self,
-        night: Night,
+        scenario: Scenario,
         reactor: Any,
         seconds: Callable[[], float],
         unix_ms: float,
         dispatchers: list[tuple[str, int]],
         seed: int | None = None,
     ) -> None:
-        self.night, self.reactor = night, reactor
-        self.seed = night.seed if seed is None else seed
+        self.scenario, self.reactor = scenario, reactor
+        self.seed = scenario.seed if seed is None else seed
         self.loop, self.draws, self.epoch = RealTime(reactor, seconds), Draws(self.seed), unix_ms
         self.audit = self.tally = self.books = Books()
         self.cut: Counter[tuple[int, str]] = Counter()
         self.struck: dict[int, list[str]] = {}
         self.absent: set[str] = set()
         self.links = 0
-        self.classes = {c.cls.name: c for c in night.classes}
+        self.classes = {c.cls.name: c for c in scenario.classes}
         self.works = {
             c.cls.name: self.draws.work(c.distribution, c.work, c.spread, "work", c.cls.name)
-            for c in night.classes
+            for c in scenario.classes
         }
         self.callers = [Caller(self, rank, host, port) for rank, (host, port) in enumerate(dispatchers)]
-        self.stations: list[Any] = []
-        kinds = {kind.name: kind for kind in night.kinds}
-        self.machines: dict[str, SocketMachine] = {}
-        for spec in night.workers:
+        self.dispatcher_hosts: list[Any] = []
+        kinds = {kind.name: kind for kind in scenario.kinds}
+        self.worker_hosts: dict[str, SocketWorkerHost] = {}
+        for spec in scenario.workers:
             kind = kinds[spec.kind]
             drawn = next(self.draws.spread(kind.speed_spread, "speed", spec.name)) * kind.speed
-            self.machines[spec.name] = SocketMachine(self, spec, kind, spec.speed or drawn)
-        self.listing = ListService(cast(Any, self), night.listing, self.draws.uniform("list"))
+            self.worker_hosts[spec.name] = SocketWorkerHost(self, spec, kind, spec.speed or drawn)
+        self.listing = ListService(cast(Any, self), scenario.listing, self.draws.uniform("list"))
         self.lists: dict[Caller, Any] = {}
-        self.left_out = [t.kind for t in night.troubles if t.kind in ELSEWHERE]
+        self.left_out = [t.kind for t in scenario.faults if t.kind in ELSEWHERE]
 
     def begin(self) -> None:
-        """Listen everywhere, and plan the troubles that strike what stands here."""
-        troubles = Troubles(cast(Any, self))
-        for n, trouble in enumerate(self.night.troubles):
-            if trouble.kind not in ELSEWHERE:
-                troubles.acts[trouble.kind](trouble, n)
-        for name, machine in self.machines.items():
+        """Listen everywhere, and plan the faults that strike what stands here."""
+        faults = Faults(cast(Any, self))
+        for n, fault in enumerate(self.scenario.faults):
+            if fault.kind not in ELSEWHERE:
+                faults.acts[fault.kind](fault, n)
+        for name, worker_host in self.worker_hosts.items():
             if name in self.absent:
-                machine.listen()  # its ports are known from the first
-                machine.hush()
-                machine.model.die(self.loop.now)
+                worker_host.listen()  # its ports are known from the first
+                worker_host.hush()
+                worker_host.model.die(self.loop.now)
             else:
-                machine.listen()
-        self.listing.begin(list(self.machines.values()))
+                worker_host.listen()
+        self.listing.begin(list(self.worker_hosts.values()))
         for caller in self.callers:
             factory = Factories(lambda caller=caller: ListLink(self, caller))  # type: ignore[misc]
             self.lists[caller] = self.reactor.listenTCP(0, factory, interface=HOST)
 
     def close(self) -> None:
         """Listen no more, and drop every connection."""
-        for machine in self.machines.values():
-            machine.hush()
-            for link in list(machine.links):
+        for worker_host in self.worker_hosts.values():
+            worker_host.hush()
+            for link in list(worker_host.links):
                 link.close()
         for port in self.lists.values():
             port.stopListening()
@@ -186,9 +186,9 @@
 
     # ---- what is asked of a world ----
 
-    def reaches(self, caller: Caller, machine: Machine) -> bool:
-        """Say whether anything said between a dispatcher and a machine arrives."""
-        return not machine.silent and self.cut[caller.rank, machine.name] <= 0
+    def reaches(self, caller: Caller, worker_host: WorkerHost) -> bool:
+        """Say whether anything said between a dispatcher and a worker host arrives."""
+        return not worker_host.silent and self.cut[caller.rank, worker_host.name] <= 0
 
     def count(self) -> int:
         """Give a new connection its number."""
@@ -197,7 +197,7 @@
 
     def addresses(self, caller: Caller) -> dict[str, str]:
         """Give the workers' addresses as one dispatcher reaches them."""
-        return {name: f"{HOST}:{machine.numbers[caller]}" for name, machine in self.machines.items()}
+        return {name: f"{HOST}:{host.numbers[caller]}" for name, host in self.worker_hosts.items()}
 
     def job(self, load: ClassLoad, message: http.Message) -> SocketJob:
         """Work out what a job costs: by its hint, or drawn. Raises ValueError where the hint is no number."""
@@ -222,7 +222,7 @@
 
     def platform(self, caller: Caller) -> dict[str, Any]:
         """Give the object that a dispatcher is started with, as the platform would."""
-        night, rules, reports = self.night, self.night.rules, self.night.reports
+        scenario, rules, reports = self.scenario, self.scenario.rules, self.scenario.reports
         free = {f"report_{reports.free_slots}": "free slots"}
         settings = {
             "classes": [
@@ -233,20 +233,22 @@
                     "deadline": c.cls.deadline,
                     "effect": c.cls.effect.value,
                 }
-                for c in night.classes
+                for c in scenario.classes
             ],
             "balancers": len(self.callers),
             "rank": caller.rank,
-            "locality": night.workers[0].zone,
-            "projects": [{"name": t.name, "portion": t.share, "quota_per_s": t.quota} for t in night.tenants],
-            "discovery": "subscribe" if night.listing.must_ask else "automatic",
+            "locality": scenario.workers[0].zone,
+            "projects": [
+                {"name": t.name, "portion": t.share, "quota_per_s": t.quota} for t in scenario.tenants
+            ],
+            "discovery": "subscribe" if scenario.listing.must_ask else "automatic",
             "counted_by": "work" if rules.worth_by_work else "request",
             "over_share_worth": rules.over_share_worth,
             "tick": rules.tick,
-            "skus": [kind.name for kind in night.kinds],
+            "skus": [kind.name for kind in scenario.kinds],
             "load_report": {"fields": list(reports.fields), "source": "piggyback"},
             "specifics": {
-                "class_stretch": [c.cls.stretch for c in night.classes],
+                "class_stretch": [c.cls.stretch for c in scenario.classes],
                 "tells_start": reports.starts_told,
                 **free,
             },
@@ -260,9 +262,9 @@
                 "overload_for": rules.push_window,
             },
             "limits": {
-                "conn_idle": night.network.idle_close,
+                "conn_idle": scenario.network.idle_close,
                 "max_attempts": rules.max_attempts,
-                "connect_timeout": night.network.connect_timeout,
+                "connect_timeout": scenario.network.connect_timeout,
                 "max_open": rules.max_open,
                 "cpu_us_per_s": rules.cpu_per_second,
                 "cpu_us_per_request": rules.cpu_per_job,
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -1,6 +1,6 @@
 """The worker model on loopback sockets: requests, call-backs and the list in the published protocol.
 
-The same machines, troubles and list as in virtual time, hosted in real time. What HTTP needs stands here;
+The same worker hosts, faults and list as in virtual time, hosted in real time. What HTTP needs stands here;
 what a worker does with a job stands in ``worker.py``.
 """
 
@@ -20,12 +20,12 @@
 from elderstall.messages import Outcome
 from elderstall.net import http
 from elderstall.net.discovery import told_as
-from elderstall.simulation.script import ClassLoad
+from elderstall.simulation.scenario import ClassLoad
 from elderstall.simulation.worker import Task
 
 if TYPE_CHECKING:
-    from elderstall.simulation.machine import Machine
     from elderstall.simulation.serve import Stage
+    from elderstall.simulation.worker_host import WorkerHost
 
 HEARTBEAT = 2_000.0  # ms between the empty lines of a watch
 CALL_WAIT = 2_000.0  # ms that a dispatcher may take over a call-back
@@ -39,7 +39,7 @@
 
 
 class RealCall:
-    """A call to come, as the machines use it."""
+    """A call to come, as the worker hosts use it."""
 
     def __init__(self, when: float, call: Any) -> None:
         self.when, self.call = when, call
@@ -77,7 +77,7 @@
 
 
 class SocketJob:
-    """What a machine asks of the request behind an attempt."""
+    """What a worker host asks of the request behind an attempt."""
 
     def __init__(self, load: ClassLoad, work: float, slots: int) -> None:
         self.load, self.work, self.slots, self.saved, self.runs = load, work, slots, 0.0, 0
@@ -88,12 +88,12 @@
         return self.load.cls.effect is Effect.IDEMPOTENT
 
 
-class SocketErrand:
+class SocketAttempt:
     """One attempt that came over a socket."""
 
     def __init__(self, link: WorkerLink, request_id: str, job: SocketJob, ends: float) -> None:
         self.link, self.request_id, self.job, self.ends = link, request_id, job, ends
-        self.machine, self.wire = link.machine, link.caller
+        self.worker_host, self.upstream = link.worker_host, link.caller
         self.task: Task | None = None
         self.number = 0
 
@@ -102,8 +102,8 @@
         if outcome is None:
             self.link.answer(202)
         else:
-            self.machine.errands.pop(self.request_id, None)  # type: ignore[attr-defined]
-            load = self.machine.load_json(outcome.report)  # type: ignore[attr-defined]
+            self.worker_host.attempts.pop(self.request_id, None)  # type: ignore[attr-defined]
+            load = self.worker_host.load_json(outcome.report)  # type: ignore[attr-defined]
             report = (("X-Load-Report", json.dumps(load)),) if load else ()
             self.link.answer(503, (("X-Rejected", "1"), *report))
 
@@ -113,12 +113,12 @@
 
 
 class WorkerLink(Protocol):
-    """One connection that a dispatcher has opened to a machine."""
+    """One connection that a dispatcher has opened to a worker host."""
 
     transport: Any
 
-    def __init__(self, machine: Machine, caller: Caller) -> None:
-        self.machine, self.caller, self.stage = machine, caller, caller.stage
+    def __init__(self, worker_host: WorkerHost, caller: Caller) -> None:
+        self.worker_host, self.caller, self.stage = worker_host, caller, caller.stage
         self.parser = http.Parser()
         self.body: list[bytes] = []
         self.message: http.Message | None = None
@@ -127,19 +127,19 @@
         self.ready_at = 0.0  # when its handshake is done
 
     def connectionMade(self) -> None:  # noqa: N802, D102
-        machine = self.machine
+        worker_host = self.worker_host
         self.number = self.stage.count()
         self.transport.setTcpNoDelay(True)
-        if len(machine.links) >= machine.kind.connections:
+        if len(worker_host.links) >= worker_host.kind.connections:
             self.transport.abortConnection()
             return
-        machine.links.add(self)  # type: ignore[arg-type]
-        machine.model.connections = len(machine.links)
-        machine.poke(machine.model.charge(self.stage.loop.now, machine.kind.connection_work))
-        self.ready_at = self.stage.loop.now + machine.model.backlog()
+        worker_host.links.add(self)  # type: ignore[arg-type]
+        worker_host.model.connections = len(worker_host.links)
+        worker_host.poke(worker_host.model.charge(self.stage.loop.now, worker_host.kind.connection_work))
+        self.ready_at = self.stage.loop.now + worker_host.model.backlog()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
-        if self.machine.silent or self.deaf:
+        if self.worker_host.silent or self.deaf:
             return
         self.parser.feed(data)
         try:
@@ -160,9 +160,9 @@
             return
         path = urlsplit(message.target).path
         if message.method == "DELETE" and path.startswith("/jobs/"):
-            errand = self.machine.errands.get(unquote(path[6:]))  # type: ignore[attr-defined]
-            if errand is not None and not self.machine.model.paused:
-                self.machine.cancel(errand)
+            attempt = self.worker_host.attempts.get(unquote(path[6:]))  # type: ignore[attr-defined]
+            if attempt is not None and not self.worker_host.model.paused:
+                self.worker_host.cancel(attempt)
             self.answer(204)
             return
         request_id, name = message.headers.get("X-Call-Id"), path.lstrip("/").split("/", 1)[0]
@@ -171,16 +171,16 @@
             self.answer(404)
             return
         try:
-            errand = SocketErrand(self, request_id, self.stage.job(load, message), self.stage.ends(message))
+            attempt = SocketAttempt(self, request_id, self.stage.job(load, message), self.stage.ends(message))
         except ValueError:
             self.answer(400)
             return
-        self.machine.errands[request_id] = errand  # type: ignore[attr-defined]
-        self.machine.receive(errand, self)  # type: ignore[arg-type]
+        self.worker_host.attempts[request_id] = attempt  # type: ignore[attr-defined]
+        self.worker_host.receive(attempt, self)  # type: ignore[arg-type]
 
     def answer(self, status: int, headers: tuple[tuple[str, str], ...] = (), close: bool = False) -> None:
         """Write an answer and go on to the next request."""
-        if not self.open or self.machine.silent:
+        if not self.open or self.worker_host.silent:
             return
         self.busy = False
         self.transport.write(http.response(status, b"", headers, close))
@@ -190,20 +190,20 @@
             self.dataReceived(b"")
 
     def close(self) -> None:
-        """Reset it; see ``wire.Link``."""
+        """Reset it; see ``upstream.Link``."""
         self.transport.abortConnection()
 
     def reset(self) -> None:
-        """Reset it; see ``wire.Link``."""
+        """Reset it; see ``upstream.Link``."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.open = False
-        self.machine.links.discard(self)
-        self.machine.model.connections = len(self.machine.links)
-        for errand in list(self.machine.errands.values()):  # type: ignore[attr-defined]
-            if errand.link is self and self.busy and errand.task is not None:
-                self.machine.cancel(errand)  # closed before the 202: given up
+        self.worker_host.links.discard(self)
+        self.worker_host.model.connections = len(self.worker_host.links)
+        for attempt in list(self.worker_host.attempts.values()):  # type: ignore[attr-defined]
+            if attempt.link is self and self.busy and attempt.task is not None:
+                self.worker_host.cancel(attempt)  # closed before the 202: given up
 
 
 class Factories(Factory):
@@ -221,36 +221,36 @@
 class Caller:
     """Calls one dispatcher back: one call at a time, in order, over a connection that is kept."""
 
-    alive = True  # what machines ask of a dispatcher's process
+    alive = True  # what worker hosts ask of a dispatcher's process
 
     def __init__(self, stage: Stage, rank: int, host: str, port: int) -> None:
         self.stage, self.rank, self.host, self.port = stage, rank, host, port
-        self.process = self.station = self
+        self.process = self.dispatcher_host = self
         self.waiting: deque[tuple[dict[str, Any], int]] = deque()
         self.dropped = self.delivered = self.failed = 0
         self.link: CallLink | None = None
         self.connecting = False
         self.timer: RealCall | None = None
 
-    def called_back(self, errand: SocketErrand, outcome: Outcome) -> None:
+    def called_back(self, attempt: SocketAttempt, outcome: Outcome) -> None:
         """Tell how a job ended."""
         call: dict[str, Any] = {
-            "id": errand.request_id,
-            "from": errand.machine.name,
+            "id": attempt.request_id,
+            "from": attempt.worker_host.name,
             "state": STATES[outcome.ending],
         }
         if outcome.ending is Ending.SERVED:
-            call["result"] = f"{errand.job.load.cls.name} {errand.request_id} by {errand.machine.name}"
-        load = errand.machine.load_json(outcome.report)  # type: ignore[attr-defined]
+            call["result"] = f"{attempt.job.load.cls.name} {attempt.request_id} by {attempt.worker_host.name}"
+        load = attempt.worker_host.load_json(outcome.report)  # type: ignore[attr-defined]
         if load:
             call["load"] = load
-        errand.machine.errands.pop(errand.request_id, None)  # type: ignore[attr-defined]
+        attempt.worker_host.attempts.pop(attempt.request_id, None)  # type: ignore[attr-defined]
         self.queue(call)
 
-    def noted(self, errand: SocketErrand, share: float, started: bool = False) -> None:
+    def noted(self, attempt: SocketAttempt, share: float, started: bool = False) -> None:
         """Tell a start, or progress."""
         state = {"state": "started"} if started else {"state": "running", "share": round(share, 4)}
-        self.queue({"id": errand.request_id, "from": errand.machine.name, **state})
+        self.queue({"id": attempt.request_id, "from": attempt.worker_host.name, **state})
 
     def queue(self, call: dict[str, Any], tries: int = 10) -> None:
         """Have a call made; bounded, as a dispatcher may be gone for long."""
--- a/elderstall/simulation/wire.py
+++ b/elderstall/simulation/upstream.py
@@ -1,4 +1,4 @@
-"""The carrier in memory: takes attempts to machines over emulated connections, and tells how they end.
+"""The carrier in memory: takes attempts to worker hosts over emulated connections, and tells how they end.
 
 It stands where ``net/workers.py`` stands in a dispatcher and follows its rules on connections: the newest
 free one is used, a job is given up when its worker does not say that it has it, and what was not written has
@@ -20,52 +20,52 @@
 
 if TYPE_CHECKING:
     from elderstall.simulation.clients import Request, Try
-    from elderstall.simulation.machine import Machine
-    from elderstall.simulation.station import Process
+    from elderstall.simulation.dispatcher_host import Process
     from elderstall.simulation.worker import Task
+    from elderstall.simulation.worker_host import WorkerHost
 
 
 class Link:
-    """One connection between a dispatcher and a machine."""
+    """One connection between a dispatcher and a worker host."""
 
-    def __init__(self, wire: Wire, machine: Machine, number: int) -> None:
-        self.wire, self.machine, self.number = wire, machine, number
+    def __init__(self, upstream: SimulatedUpstream, worker_host: WorkerHost, number: int) -> None:
+        self.upstream, self.worker_host, self.number = upstream, worker_host, number
         self.open, self.deaf = True, False
         self.rested: float | None = None
-        self.errand: Errand | None = None
+        self.attempt: SimulatedAttempt | None = None
 
     def close(self) -> None:
         """End it from the dispatcher's side, or for both."""
         if self.open:
             self.open = False
-            self.wire.count -= 1
-            self.machine.links.discard(self)
-            self.machine.model.connections = len(self.machine.links)
-            self.wire.forget(self)
+            self.upstream.count -= 1
+            self.worker_host.links.discard(self)
+            self.worker_host.model.connections = len(self.worker_host.links)
+            self.upstream.forget(self)
 
     def reset(self) -> None:
-        """End it from the machine's side; whoever waits on it hears of that a moment later."""
-        errand = self.errand
+        """End it from the worker host's side; whoever waits on it hears of that a moment later."""
+        attempt = self.attempt
         self.close()
-        if errand is not None:
-            self.machine.world.loop.after(self.machine.delay(), errand.broke)
+        if attempt is not None:
+            self.worker_host.world.loop.after(self.worker_host.delay(), attempt.broke)
 
 
-class Errand:
+class SimulatedAttempt:
     """One attempt on its way: what the core sent, and how it goes."""
 
     def __init__(
         self,
-        wire: Wire,
-        machine: Machine,
+        upstream: SimulatedUpstream,
+        worker_host: WorkerHost,
         ask: JobRequest,
         number: int,
         ends: float,
         note: Callable[[float, str], None],
     ) -> None:
-        self.wire, self.machine, self.ask, self.number, self.ends, self.note = (
-            wire,
-            machine,
+        self.upstream, self.worker_host, self.ask, self.number, self.ends, self.note = (
+            upstream,
+            worker_host,
             ask,
             number,
             ends,
@@ -97,21 +97,21 @@
         for timer in self.timers:
             timer.stop()
         if outcome is not None:
-            self.wire.process.audit_ended(self, outcome.ending)
+            self.upstream.process.audit_ended(self, outcome.ending)
         self.done.callback(outcome)
 
     # ---- connecting ----
 
     def begin(self) -> None:
         """Go over the newest free connection, or a new one."""
-        wire, loop, network = self.wire, self.wire.loop, self.wire.network
+        upstream, loop, network = self.upstream, self.upstream.loop, self.upstream.network
         wait = ACCEPT_SOON if self.ask.repeatable else ACCEPT_WAIT
-        link = wire.free_link(self.machine)
+        link = upstream.free_link(self.worker_host)
         if link is None:
-            if wire.count + wire.opening >= network.worker_connections:
+            if upstream.count + upstream.opening >= network.worker_connections:
                 self.finish(Outcome(Ending.UNREACHABLE))
                 return
-            wire.opening += 1
+            upstream.opening += 1
             self.timers.append(loop.after(network.connect_timeout, self.refused))
         # The limit on the worker's word runs from the start, as it does on sockets.
         self.timers.append(loop.after(network.connect_timeout * wait, self.silent))
@@ -119,12 +119,12 @@
             self.unused = loop.now - (link.rested or loop.now)
             self.write(link)
         else:
-            loop.after(self.machine.delay(), self.machine.connect, self)
+            loop.after(self.worker_host.delay(), self.worker_host.connect, self)
 
     def refused(self) -> None:
         """Note that no connection came up."""
         if not self.over and self.link is None:
-            self.wire.opening -= 1
+            self.upstream.opening -= 1
             self.finish(Outcome(Ending.UNREACHABLE, unreached=True))
 
     def up(self, link: Link) -> None:
@@ -132,7 +132,7 @@
         if self.over:
             link.close()
             return
-        self.wire.opening -= 1
+        self.upstream.opening -= 1
         self.timers[0].stop()
         if not link.open:
             self.finish(Outcome(Ending.UNREACHABLE))
@@ -141,30 +141,30 @@
 
     def write(self, link: Link) -> None:
         """Write the job; from its last byte on it may run."""
-        self.link, self.written, self.wrote_at = link, True, self.wire.loop.now
-        link.errand = self
-        self.wire.process.engine.count_written()
-        self.wire.process.world.tally.attempts += 1
-        self.wire.loop.after(self.machine.delay(), self.machine.receive, self, link)
+        self.link, self.written, self.wrote_at = link, True, self.upstream.loop.now
+        link.attempt = self
+        self.upstream.process.engine.count_written()
+        self.upstream.process.world.tally.attempts += 1
+        self.upstream.loop.after(self.worker_host.delay(), self.worker_host.receive, self, link)
 
     # ---- how it ends ----
 
     def answered(self, outcome: Outcome | None) -> None:
         """Hear the answer on the connection."""
         link, self.link = self.link, None
-        if link is not None and link.errand is self:
-            link.errand = None
+        if link is not None and link.attempt is self:
+            link.attempt = None
             if self.over:
                 link.close()
             else:
-                self.wire.rest(link)
+                self.upstream.rest(link)
         self.finish(outcome)
 
     def broke(self) -> None:
         """Hear that the connection is gone."""
         link, self.link = self.link, None
         if link is not None:
-            link.errand = None
+            link.attempt = None
             link.close()
         self.finish(Outcome(self.ending()))
 
@@ -172,13 +172,13 @@
         """Name a break: whether it ran, and whether a kept connection had gone before it."""
         if not self.written:
             return Ending.UNREACHABLE
-        quick = self.wire.loop.now - self.wrote_at <= STALE_WITHIN
+        quick = self.upstream.loop.now - self.wrote_at <= STALE_WITHIN
         return Ending.STALE_CONNECTION if quick and self.unused > 0 else Ending.BROKEN
 
     def silent(self) -> None:
         """Give a worker up that does not say it has the job; free connections there may be as dead."""
         if not self.over:
-            self.wire.doubt(self.machine)
+            self.upstream.doubt(self.worker_host)
             ending = Ending.BROKEN if self.written else Ending.UNREACHABLE
             self.leave()
             self.finish(Outcome(ending))
@@ -189,41 +189,41 @@
             self.over = True
             for timer in self.timers:
                 timer.stop()
-            self.wire.process.world.audit.given_up(self)
+            self.upstream.process.world.audit.given_up(self)
             self.leave()
 
     def leave(self) -> None:
-        """Close what carries the attempt; the machine hears of that."""
+        """Close what carries the attempt; the worker host hears of that."""
         if self.link is None:
             if not self.written:
-                self.wire.opening -= 1
+                self.upstream.opening -= 1
             return
         link, self.link = self.link, None
-        link.errand = None
+        link.attempt = None
         link.close()
-        machine = self.machine
-        if self.wire.process.world.reaches(self.wire, machine):
-            self.wire.loop.after(machine.delay(), machine.cancel, self)
+        worker_host = self.worker_host
+        if self.upstream.process.world.reaches(self.upstream, worker_host):
+            self.upstream.loop.after(worker_host.delay(), worker_host.cancel, self)
 
 
 class Pool:
-    """The free connections to one machine."""
+    """The free connections to one worker host."""
 
-    def __init__(self, machine: Machine, started: float | None) -> None:
-        self.machine, self.started = machine, started
+    def __init__(self, worker_host: WorkerHost, started: float | None) -> None:
+        self.worker_host, self.started = worker_host, started
         self.idle: list[Link] = []  # the newest last
         self.timer: Call | None = None
 
 
-class Wire:
+class SimulatedUpstream:
     """The carrier of one dispatcher process; see ``messages.Carrier``."""
 
     def __init__(self, process: Process) -> None:
         self.process, self.world = process, process.world
-        self.loop, self.network = process.world.loop, process.world.night.network
+        self.loop, self.network = process.world.loop, process.world.scenario.network
         self.keep = self.network.idle_close * IDLE_PART
         self.pools: dict[str, Pool] = {}
-        self.errands: dict[str, Errand] = {}  # the newest of each id
+        self.attempts: dict[str, SimulatedAttempt] = {}  # the newest of each id
         self.count = self.opening = 0
 
     # ---- messages.Carrier ----
@@ -239,63 +239,63 @@
         """Start an attempt; here connections are up at once, and none is barred meanwhile."""
         pool = self.pools.get(worker)
         tried: Try = ask.original  # type: ignore[assignment]
-        machine = self.world.machines[worker]
+        worker_host = self.world.worker_hosts[worker]
         left = ends - self.process.deadlines.now()
-        errand = Errand(self, machine, ask, tried.attempts, self.loop.now + left, note)
+        attempt = SimulatedAttempt(self, worker_host, ask, tried.attempts, self.loop.now + left, note)
         tried.attempts += 1
-        self.errands[ask.request_id] = errand
-        self.world.audit.sent(errand)
+        self.attempts[ask.request_id] = attempt
+        self.world.audit.sent(attempt)
         if pool is None:
-            errand.finish(Outcome(Ending.UNREACHABLE))
+            attempt.finish(Outcome(Ending.UNREACHABLE))
         else:
-            errand.begin()
-        return errand.done
+            attempt.begin()
+        return attempt.done
 
     def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
         """Tell a worker to give an attempt up."""
         done: Deferred[bool] = Deferred()
-        errand = self.errands.get(request_id)
-        if errand is None or errand.machine.name != worker:
+        attempt = self.attempts.get(request_id)
+        if attempt is None or attempt.worker_host.name != worker:
             done.callback(False)
             return done
-        self.world.audit.given_up(errand)
-        self.loop.after(errand.machine.delay(), self.told, errand, done)
+        self.world.audit.given_up(attempt)
+        self.loop.after(attempt.worker_host.delay(), self.told, attempt, done)
         return done
 
-    def told(self, errand: Errand, done: Deferred[bool]) -> None:
-        """Have a machine hear that an attempt is given up; one out of reach is waited for a while."""
-        machine = errand.machine
-        if self.world.reaches(self, machine) and not machine.model.paused:
-            machine.cancel(errand)
-            self.loop.after(machine.delay(), done.callback, True)
+    def told(self, attempt: SimulatedAttempt, done: Deferred[bool]) -> None:
+        """Have a worker host hear that an attempt is given up; one out of reach is waited for a while."""
+        worker_host = attempt.worker_host
+        if self.world.reaches(self, worker_host) and not worker_host.model.paused:
+            worker_host.cancel(attempt)
+            self.loop.after(worker_host.delay(), done.callback, True)
         else:
             self.loop.after(RECALL_WAIT, done.callback, False)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
         """Ask a worker how it stands; its answer takes two trips, and a new connection's more."""
         done: Deferred[Outcome] = Deferred()
-        machine, pool = self.world.machines[worker], self.pools.get(worker)
+        worker_host, pool = self.world.worker_hosts[worker], self.pools.get(worker)
         if pool is None:
             done.callback(Outcome(Ending.UNREACHABLE))
             return done
-        link = self.free_link(machine)
+        link = self.free_link(worker_host)
         if link is None:
-            link = self.link_to(machine)
-            machine.links.add(link)
-            machine.model.connections = len(machine.links)
-            machine.poke(machine.model.charge(self.loop.now, machine.kind.connection_work))
+            link = self.link_to(worker_host)
+            worker_host.links.add(link)
+            worker_host.model.connections = len(worker_host.links)
+            worker_host.poke(worker_host.model.charge(self.loop.now, worker_host.kind.connection_work))
         self.world.tally.probes += 1
         trips = 2 if link.rested is not None else 2 * self.network.handshake_trips + 2
-        self.loop.after(trips * machine.delay(), self.probed, machine, link, done)
+        self.loop.after(trips * worker_host.delay(), self.probed, worker_host, link, done)
         return done
 
-    def probed(self, machine: Machine, link: Link, done: Deferred[Outcome]) -> None:
+    def probed(self, worker_host: WorkerHost, link: Link, done: Deferred[Outcome]) -> None:
         """Hear a worker's answer to a question, or that it has none."""
         if not self.process.alive:
             link.close()
-        elif link.open and not link.deaf and machine.model.up and self.world.reaches(self, machine):
+        elif link.open and not link.deaf and worker_host.model.up and self.world.reaches(self, worker_host):
             self.rest(link)
-            done.callback(Outcome(Ending.SERVED, report=machine.report()))
+            done.callback(Outcome(Ending.SERVED, report=worker_host.report()))
         else:
             link.close()
             outcome = Outcome(Ending.TIMED_OUT, unreached=True)
@@ -322,22 +322,22 @@
             elif pool is None or pool.started != e.started:
                 if pool is not None:
                     self.drop(pool)
-                self.pools[e.worker] = Pool(self.world.machines[e.worker], e.started)
+                self.pools[e.worker] = Pool(self.world.worker_hosts[e.worker], e.started)
 
-    def link_to(self, machine: Machine) -> Link:
+    def link_to(self, worker_host: WorkerHost) -> Link:
         """Make a connection."""
         self.count += 1
         self.world.tally.connections += 1
-        return Link(self, machine, self.world.tally.connections)
+        return Link(self, worker_host, self.world.tally.connections)
 
-    def free_link(self, machine: Machine) -> Link | None:
+    def free_link(self, worker_host: WorkerHost) -> Link | None:
         """Take the newest free connection that may be used."""
-        pool = self.pools.get(machine.name)
+        pool = self.pools.get(worker_host.name)
         return pool.idle.pop() if pool is not None and pool.idle else None
 
     def rest(self, link: Link) -> None:
         """Keep a connection that is free for a while."""
-        pool = self.pools.get(link.machine.name)
+        pool = self.pools.get(link.worker_host.name)
         if pool is None or not link.open or link.deaf:
             link.close()
             return
@@ -356,13 +356,13 @@
 
     def forget(self, link: Link) -> None:
         """Take a connection that has ended off its pool."""
-        pool = self.pools.get(link.machine.name)
+        pool = self.pools.get(link.worker_host.name)
         if pool is not None and link in pool.idle:
             pool.idle.remove(link)
 
-    def doubt(self, machine: Machine) -> None:
-        """Drop the free connections to a machine."""
-        if (pool := self.pools.get(machine.name)) is not None:
+    def doubt(self, worker_host: WorkerHost) -> None:
+        """Drop the free connections to a worker host."""
+        if (pool := self.pools.get(worker_host.name)) is not None:
             self.drop(pool)
 
     def drop(self, pool: Pool) -> None:
@@ -378,36 +378,36 @@
                 pool.timer.stop()
             for link in list(pool.idle):
                 link.close()
-        for errand in list(self.errands.values()):
-            errand.over = True
-            for timer in errand.timers:
+        for attempt in list(self.attempts.values()):
+            attempt.over = True
+            for timer in attempt.timers:
                 timer.stop()
-            if errand.link is not None:
-                errand.link.close()
+            if attempt.link is not None:
+                attempt.link.close()
 
     # ---- call-backs ----
 
-    def called_back(self, errand: Errand, outcome: Outcome) -> None:
-        """Take the end that a worker tells; acted on only if it is of the live attempt."""
+    def called_back(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
+        """Take the end that a worker reports; acted on only if it is of the live attempt."""
         engine = self.process.engine
         if not self.process.alive:
             return
-        attempt = engine.jobs.live_attempt(errand.ask.request_id, errand.machine.name)
-        if attempt is not None:
-            self.process.audit_ended(errand, outcome.ending)
+        live = engine.jobs.live_attempt(attempt.ask.request_id, attempt.worker_host.name)
+        if live is not None:
+            self.process.audit_ended(attempt, outcome.ending)
             if outcome.ending is Ending.SERVED:
-                errand.tried.served_by = errand
-            engine.attempts.worker_ended(attempt, outcome)
+                attempt.tried.served_by = attempt
+            engine.attempts.worker_ended(live, outcome)
 
-    def noted(self, errand: Errand, share: float, started: bool = False) -> None:
+    def noted(self, attempt: SimulatedAttempt, share: float, started: bool = False) -> None:
         """Take a start or progress."""
         engine = self.process.engine
-        if (
-            self.process.alive
-            and (attempt := engine.jobs.live_attempt(errand.ask.request_id, errand.machine.name)) is not None
-        ):
-            engine.attempts.progressed(attempt, share, started=started)
+        if not self.process.alive:
+            return
+        live = engine.jobs.live_attempt(attempt.ask.request_id, attempt.worker_host.name)
+        if live is not None:
+            engine.attempts.progressed(live, share, started=started)
 
     def ended(self, request_id: str) -> None:
         """Forget a job's attempts once it is answered."""
-        self.errands.pop(request_id, None)
+        self.attempts.pop(request_id, None)
--- a/elderstall/simulation/values.py
+++ b/elderstall/simulation/values.py
@@ -1,4 +1,4 @@
-"""The values of a night's script: how a key's text becomes a number, a time or a word, or why it does not.
+"""The values of a scenario's script: how a key's text becomes a number, a time or a word, or why it does not.
 
 Each takes the text and raises ValueError with what was wanted; ZConfig adds the place.
 """
--- a/elderstall/simulation/worker.py
+++ b/elderstall/simulation/worker.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from elderstall.simulation.script import Kind
+from elderstall.simulation.scenario import Kind
 
 NEAR_ENOUGH = 1e-6  # ms of work: rounding in the solved ends
 
@@ -98,7 +98,7 @@
 
 
 class CardWorker:
-    """One worker process on its machine."""
+    """One worker process on its worker host."""
 
     def __init__(
         self,
--- a/elderstall/simulation/machine.py
+++ b/elderstall/simulation/worker_host.py
@@ -1,4 +1,4 @@
-"""Worker machines in the emulated network: they host the model, hear requests and call dispatchers back."""
+"""Worker hosts in the emulated network: they host the model, hear requests and call dispatchers back."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from elderstall.interface import Ending, WorkerState
 from elderstall.messages import Outcome
 from elderstall.simulation.loop import Call
-from elderstall.simulation.script import Kind, Worker
+from elderstall.simulation.scenario import Kind, Worker
 from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
 
 if TYPE_CHECKING:
-    from elderstall.simulation.wire import Errand, Link
+    from elderstall.simulation.upstream import Link, SimulatedAttempt
     from elderstall.simulation.world import World
 
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
-LOST_NOTICE = 50.0  # ms until the machine's agent tells of a process that died
+LOST_NOTICE = 50.0  # ms until the worker host's agent tells of a process that died
 ENDINGS = {
     What.DONE: Ending.SERVED,
     What.FAILED: Ending.ERROR,
@@ -27,12 +27,12 @@
 }
 
 
-class Machine:
-    """One worker machine."""
+class WorkerHost:
+    """One worker host."""
 
     def __init__(self, world: World, spec: Worker, kind: Kind, speed: float) -> None:
         self.world, self.spec, self.kind = world, spec, kind
-        rules, reports = world.night.rules, world.night.reports
+        rules, reports = world.scenario.rules, world.scenario.reports
         self.model = CardWorker(
             kind,
             speed,
@@ -43,7 +43,7 @@
         )
         self.timer: Call | None = None
         self.links: set[Link] = set()
-        self.silent = 0  # troubles that keep it from being heard
+        self.silent = 0  # faults that keep it from being heard
         self.pauses = 0
         self.slows: list[float] = []
         self.failing: list[tuple[float, float]] = []  # chance, share of the work after which
@@ -51,10 +51,10 @@
         self.frozen: list[Callable[[], None]] = []  # handshakes that wait for the process to go on
         draws = world.draws
         self.noise = {
-            c.cls.name: draws.spread(c.noise, "noise", spec.name, c.cls.name) for c in world.night.classes
+            c.cls.name: draws.spread(c.noise, "noise", spec.name, c.cls.name) for c in world.scenario.classes
         }
         self.luck = draws.uniform("luck", spec.name)
-        self.hop = draws.spread(world.night.network.jitter, "hops", spec.name)
+        self.hop = draws.spread(world.scenario.network.jitter, "hops", spec.name)
         self.report_noise = draws.spread(reports.noise, "reports", spec.name)
         self.snapshots: deque[tuple[float, tuple[float, ...]]] = deque()
         self.finished = 0
@@ -69,7 +69,7 @@
 
     def delay(self) -> float:
         """Draw the time of one way to or from it, ms."""
-        return self.world.night.network.delay * next(self.hop)
+        return self.world.scenario.network.delay * next(self.hop)
 
     # ---- the model in time ----
 
@@ -93,122 +93,127 @@
 
     def happened(self, h: Happening) -> None:
         """Pass one happening on to whoever it concerns."""
-        errand: Errand = h.task.owner  # type: ignore[assignment]
+        attempt: SimulatedAttempt = h.task.owner  # type: ignore[assignment]
         world, what = self.world, h.what
         if what is What.TAKEN:
-            self.reply(errand, None)
+            self.reply(attempt, None)
         elif what is What.FULL:
-            self.reply(errand, Outcome(Ending.FULL, report=self.report()))
+            self.reply(attempt, Outcome(Ending.FULL, report=self.report()))
         elif what is What.STARTED:
-            world.audit.started(errand)
-            if world.night.reports.starts_told:
-                self.call_back(errand, lambda e: e.wire.noted(e, 0.0, started=True))
+            world.audit.started(attempt)
+            if world.scenario.reports.starts_told:
+                self.call_back(attempt, lambda e: e.upstream.noted(e, 0.0, started=True))
         elif what is What.PROGRESS:
-            self.call_back(errand, lambda e, share=h.share: e.wire.noted(e, share))  # type: ignore[misc]
+            self.call_back(attempt, lambda e, share=h.share: e.upstream.noted(e, share))  # type: ignore[misc]
         else:
             world.tally.core_time(h.task)
             if h.task.began is not None and what is not What.DONE:
-                errand.job.saved = max(errand.job.saved, h.task.saved)
+                attempt.job.saved = max(attempt.job.saved, h.task.saved)
             if what is What.LOST:
-                self.lost(errand)
+                self.lost(attempt)
             elif (ending := ENDINGS.get(what)) is not None:
                 self.finished += 1
                 outcome = Outcome(ending, b"" if what is not What.DONE else b"done", self.report())
-                self.call_back(errand, lambda e: e.wire.called_back(e, outcome))
+                self.call_back(attempt, lambda e: e.upstream.called_back(e, outcome))
 
-    def lost(self, errand: Errand) -> None:
-        """Tell of a task that died with its process, where the machine itself lives on."""
+    def lost(self, attempt: SimulatedAttempt) -> None:
+        """Tell of a task that died with its process, where the worker host itself lives on."""
         if not self.silent:
             outcome = Outcome(Ending.BROKEN)
             self.world.loop.after(
-                LOST_NOTICE, self.call_back, errand, lambda e: e.wire.called_back(e, outcome)
+                LOST_NOTICE, self.call_back, attempt, lambda e: e.upstream.called_back(e, outcome)
             )
 
-    def reply(self, errand: Errand, outcome: Outcome | None) -> None:
+    def reply(self, attempt: SimulatedAttempt, outcome: Outcome | None) -> None:
         """Answer on the connection: taken, or not."""
-        if self.world.reaches(errand.wire, self):
-            self.world.loop.after(self.delay(), errand.answered, outcome)
+        if self.world.reaches(attempt.upstream, self):
+            self.world.loop.after(self.delay(), attempt.answered, outcome)
 
-    def call_back(self, errand: Errand, act: Callable[[Errand], None], tries: int = CALL_TRIES) -> None:
+    def call_back(
+        self, attempt: SimulatedAttempt, act: Callable[[SimulatedAttempt], None], tries: int = CALL_TRIES
+    ) -> None:
         """Call the dispatcher until it answers, ten times at most."""
-        self.world.loop.after(self.delay(), self.called, errand, act, tries)
+        self.world.loop.after(self.delay(), self.called, attempt, act, tries)
 
-    def called(self, errand: Errand, act: Callable[[Errand], None], tries: int) -> None:
+    def called(self, attempt: SimulatedAttempt, act: Callable[[SimulatedAttempt], None], tries: int) -> None:
         """Deliver a call, or try again later."""
-        if self.world.reaches(errand.wire, self) and errand.wire.process.station.process is not None:
-            act(errand)
+        if (
+            self.world.reaches(attempt.upstream, self)
+            and attempt.upstream.process.dispatcher_host.process is not None
+        ):
+            act(attempt)
         elif tries > 1:
-            self.world.loop.after(CALL_AGAIN, self.call_back, errand, act, tries - 1)
+            self.world.loop.after(CALL_AGAIN, self.call_back, attempt, act, tries - 1)
 
     # ---- what comes in ----
 
-    def connect(self, errand: Errand) -> None:
+    def connect(self, attempt: SimulatedAttempt) -> None:
         """Take, refuse or not hear a new connection."""
-        if not self.world.reaches(errand.wire, self):
+        if not self.world.reaches(attempt.upstream, self):
             return
         if not self.model.up:
-            self.world.loop.after(self.delay(), errand.refused)
+            self.world.loop.after(self.delay(), attempt.refused)
             return
         if len(self.links) >= self.kind.connections:
             return  # it holds all it accepts: the caller waits until its time is up
         if self.model.paused:
-            self.frozen.append(lambda: self.connect(errand))
+            self.frozen.append(lambda: self.connect(attempt))
             return
-        link = errand.wire.link_to(self)
+        link = attempt.upstream.link_to(self)
         self.links.add(link)
         self.model.connections = len(self.links)
         self.poke(self.model.charge(self.world.loop.now, self.kind.connection_work))
-        trips = max(0.0, self.world.night.network.handshake_trips - 0.5)
-        self.world.loop.after(self.model.backlog() + 2 * trips * self.delay(), errand.up, link)
+        trips = max(0.0, self.world.scenario.network.handshake_trips - 0.5)
+        self.world.loop.after(self.model.backlog() + 2 * trips * self.delay(), attempt.up, link)
 
-    def receive(self, errand: Errand, link: Link) -> None:
+    def receive(self, attempt: SimulatedAttempt, link: Link) -> None:
         """Hear a job's last byte."""
         world = self.world
-        if not world.reaches(errand.wire, self):
+        if not world.reaches(attempt.upstream, self):
             return
         if not link.open or link.deaf or not self.model.up:  # nobody reads it
-            world.loop.after(self.delay(), errand.broke)
+            world.loop.after(self.delay(), attempt.broke)
             return
         chance = 1.0
         for part in self.resetting:
             chance *= 1 - part
         if chance < 1.0 and next(self.luck) > chance:
             link.close()
-            world.loop.after(self.delay(), errand.broke)
+            world.loop.after(self.delay(), attempt.broke)
             if next(self.luck) < 0.5:
                 return  # it had not read the job yet; else it runs, and nobody hears of it
-        job = errand.job
+        job = attempt.job
         chance, after = self.kind.errors, 0.5
         for part, share in self.failing:
             chance, after = max(chance, part), share if part > chance else after
         fails = after if chance > 0 and next(self.luck) < chance else None
         work = job.work * next(self.noise[job.load.cls.name])
         task = Task(
-            errand,
+            attempt,
             work,
             job.slots,
-            errand.ends,
+            attempt.ends,
             job.safe,
             fails,
             min(0.99, job.saved),
-            world.audit.informed(errand.wire.process, self),
-            errand,
+            world.audit.informed(attempt.upstream.process, self),
+            attempt,
         )
-        errand.task = task
+        attempt.task = task
         self.poke(self.model.offer(world.loop.now, task))
         if self.model.fallen:
             self.fell()
 
-    def cancel(self, errand: Errand) -> None:
+    def cancel(self, attempt: SimulatedAttempt) -> None:
         """Hear that an attempt is given up."""
         if self.model.up:
-            self.poke(self.model.cancel(self.world.loop.now, errand))
+            self.poke(self.model.cancel(self.world.loop.now, attempt))
 
     # ---- reports ----
 
     def snapshot(self) -> None:
         """Measure what reports tell for the next while."""
-        world, reports = self.world, self.world.night.reports
+        world, reports = self.world, self.world.scenario.reports
         book = self.model.ledger
         self.poke(self.model.advance(world.loop.now))
         busy = book.busy + book.overhead
@@ -238,7 +243,7 @@
             self.snapshots.popleft()
         return self.snapshots[0][1] if self.snapshots and self.snapshots[0][0] <= now else ()
 
-    # ---- troubles ----
+    # ---- faults ----
 
     def state(self) -> WorkerState:
         """Say what the list would show if it were not late."""
@@ -247,7 +252,7 @@
         return WorkerState.DRAINING if self.model.draining else WorkerState.UP
 
     def drop_links(self) -> None:
-        """Reset every connection, as a process that dies does; a machine that says nothing resets none."""
+        """Reset every connection, as a process that dies does; a silent worker host resets none."""
         for link in sorted(self.links, key=lambda link: link.number):
             if self.silent:
                 link.deaf = True
@@ -268,7 +273,7 @@
         self.model.fallen = False
         self.world.audit.fell(self)
         self.drop_links()
-        self.world.listing.changed(self, self.world.night.listing.notice)
+        self.world.listing.changed(self, self.world.scenario.listing.notice)
 
     def start(self, cold_share: float | None = None) -> None:
         """Start a new process, cold."""
@@ -276,7 +281,7 @@
         self.model.slow = 1.0
         for factor in self.slows:
             self.model.slow *= factor
-        self.world.listing.changed(self, self.world.night.listing.add)
+        self.world.listing.changed(self, self.world.scenario.listing.add)
         self.poke([])
 
     def slow_by(self, old: float | None, new: float | None) -> None:
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -1,4 +1,4 @@
-"""One night, played: everything that is in it, and the loop that moves it."""
+"""One scenario, played: everything that is in it, and the loop that moves it."""
 
 from __future__ import annotations
 
@@ -10,83 +10,87 @@
 
 from elderstall.simulation.audit import Auditor
 from elderstall.simulation.clients import Clients, Request
+from elderstall.simulation.dispatcher_host import DispatcherHost
+from elderstall.simulation.dispatcher_host import Tally as CountingLog
 from elderstall.simulation.draws import Draws
+from elderstall.simulation.faults import Faults
 from elderstall.simulation.figures import BIN, Tally, figures_of
 from elderstall.simulation.listing import ListService
 from elderstall.simulation.loop import VirtualTime
-from elderstall.simulation.machine import Machine
-from elderstall.simulation.script import EPOCH, Night
-from elderstall.simulation.station import Station
-from elderstall.simulation.station import Tally as CountingLog
-from elderstall.simulation.troubles import Troubles
-from elderstall.simulation.wire import Wire
+from elderstall.simulation.scenario import EPOCH, Scenario
+from elderstall.simulation.upstream import SimulatedUpstream
+from elderstall.simulation.worker_host import WorkerHost
 
 COLLECT = 50_000, 10, 10  # allocations between looks for cycles, by generation
-STEP = 250.0  # ms of the night between looks at its progress
+STEP = 250.0  # ms of the scenario between looks at its progress
 
 
 class World:
     """The network, and who is on it."""
 
-    def __init__(self, night: Night, seed: int | None = None, explain: int | None = None) -> None:
-        self.night = night
-        self.seed = night.seed if seed is None else seed
+    def __init__(self, scenario: Scenario, seed: int | None = None, explain: int | None = None) -> None:
+        self.scenario = scenario
+        self.seed = scenario.seed if seed is None else seed
         self.loop, self.draws, self.log = VirtualTime(), Draws(self.seed), CountingLog()
         self.epoch = EPOCH
-        self.tally = Tally(night)
-        self.audit = Auditor(self.loop, night.rules)
+        self.tally = Tally(scenario)
+        self.audit = Auditor(self.loop, scenario.rules)
         self.explain = explain  # the number of a request that is kept
         self.explained: Request | None = None
-        self.cut: Counter[tuple[int, str]] = Counter()  # paths on which nothing arrives, by trouble
+        self.cut: Counter[tuple[int, str]] = Counter()  # paths on which nothing arrives, by fault
         self.struck: dict[int, list[str]] = {}
         self.absent: set[str] = set()  # not in service at the start
-        kinds = {kind.name: kind for kind in night.kinds}
-        self.machines: dict[str, Machine] = {}
-        for spec in night.workers:
+        kinds = {kind.name: kind for kind in scenario.kinds}
+        self.worker_hosts: dict[str, WorkerHost] = {}
+        for spec in scenario.workers:
             kind = kinds[spec.kind]
             drawn = next(self.draws.spread(kind.speed_spread, "speed", spec.name)) * kind.speed
-            self.machines[spec.name] = Machine(self, spec, kind, spec.speed or drawn)
-        self.listing = ListService(self, night.listing, self.draws.uniform("list"))
+            self.worker_hosts[spec.name] = WorkerHost(self, spec, kind, spec.speed or drawn)
+        self.listing = ListService(self, scenario.listing, self.draws.uniform("list"))
         self.clients = Clients(self)
-        self.stations = [Station(self, rank, weight) for rank, weight in enumerate(night.dispatchers.weights)]
+        self.dispatcher_hosts = [
+            DispatcherHost(self, rank, weight) for rank, weight in enumerate(scenario.dispatchers.weights)
+        ]
 
-    def reaches(self, wire: Wire, machine: Machine) -> bool:
-        """Say whether anything said between a dispatcher and a machine arrives now."""
-        if machine.silent:
+    def reaches(self, upstream: SimulatedUpstream, worker_host: WorkerHost) -> bool:
+        """Say whether anything said between a dispatcher and a worker host arrives now."""
+        if worker_host.silent:
             return False
-        return not self.cut or self.cut[wire.process.station.rank, machine.name] <= 0
+        return not self.cut or self.cut[upstream.process.dispatcher_host.rank, worker_host.name] <= 0
 
     # ---- playing ----
 
     def begin(self) -> None:
         """Set everything up."""
-        Troubles(self).begin()
+        Faults(self).begin()
         for name in sorted(self.absent):
-            self.machines[name].model.die(0.0)
-        self.listing.begin(list(self.machines.values()))
+            self.worker_hosts[name].model.die(0.0)
+        self.listing.begin(list(self.worker_hosts.values()))
         starts = self.draws.uniform("start")
-        for station in self.stations:
-            station.known = self.listing.version, tuple(self.listing.entries.values())
-            station.start()
-            if not self.night.listing.must_ask and station.process is not None:
+        for dispatcher_host in self.dispatcher_hosts:
+            dispatcher_host.known = self.listing.version, tuple(self.listing.entries.values())
+            dispatcher_host.start()
+            if not self.scenario.listing.must_ask and dispatcher_host.process is not None:
                 # Told unasked: after a moment of its own, as processes do not start in step.
                 self.loop.after(
-                    next(starts) * self.night.dispatchers.start_spread, self.listing.follow, station.process
+                    next(starts) * self.scenario.dispatchers.start_spread,
+                    self.listing.follow,
+                    dispatcher_host.process,
                 )
-        self.clients.begin(self.stations)
-        self.loop.at(BIN, self.sample, dict.fromkeys(self.machines, 0.0))
+        self.clients.begin(self.dispatcher_hosts)
+        self.loop.at(BIN, self.sample, dict.fromkeys(self.worker_hosts, 0.0))
 
     def sample(self, before: dict[str, float]) -> None:
         """Note each worker's load over the last second."""
         busy = []
-        for name, machine in self.machines.items():
-            machine.poke(machine.model.advance(self.loop.now))
-            book = machine.model.ledger
+        for name, worker_host in self.worker_hosts.items():
+            worker_host.poke(worker_host.model.advance(self.loop.now))
+            book = worker_host.model.ledger
             used = book.busy + book.overhead
-            busy.append((used - before[name]) / (machine.kind.cores * BIN))
+            busy.append((used - before[name]) / (worker_host.kind.cores * BIN))
             before[name] = used
         self.tally.sample(busy, self.loop.now)
-        if self.loop.now < self.night.length:
+        if self.loop.now < self.scenario.length:
             self.loop.at(self.loop.now + BIN, self.sample, before)
 
     def play(self, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
@@ -96,18 +100,18 @@
 
     def _play(self, progress: Callable[[float], None] | None) -> dict[str, Any]:
         self.begin()
-        end = self.night.length + self.night.tail
+        end = self.scenario.length + self.scenario.tail
         while self.loop.now < end:
             self.loop.run(min(end, self.loop.now + STEP))
-            if self.loop.now >= self.night.length and not self.clients.open:
+            if self.loop.now >= self.scenario.length and not self.clients.open:
                 break
             if progress is not None:
                 progress(self.loop.now / end)
         self.audit.close()
         for request in list(self.clients.open.values()):
             self.clients.close(request, "lost", self.loop.now)
-        for machine in self.machines.values():
-            machine.model.advance(self.loop.now)
+        for worker_host in self.worker_hosts.values():
+            worker_host.model.advance(self.loop.now)
         return figures_of(self)
 
 
@@ -125,6 +129,6 @@
         gc.unfreeze()
 
 
-def play(night: Night, seed: int | None = None) -> dict[str, Any]:
-    """Play a night and give its figures."""
-    return World(night, seed).play()
+def play(scenario: Scenario, seed: int | None = None) -> dict[str, Any]:
+    """Play a scenario and give its figures."""
+    return World(scenario, seed).play()
--- a/tests/serve_trial.py
+++ b/tests/serve_trial.py
@@ -1,4 +1,4 @@
-"""A trial in a process of its own: a real dispatcher on sockets, and a night's workers and list around it."""
+"""A trial in a process of its own: a real dispatcher on sockets, and the workers and list around it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 from elderstall.app import App
 from elderstall.config import config_of
-from elderstall.simulation.script import Trouble
+from elderstall.simulation.scenario import Fault
 from elderstall.simulation.serve import Stage
-from tests.nights import night
+from tests.simulation_scenarios import scenario
 
 JOBS = 60
 
@@ -45,16 +45,16 @@
     return answer.status
 
 
-def main(trouble: str) -> None:
+def main(fault: str) -> None:
     loop: Any = reactor
-    troubles = {
+    faults = {
         "none": [],
-        "restart": [Trouble("restart", 300.0, 400.0, workers=("w-1", "w-2"))],
-        "pause": [Trouble("pause", 300.0, 700.0, workers=("w-1", "w-3"))],
-        "drain": [Trouble("drain", 300.0, 900.0, workers=("w-1", "w-2", "w-3"))],
-        "vanish": [Trouble("vanish", 300.0, 900.0, workers=("w-1",))],
-    }[trouble]
-    stage = Stage(night(*troubles), loop, time.monotonic, time.time() * 1000, [("127.0.0.1", 1)], 3)
+        "restart": [Fault("restart", 300.0, 400.0, workers=("w-1", "w-2"))],
+        "pause": [Fault("pause", 300.0, 700.0, workers=("w-1", "w-3"))],
+        "drain": [Fault("drain", 300.0, 900.0, workers=("w-1", "w-2", "w-3"))],
+        "vanish": [Fault("vanish", 300.0, 900.0, workers=("w-1",))],
+    }[fault]
+    stage = Stage(scenario(*faults), loop, time.monotonic, time.time() * 1000, [("127.0.0.1", 1)], 3)
     stage.begin()
     app = App(config_of({**stage.platform(stage.callers[0]), "listen": "127.0.0.1:0"}, {}), loop)
     statuses: list[int] = []
@@ -70,7 +70,7 @@
 
     def settle() -> None:
         """Wait until no worker has anything left: whatever would run twice has done so."""
-        if any(m.model.held or m.model.paused for m in stage.machines.values()) or any(
+        if any(m.model.held or m.model.paused for m in stage.worker_hosts.values()) or any(
             c.waiting for c in stage.callers
         ):
             loop.callLater(0.05, settle)
--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -150,13 +150,13 @@
 
 
 def commands(folder: Path) -> dict[str, list[str]]:
-    night = folder / "night.conf"
-    night.write_text(TEXT)
+    scenario = folder / "night.conf"
+    scenario.write_text(TEXT)
     return {
-        "figures": ["simulate", "run", str(night), "--json", str(folder / "out")],
-        "report": ["simulate", "run", str(night), "--report", str(folder / "out")],
-        "comparison": ["simulate", "compare", str(night), str(night), "--seeds", "1", "--processes", "1",
-                       "--json", str(folder / "out")],
+        "figures": ["simulate", "run", str(scenario), "--json", str(folder / "out")],
+        "report": ["simulate", "run", str(scenario), "--report", str(folder / "out")],
+        "comparison": ["simulate", "compare", str(scenario), str(scenario), "--seeds", "1",
+                       "--processes", "1", "--json", str(folder / "out")],
     }  # fmt: skip
 
 
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -24,14 +24,14 @@
     digest,
     figures_text,
     names,
-    play_night,
+    play_scenario,
     read_recorded,
     scripts,
     write_recorded,
 )
 from benchmarks.random_events import drive
 from elderstall.interface import LogLine, RejectJob, SendAttempt, WatchEndpoints
-from tests.nights import night
+from tests.simulation_scenarios import scenario
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -76,9 +76,9 @@
 
 
 def test_one_changed_decision_changes_the_digest(monkeypatch: pytest.MonkeyPatch) -> None:
-    small = night(length=3_000.0)
-    before, _ = play_night(small, 1, Recorder())
-    assert play_night(small, 1, Recorder())[0] == before
+    small = scenario(length=3_000.0)
+    before, _ = play_scenario(small, 1, Recorder())
+    assert play_scenario(small, 1, Recorder())[0] == before
     original = SendAttempt.__init__
     seen = 0
 
@@ -88,7 +88,7 @@
         original(self, job, worker, time_out + (1e-9 if seen == 20 else 0.0))
 
     monkeypatch.setattr(SendAttempt, "__init__", later)
-    after, _ = play_night(small, 1, Recorder())
+    after, _ = play_scenario(small, 1, Recorder())
     assert seen >= 20
     assert after.decisions != before.decisions
     assert "decisions" in difference(before, after)
@@ -124,7 +124,7 @@
 ) -> None:
     monkeypatch.delitem(ACTIONS, "SetTimer")
     with pytest.raises(UnmappedNameError, match="ACTIONS has no SetTimer"):
-        play_night(night(length=1_000.0), 1, Recorder())
+        play_scenario(scenario(length=1_000.0), 1, Recorder())
 
 
 def test_figures_are_written_alike_whatever_the_order_of_their_keys() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -170,13 +170,13 @@
     """The emulator with a subset at each dispatcher: the auditor finds no rule broken."""
 
     def test_a_zone_is_lost_and_comes_back(self) -> None:
-        result = play.play(play.night_of(1_300, 10, 12.0, 4.0, "zone"))
+        result = play.play(play.scenario_of(1_300, 10, 12.0, 4.0, "zone"))
         self.assertEqual(0, result["broken"], result["rules"])
         self.assertLessEqual(abs(result["in_view"] - SUBSET_LEAST), 64)
         self.assertGreater(result["requests"], 300)
 
     def test_regions_part(self) -> None:
-        result = play.play(play.night_of(1_300, 11, 12.0, 4.0, "regions"))
+        result = play.play(play.scenario_of(1_300, 11, 12.0, 4.0, "regions"))
         self.assertEqual(0, result["broken"], result["rules"])
         self.assertGreater(result["entered"], 0)  # workers in reach, for those that are not
 
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -1,4 +1,4 @@
-"""Whole nights: nothing is lost, the same night is the same to the byte, the hard cases are met."""
+"""Whole scenarios: nothing is lost, the same scenario is the same to the byte, the hard cases are met."""
 
 from __future__ import annotations
 
@@ -19,23 +19,32 @@
 from elderstall.engine.answers import Answers
 from elderstall.engine.attempts import Attempts
 from elderstall.engine.endpoint_feed import EndpointFeed
-from elderstall.engine.rules import Rules
+from elderstall.engine.rules import Rules as EngineRules
 from elderstall.interface import Effect, Ending, Endpoint, JobClass
 from elderstall.messages import Outcome, Rejected
-from elderstall.simulation import script as s
 from elderstall.simulation.audit import KEPT, lines_of
 from elderstall.simulation.clients import Request, Try
 from elderstall.simulation.reading import find, read
-from elderstall.simulation.script import Trouble
+from elderstall.simulation.scenario import (
+    ClassLoad,
+    Clients,
+    Dispatchers,
+    Fault,
+    Kind,
+    Reports,
+    Rules,
+    Traffic,
+    Worker,
+)
 from elderstall.simulation.world import World, play
-from tests.nights import QUICK_LIST, night, shorter
+from tests.simulation_scenarios import QUICK_LIST, scenario, shorter
 
 ROOT = Path(__file__).parent.parent
 SHIPPED = sorted(path.stem for path in (ROOT / "deploy" / "rehearsals").glob("*.conf"))
 
 
-def played(*troubles: Trouble, seed: int = 1, **changes: Any) -> tuple[dict[str, Any], World]:
-    world = World(night(*troubles, **changes), seed)
+def played(*faults: Fault, seed: int = 1, **changes: Any) -> tuple[dict[str, Any], World]:
+    world = World(scenario(*faults, **changes), seed)
     return world.play(), world
 
 
@@ -45,12 +54,12 @@
     assert sum(figures["endings"].values()) == figures["requests"] == world.clients.count
     assert not world.clients.open and not audit.watched
     assert audit.taken_count == audit.answered_count + audit.dropped_count + audit.left_count
-    for machine in world.machines.values():
-        assert machine.model.ledger.total == pytest.approx(machine.kind.cores * world.loop.now)
+    for worker_host in world.worker_hosts.values():
+        assert worker_host.model.ledger.total == pytest.approx(worker_host.kind.cores * world.loop.now)
     assert sum(figures["core_time"].values()) == pytest.approx(1.0, abs=1e-4)
     assert not [line for line in world.log.kept if line.startswith("bug")]
-    for machine in world.machines.values():
-        assert len(machine.links) == machine.model.connections
+    for worker_host in world.worker_hosts.values():
+        assert len(worker_host.links) == worker_host.model.connections
 
 
 def test_a_calm_night_serves_nearly_all() -> None:
@@ -101,8 +110,8 @@
 
 
 def test_another_seed_is_another_night_and_a_burst_leaves_the_other_requests_as_they_were() -> None:
-    def asked(*troubles: Trouble, seed: int = 1) -> set[tuple[float, float, str]]:
-        world = World(night(*troubles), seed)
+    def asked(*faults: Fault, seed: int = 1) -> set[tuple[float, float, str]]:
+        world = World(scenario(*faults), seed)
         seen: set[tuple[float, float, str]] = set()
         count = world.tally.asked
 
@@ -114,7 +123,7 @@
         world.play()
         return seen
 
-    calm, burst = asked(), asked(Trouble("burst", 4_000.0, 3_000.0, factor=2.0))
+    calm, burst = asked(), asked(Fault("burst", 4_000.0, 3_000.0, factor=2.0))
     assert calm < burst and len(burst - calm) > 40
     assert not calm & asked(seed=2)
 
@@ -122,8 +131,8 @@
 def test_a_quarter_of_the_workers_slow_while_traffic_doubles() -> None:
     calm, _ = played()
     hard, world = played(
-        Trouble("slow", 3_000.0, 6_000.0, share=0.25, factor=6.0),
-        Trouble("burst", 3_000.0, 6_000.0, factor=2.0),
+        Fault("slow", 3_000.0, 6_000.0, share=0.25, factor=6.0),
+        Fault("burst", 3_000.0, 6_000.0, factor=2.0),
     )
     conserved(hard, world)
     assert hard["rules"]["broken"] == 0
@@ -133,17 +142,17 @@
 
 def test_a_worker_that_pauses_says_nothing_and_then_all_at_once() -> None:
     world = World(
-        night(Trouble("pause", 4_000.0, 3_000.0, workers=("w-1",)), reports=s.Reports(progress=500.0)), 3
+        scenario(Fault("pause", 4_000.0, 3_000.0, workers=("w-1",)), reports=Reports(progress=500.0)), 3
     )
     heard: list[float] = []
-    machine = world.machines["w-1"]
-    call = machine.call_back
+    worker_host = world.worker_hosts["w-1"]
+    call = worker_host.call_back
 
     def note(*args: Any) -> None:
         heard.append(world.loop.now)
         call(*args)
 
-    machine.call_back = note  # type: ignore[method-assign, assignment]
+    worker_host.call_back = note  # type: ignore[method-assign, assignment]
     figures = world.play()
     conserved(figures, world)
     assert not [at for at in heard if 4_000.0 < at < 7_000.0]
@@ -153,39 +162,39 @@
 
 def test_a_dispatcher_dies_with_jobs_out() -> None:
     figures, world = played(
-        Trouble("slow", 3_000.0, 6_000.0, factor=3.0),
-        Trouble("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",), planned=False),
+        Fault("slow", 3_000.0, 6_000.0, factor=3.0),
+        Fault("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",), planned=False),
     )
     conserved(figures, world)
-    assert world.audit.dropped_count > 0 and world.stations[0].lives == 2
+    assert world.audit.dropped_count > 0 and world.dispatcher_hosts[0].lives == 2
     assert figures["endings"].get("lost", 0) > 0, "what must not be repeated is not tried again"
     assert figures["rules"]["broken"] == 0
 
 
 def test_a_planned_restart_loses_nothing_that_ends_in_its_time() -> None:
-    figures, world = played(Trouble("dispatcher-restart", 5_000.0, 500.0, dispatchers=("n1",)))
+    figures, world = played(Fault("dispatcher-restart", 5_000.0, 500.0, dispatchers=("n1",)))
     conserved(figures, world)
-    assert world.stations[0].lives == 2 and world.audit.dropped_count == 0
+    assert world.dispatcher_hosts[0].lives == 2 and world.audit.dropped_count == 0
 
 
 def test_a_worker_falls_over_with_unsafe_jobs_in_it() -> None:
-    world = World(night(), 1)
+    world = World(scenario(), 1)
 
     def drop_idle() -> None:
-        world.machines["w-1"].die()
-        world.machines["w-1"].start()
+        world.worker_hosts["w-1"].die()
+        world.worker_hosts["w-1"].start()
 
     def push() -> None:
         """Have it sent more than it can take, by nobody who knew."""
-        machine = world.machines["w-1"]
-        machine.model.sent.append((world.loop.now, 1e6, False))
-        machine.model.pushed += 1e6
+        worker_host = world.worker_hosts["w-1"]
+        worker_host.model.sent.append((world.loop.now, 1e6, False))
+        worker_host.model.pushed += 1e6
 
     world.loop.at(4_000.0, drop_idle)
     world.loop.at(4_600.0, push)
     figures = world.play()
     conserved(figures, world)
-    model = world.machines["w-1"].model
+    model = world.worker_hosts["w-1"].model
     assert not model.up and model.blame < 0.5
     assert figures["rules"]["broken"] == 0, "dispatchers that were not told are not to blame"
     assert figures["endings"].get("failed", 0) > 0
@@ -202,24 +211,24 @@
 
 
 def test_an_outage_is_survived_and_the_fleet_comes_back() -> None:
-    figures, world = played(Trouble("restart", 3_000.0, 3_000.0, apart=50.0))
+    figures, world = played(Fault("restart", 3_000.0, 3_000.0, apart=50.0))
     conserved(figures, world)
     assert figures["windows"][-1]["service"] > 0.9 and figures["core_time"]["down"] > 0.1
 
 
 def test_lost_safe_work_goes_on_from_what_was_saved() -> None:
     """A long safe job whose worker dies late ends sooner than its work would take anew."""
-    long = s.ClassLoad(JobClass("long", 1.0, 9_000.0, 20_000.0), 1.0, 4_000.0)
+    long = ClassLoad(JobClass("long", 1.0, 9_000.0, 20_000.0), 1.0, 4_000.0)
     figures, world = played(
-        Trouble("restart", 3_000.0, 500.0, workers=("w-0",)),
+        Fault("restart", 3_000.0, 500.0, workers=("w-0",)),
         classes=(long,),
         tenants=(),
         length=1_000.0,
-        workers=(s.Worker("w-0", "box", speed=1.0),),
-        kinds=(s.Kind("box", cold_for=0.0),),
+        workers=(Worker("w-0", "box", speed=1.0),),
+        kinds=(Kind("box", cold_for=0.0),),
         tail=20_000.0,
-        load=s.Traffic(1.0),
-        dispatchers=s.Dispatchers((1.0,)),
+        load=Traffic(1.0),
+        dispatchers=Dispatchers((1.0,)),
         seed=7,
     )
     conserved(figures, world)
@@ -229,9 +238,9 @@
 
 
 def test_clients_that_follow_the_library_keep_its_budget_in_an_outage() -> None:
-    trouble = Trouble("restart", 3_000.0, 4_000.0, apart=50.0)
-    naive, _ = played(trouble, clients=s.Clients(retries=3, honour=0.0, impatient=0.0))
-    library, world = played(trouble, clients=s.Clients(policy="library", max_tries=4, impatient=0.0))
+    fault = Fault("restart", 3_000.0, 4_000.0, apart=50.0)
+    naive, _ = played(fault, clients=Clients(retries=3, honour=0.0, impatient=0.0))
+    library, world = played(fault, clients=Clients(policy="library", max_tries=4, impatient=0.0))
     conserved(library, world)
     assert library["rules"]["broken"] == 0 and not world.clients.library.calls  # type: ignore[union-attr]
     assert library["retries"] < naive["retries"] / 2
@@ -242,15 +251,15 @@
 def test_clients_come_back_over_time_to_a_dispatcher_that_was_away() -> None:
     def early(spread: float) -> int:
         """Tries that reached it in the first 400 ms of its second life."""
-        killed = Trouble("dispatcher-restart", 4_000.0, 1_500.0, dispatchers=("n1",), planned=False)
+        killed = Fault("dispatcher-restart", 4_000.0, 1_500.0, dispatchers=("n1",), planned=False)
         world = World(
-            night(killed, clients=s.Clients(retries=4, backoff=400.0, reconnect=spread, impatient=0.0)), 1
+            scenario(killed, clients=Clients(retries=4, backoff=400.0, reconnect=spread, impatient=0.0)), 1
         )
         seen: list[float] = []
         taken = world.audit.taken
 
         def note(tried: Try) -> None:
-            if tried.request.station is world.stations[0] and world.loop.now > 5_500.0:
+            if tried.request.dispatcher_host is world.dispatcher_hosts[0] and world.loop.now > 5_500.0:
                 seen.append(world.loop.now)
             taken(tried)
 
@@ -280,8 +289,8 @@
         "dispatcher-restart",
     ]
 )
-troubles = st.builds(
-    Trouble,
+faults = st.builds(
+    Fault,
     KINDS_OF_TROUBLE,
     at=st.floats(0.0, 4_500.0),
     length=st.floats(200.0, 3_000.0),
@@ -296,13 +305,13 @@
 
 @trials(max_examples=25, deadline=None, derandomize=True, phases=[Phase.generate])
 @given(
-    st.lists(troubles, max_size=4),
+    st.lists(faults, max_size=4),
     st.integers(0, 1_000),
     st.booleans(),
     st.sampled_from(["plain", "library"]),
 )
 def test_whatever_goes_wrong_nothing_is_lost_and_no_rule_is_broken(
-    script: list[Trouble], seed: int, must_ask: bool, policy: str
+    script: list[Fault], seed: int, must_ask: bool, policy: str
 ) -> None:
     listing = replace(QUICK_LIST, must_ask=must_ask)
     figures, world = played(
@@ -310,7 +319,7 @@
         seed=seed,
         length=5_000.0,
         listing=listing,
-        clients=s.Clients(policy=policy, reconnect=300.0),
+        clients=Clients(policy=policy, reconnect=300.0),
     )
     conserved(figures, world)
     # A worker that is slow as well as cold can do less than anybody is told: rule 4 can't be kept there.
@@ -330,7 +339,7 @@
 
 def test_the_auditor_sees_a_double_run(monkeypatch: pytest.MonkeyPatch) -> None:
     """A core that lets what may have run go again."""
-    monkeypatch.setattr(Rules, "forbids", lambda self, job, send: None)
+    monkeypatch.setattr(EngineRules, "forbids", lambda self, job, send: None)
     ended = Attempts._ended
 
     def forgetful(self: Attempts, a: Any, outcome: Outcome) -> None:
@@ -338,7 +347,7 @@
         ended(self, a, Outcome(Ending.FULL) if outcome.ending is Ending.ERROR else outcome)
 
     monkeypatch.setattr(Attempts, "_ended", forgetful)
-    found = broken(World(night(Trouble("fail", 2_000.0, 6_000.0, chance=0.5)), 1))
+    found = broken(World(scenario(Fault("fail", 2_000.0, 6_000.0, chance=0.5)), 1))
     assert any(rule == 2 and "may have run" in what for rule, what in found)
     assert any(rule == 2 and "has run 2 times" in what for rule, what in found)
 
@@ -347,7 +356,7 @@
     monkeypatch.setattr(Answers, "_overdue", lambda self, job: None)
     monkeypatch.setattr(Attempts, "timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
-    found = broken(World(night(Trouble("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
+    found = broken(World(scenario(Fault("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
     assert any(rule == 1 and "past its deadline" in what for rule, what in found)
 
 
@@ -363,7 +372,7 @@
 
     monkeypatch.setattr(Engine, "start", start)
     world = World(
-        night(Trouble("drain", 2_000.0, 9_000.0, workers=("w-1",)), dispatchers=s.Dispatchers((1.0,))), 1
+        scenario(Fault("drain", 2_000.0, 9_000.0, workers=("w-1",)), dispatchers=Dispatchers((1.0,))), 1
     )
     found = broken(world)
     assert any(rule == 3 and "told draining or gone" in what for rule, what in found)
@@ -374,11 +383,9 @@
     monkeypatch.setattr("elderstall.decisions.slow_start.SlowStart.admits", lambda self, w, job: True)
     monkeypatch.setattr("elderstall.decisions.in_flight.InFlight.crowded", lambda self, late=False: False)
     monkeypatch.setattr("elderstall.decisions.capacity.CapacityModel.open_slots", lambda self, w: 50)
-    rules = s.Rules(cold_for=2_000.0, push_multiple=1.2, push_window=600.0)
+    rules = Rules(cold_for=2_000.0, push_multiple=1.2, push_window=600.0)
     world = World(
-        night(
-            Trouble("restart", 3_000.0, 500.0), Trouble("burst", 3_000.0, 6_000.0, factor=4.0), rules=rules
-        ),
+        scenario(Fault("restart", 3_000.0, 500.0), Fault("burst", 3_000.0, 6_000.0, factor=4.0), rules=rules),
         1,
     )
     found = broken(world)
@@ -386,16 +393,16 @@
 
 
 def test_the_auditor_sees_second_copies_and_refusals_of_what_may_have_run() -> None:
-    world = World(night(), 1)
+    world = World(scenario(), 1)
     world.begin()
     world.loop.run(3_000.0)
-    process = world.stations[0].process
+    process = world.dispatcher_hosts[0].process
     assert process is not None
     job = next(
         j for j in process.engine.jobs.live if j.attempt is not None and j.cls.effect is Effect.NOT_IDEMPOTENT
     )
-    other = next(name for name in world.machines if name != job.attempt.worker)  # type: ignore[union-attr]
-    process.wire.send(
+    other = next(name for name in world.worker_hosts if name != job.attempt.worker)  # type: ignore[union-attr]
+    process.upstream.send(
         other, job.request, process.deadlines.now() + 100.0, lambda share, text: None, lambda: None
     )
     process.engine.answers.close(job, Rejected())
@@ -407,19 +414,19 @@
 
 
 def test_playing_twice_in_one_process_gives_the_same() -> None:
-    assert play(night(), 4) == play(night(), 4)
+    assert play(scenario(), 4) == play(scenario(), 4)
 
 
 def test_many_thin_dispatchers_ask_workers_and_nothing_is_lost() -> None:
     """With a worker that falls silent and one that dies amid questions."""
-    troubles = (
-        Trouble("pause", at=3_000.0, length=2_000.0, workers=("w-1",)),
-        Trouble("vanish", at=5_000.0, length=1_500.0, workers=("w-2",)),
+    faults = (
+        Fault("pause", at=3_000.0, length=2_000.0, workers=("w-1",)),
+        Fault("vanish", at=5_000.0, length=1_500.0, workers=("w-2",)),
     )
-    thin = s.Dispatchers((1.0,) * 24)
-    figures, world = played(*troubles, dispatchers=thin, reports=s.Reports(asked=True))
+    thin = Dispatchers((1.0,) * 24)
+    figures, world = played(*faults, dispatchers=thin, reports=Reports(asked=True))
     conserved(figures, world)
     assert world.tally.probes > figures["requests"]
-    unasked, other = played(*troubles, dispatchers=thin)
+    unasked, other = played(*faults, dispatchers=thin)
     conserved(unasked, other)
     assert other.tally.probes == 0
--- a/tests/test_simulation_script.py
+++ b/tests/test_simulation_script.py
@@ -98,10 +98,10 @@
 
 
 def test_values_are_laid_over_a_script_and_checked_as_well(script: Path) -> None:
-    night, _ = read(script, ["load/rate=5", "slow/factor=2", "seed=9"])
-    assert (night.load.rate, night.troubles[0].factor, night.seed) == (5.0, 2.0, 9)
-    night, _ = read(script, ["clients/retries=3", "rules/max-attempts=2", "load/rate=6"])
-    assert (night.clients.retries, night.rules.max_attempts, night.load.rate) == (3.0, 2, 6.0)
+    scenario, _ = read(script, ["load/rate=5", "slow/factor=2", "seed=9"])
+    assert (scenario.load.rate, scenario.faults[0].factor, scenario.seed) == (5.0, 2.0, 9)
+    scenario, _ = read(script, ["clients/retries=3", "rules/max-attempts=2", "load/rate=6"])
+    assert (scenario.clients.retries, scenario.rules.max_attempts, scenario.load.rate) == (3.0, 2, 6.0)
     for change in ("load/rate=x", "nobody/rate=1", "load/rate", "slow/at=99s", "clients/nothing=1"):
         with pytest.raises(ScriptError):
             read(script, [change])
@@ -109,8 +109,10 @@
 
 def test_a_level_is_a_share_of_what_the_fleet_can_do(script: Path) -> None:
     script.write_text(TEXT.replace("rate 20", "level 50%"))
-    night, _ = read(script)
-    assert night.load.rate == pytest.approx(0.5 * 3 * 2 * 2.0 / 0.1)  # workers x cores x speed / s of a job
+    scenario, _ = read(script)
+    assert scenario.load.rate == pytest.approx(
+        0.5 * 3 * 2 * 2.0 / 0.1
+    )  # workers x cores x speed / s of a job
 
 
 @pytest.mark.parametrize(("text", "ms"), [("250ms", 250.0), ("1.5s", 1_500.0), ("2m", 120_000.0), ("0s", 0)])
--- a/tests/test_simulation_serve.py
+++ b/tests/test_simulation_serve.py
@@ -14,9 +14,9 @@
 ROOT = Path(__file__).parent.parent
 
 
-def trial(trouble: str) -> dict[str, Any]:
+def trial(fault: str) -> dict[str, Any]:
     done = subprocess.run(
-        [sys.executable, "-m", "tests.serve_trial", trouble],
+        [sys.executable, "-m", "tests.serve_trial", fault],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -36,8 +36,8 @@
     assert told["call_backs"]["n1"]["failed"] == told["call_backs"]["n1"]["dropped"] == 0
 
 
-@pytest.mark.parametrize("trouble", ["restart", "pause", "drain", "vanish"])
-def test_with_trouble_all_are_answered_and_nothing_unsafe_runs_twice(trouble: str) -> None:
-    told = trial(trouble)
+@pytest.mark.parametrize("fault", ["restart", "pause", "drain", "vanish"])
+def test_with_trouble_all_are_answered_and_nothing_unsafe_runs_twice(fault: str) -> None:
+    told = trial(fault)
     assert len(told["statuses"]) == 60 and not told["broken"] and not told["fallen"]
     assert told["statuses"].count(200) > 20
--- a/tests/test_simulation_worker.py
+++ b/tests/test_simulation_worker.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderstall.simulation.script import Kind
+from elderstall.simulation.scenario import Kind
 from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
 
 PLAIN = Kind("plain", cores=2, slots=2, queue=2, cold_share=0.5, cold_for=0.0)
