--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -416,8 +416,8 @@
         "class": request.load.cls.name,
         "tenant": request.tenant,
         "ending": request.ended,
-        "asked_s": round(request.asked / 1000, 4),
-        "wanted_s": round(request.aim / 1000, 4),
+        "asked_s": round(request.arrived_at / 1000, 4),
+        "wanted_s": round(request.latency_objective_at / 1000, 4),
         "work_ms": round(request.work, 3),
         "slots": request.slots,
         "in_share": request.in_share,
@@ -427,8 +427,8 @@
     else:
         click.echo(
             f"request {job}: {request.load.cls.name} of {request.tenant or 'nobody'}, "
-            f"{request.work:.0f} ms of work, asked at {request.asked / 1000:.4f} s, "
-            f"wanted by {request.aim / 1000:.4f} s, ended {request.ended}"
+            f"{request.work:.0f} ms of work, asked at {request.arrived_at / 1000:.4f} s, "
+            f"wanted by {request.latency_objective_at / 1000:.4f} s, ended {request.ended}"
         )
         for line in lines:
             click.echo(line)
--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -103,8 +103,8 @@
 
     # ---- the list ----
 
-    def told(self, process: Process, scope: ListScope, entries: tuple[Endpoint, ...]) -> None:
-        """Note what a dispatcher was told of the workers, and when."""
+    def notified(self, process: Process, scope: ListScope, entries: tuple[Endpoint, ...]) -> None:
+        """Note what a dispatcher was notified of about the workers, and when."""
         now, key = self.loop.now, id(process)
         states = self.states.setdefault(key, {})
         starts = self.starts.setdefault(key, {})
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -24,7 +24,7 @@
     """What a client wants, whatever the number of its tries."""
 
     __slots__ = (
-        "asked",
+        "arrived_at",
         "current",
         "deadline",
         "dispatcher_host",
@@ -36,6 +36,7 @@
         "leaves",
         "load",
         "number",
+        "priority_weight",
         "retries",
         "runs",
         "saved",
@@ -43,14 +44,13 @@
         "tenant",
         "tries",
         "work",
-        "worth",
     )
 
-    def __init__(self, number: int, load: ClassLoad, asked: float) -> None:
-        self.number, self.load, self.asked = number, load, asked
-        self.deadline = asked + load.cls.deadline
+    def __init__(self, number: int, load: ClassLoad, arrived_at: float) -> None:
+        self.number, self.load, self.arrived_at = number, load, arrived_at
+        self.deadline = arrived_at + load.cls.deadline
         self.tenant: str | None = None
-        self.work = self.worth = 0.0
+        self.work = self.priority_weight = 0.0
         self.hint: float | None = None
         self.slots = 1
         self.in_share = self.heeds = True
@@ -69,10 +69,10 @@
         return self.load.cls.effect is Effect.IDEMPOTENT
 
     @property
-    def aim(self) -> float:
-        """When its answer is wanted: a reading of the scenario's clock."""
+    def latency_objective_at(self) -> float:
+        """The latency objective as a time: a reading of the scenario's clock."""
         cls = self.load.cls
-        return self.asked + min(cls.latency_objective + cls.stretch * self.work, cls.deadline)
+        return self.arrived_at + min(cls.latency_objective + cls.stretch * self.work, cls.deadline)
 
 
 class Try:
@@ -192,7 +192,7 @@
             request.tenant = self.scenario.tenants[source.tenant()].name
             request.in_share = self.meter(request.tenant)
         rules = self.scenario.rules
-        request.worth = (
+        request.priority_weight = (
             load.cls.priority_weight
             * (request.work * request.slots if rules.worth_by_work else 1.0)
             * (1.0 if request.in_share else rules.over_share_worth)
@@ -203,7 +203,7 @@
         if next(source.habits) < habits.impatient:
             request.leaves = now + next(source.habits) * load.cls.deadline
         self.open[request.number] = request
-        world.tally.asked(request)
+        world.tally.count_request(request)
         if self.count == world.explain:
             world.explained = request
         if request.leaves < request.deadline:
@@ -268,7 +268,7 @@
         if self.library is not None and not isinstance(answer, Served):
             self.library.answered(request, answer, now)
         elif isinstance(answer, Served):
-            in_time = now <= request.aim
+            in_time = now <= request.latency_objective_at
             if tried.served_by is not None:
                 self.world.tally.useful(tried.served_by)
             self.close(request, "served" if in_time else "late", now)
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -20,7 +20,7 @@
 KILLED_AFTER = 1_700.0  # ms after a planned restart has stopped taking jobs until it is killed
 
 
-class Tally(Log):
+class CountingLog(Log):
     """A log that only counts by code; bugs and broken rules are kept, as they should never be."""
 
     def __init__(self) -> None:
@@ -63,17 +63,17 @@
     def begin(self) -> None:
         """Start with the list as this dispatcher last held it."""
         self.version, entries = self.dispatcher_host.known
-        self.world.audit.told(self, ListScope.WHOLE, entries)
+        self.world.audit.notified(self, ListScope.WHOLE, entries)
         self.upstream.listed(entries, whole=True)
         self.engine.start(entries)
 
-    def told(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
+    def notified(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
         """Take news of the list."""
         if not self.alive:
             return
         if scope not in (ListScope.FAILED, ListScope.SILENT):
             self.version = version
-            self.world.audit.told(self, scope, entries)
+            self.world.audit.notified(self, scope, entries)
             self.upstream.listed(entries, whole=scope is ListScope.WHOLE)
         self.engine.endpoints.take(scope, entries)
 
--- a/elderstall/simulation/faults.py
+++ b/elderstall/simulation/faults.py
@@ -60,7 +60,7 @@
         order = self.world.draws.generator("trouble", str(n)).permutation(len(names))
         return [names[k] for k in order[: max(1, round(share * len(names)))]] if share > 0 else []
 
-    def posts(self, t: Fault, n: int) -> list[DispatcherHost]:
+    def struck_dispatchers(self, t: Fault, n: int) -> list[DispatcherHost]:
         """Choose the dispatchers."""
         dispatcher_hosts = {
             dispatcher_host.name: dispatcher_host for dispatcher_host in self.world.dispatcher_hosts
@@ -163,7 +163,9 @@
     def cut_off(self, t: Fault, n: int) -> None:
         """Cut the paths between workers and dispatchers: nothing said there arrives."""
         worker_hosts = self.struck(t, n)
-        ranks = [s.rank for s in (self.posts(t, n) if t.dispatchers else self.world.dispatcher_hosts)]
+        ranks = [
+            s.rank for s in (self.struck_dispatchers(t, n) if t.dispatchers else self.world.dispatcher_hosts)
+        ]
         pairs = [(rank, worker_host.name) for worker_host in worker_hosts for rank in ranks]
         self.loop.at(t.at, self.world.cut.update, pairs)
         self.loop.at(t.ends, self.world.cut.subtract, pairs)
@@ -187,7 +189,7 @@
 
     def dispatcher_restart(self, t: Fault, n: int) -> None:
         """Restart dispatchers, as planned or by killing them."""
-        for k, dispatcher_host in enumerate(self.posts(t, n)):
+        for k, dispatcher_host in enumerate(self.struck_dispatchers(t, n)):
             at = t.at + k * t.apart
             if t.planned:
                 self.loop.at(at, dispatcher_host.leave, t.length)
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -1,6 +1,7 @@
 """The figures of a scenario: service, refusals, attempts, wasted work, latency; alike for the same scenario.
 
-Service is worth answered in time over worth asked for. Nothing measured on this machine is among them.
+Service is the priority weight answered in time over the priority weight requested. Nothing measured
+on this machine is among them.
 """
 
 from __future__ import annotations
@@ -29,24 +30,24 @@
 
 
 @dataclass(slots=True)
-class Worth:
-    """Worth asked for, and answered in time."""
+class PriorityWeight:
+    """Priority weight requested, and answered in time."""
 
-    asked: float = 0.0
+    requested: float = 0.0
     earned: float = 0.0
 
     @property
     def service(self) -> float | None:
-        """Give the one over the other; None where nothing was asked for."""
-        return self.earned / self.asked if self.asked > 0 else None
+        """Give the one over the other; None where nothing was requested."""
+        return self.earned / self.requested if self.requested > 0 else None
 
 
 @dataclass(slots=True)
 class Bin:
     """One second of arrivals, and of load."""
 
-    worth: Worth = field(default_factory=Worth)
-    classes: dict[str, Worth] = field(default_factory=dict)
+    priority_weight: PriorityWeight = field(default_factory=PriorityWeight)
+    classes: dict[str, PriorityWeight] = field(default_factory=dict)
     endings: Counter[str] = field(default_factory=Counter)
     requests: int = 0
     busy: list[float] = field(default_factory=list)  # of each worker, share of its cores
@@ -58,30 +59,32 @@
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.bins: list[Bin] = [Bin() for _ in range(int(-(-scenario.length // BIN)))]
-        self.classes = {c.cls.name: Worth() for c in scenario.classes}
-        self.tenants = {t.name: Worth() for t in scenario.tenants}  # within its share
+        self.classes = {c.cls.name: PriorityWeight() for c in scenario.classes}
+        self.tenants = {t.name: PriorityWeight() for t in scenario.tenants}  # within its share
         self.endings: dict[str, Counter[str]] = {c.cls.name: Counter() for c in scenario.classes}
         self.latencies = {c.cls.name: HdrHistogram(1, 3_600_000_000, 3) for c in scenario.classes}  # us
         self.requests = self.tries = self.retries = self.attempts = self.connections = self.probes = 0
         self.core_ms = self.useful_ms = 0.0
-        self.work_asked = self.late_worth = 0.0
-        self.lost: list[tuple[float, int, str, str, float]] = []  # a heap of those that lost most worth
+        self.work_asked = self.late_weight = 0.0
+        self.lost: list[
+            tuple[float, int, str, str, float]
+        ] = []  # a heap of those that lost most priority weight
 
     def bin(self, request: Request) -> Bin:
         """Find the second in which a request came."""
-        return self.bins[min(len(self.bins) - 1, int(request.asked // BIN))]
+        return self.bins[min(len(self.bins) - 1, int(request.arrived_at // BIN))]
 
-    def asked(self, request: Request) -> None:
+    def count_request(self, request: Request) -> None:
         """Count a request."""
         self.requests += 1
         self.work_asked += request.work * request.slots
         at, name = self.bin(request), request.load.cls.name
         at.requests += 1
-        at.worth.asked += request.worth
-        at.classes.setdefault(name, Worth()).asked += request.worth
-        self.classes[name].asked += request.worth
+        at.priority_weight.requested += request.priority_weight
+        at.classes.setdefault(name, PriorityWeight()).requested += request.priority_weight
+        self.classes[name].requested += request.priority_weight
         if request.tenant is not None and request.in_share:
-            self.tenants[request.tenant].asked += request.worth
+            self.tenants[request.tenant].requested += request.priority_weight
 
     def ended(self, request: Request, at: float) -> None:
         """Count how a request ended."""
@@ -90,18 +93,18 @@
         here = self.bin(request)
         here.endings[ending] += 1
         if ending in ("served", "late"):
-            self.latencies[name].record_value(max(1, round((at - request.asked) * 1000)))
-        elif ending != "left" and at > request.aim:
-            self.late_worth += request.worth
+            self.latencies[name].record_value(max(1, round((at - request.arrived_at) * 1000)))
+        elif ending != "left" and at > request.latency_objective_at:
+            self.late_weight += request.priority_weight
         if ending != "served":
-            entry = (request.worth, request.number, name, ending, request.asked)
+            entry = (request.priority_weight, request.number, name, ending, request.arrived_at)
             (heappush if len(self.lost) < MOST_LOST else heappushpop)(self.lost, entry)
         if ending == "served":
-            here.worth.earned += request.worth
-            here.classes[name].earned += request.worth
-            self.classes[name].earned += request.worth
+            here.priority_weight.earned += request.priority_weight
+            here.classes[name].earned += request.priority_weight
+            self.classes[name].earned += request.priority_weight
             if request.tenant is not None and request.in_share:
-                self.tenants[request.tenant].earned += request.worth
+                self.tenants[request.tenant].earned += request.priority_weight
 
     def core_time(self, task: Task) -> None:
         """Book the core time of a task that is over."""
@@ -124,9 +127,9 @@
     worst, at = None, 0
     for n in range(max(1, len(bins) - length + 1)):
         part = bins[n : n + length]
-        asked = sum(b.worth.asked for b in part)
-        if asked > 0:
-            service = sum(b.worth.earned for b in part) / asked
+        requested = sum(b.priority_weight.requested for b in part)
+        if requested > 0:
+            service = sum(b.priority_weight.earned for b in part) / requested
             if worst is None or service < worst:
                 worst, at = service, n
     return worst, at
@@ -140,9 +143,9 @@
 def figures_of(world: World) -> dict[str, Any]:
     """Give the figures as plain data, in a fixed order."""
     scenario, tally, audit = world.scenario, world.tally, world.audit
-    asked = sum(w.asked for w in tally.classes.values())
+    requested = sum(w.requested for w in tally.classes.values())
     earned = sum(w.earned for w in tally.classes.values())
-    whole = earned / asked if asked else None
+    whole = earned / requested if requested else None
     worst, worst_at = worst_stretch(tally.bins)
     by_class = [w.service for w in tally.classes.values() if w.service is not None]
     by_tenant = [w.service for w in tally.tenants.values() if w.service is not None]
@@ -156,7 +159,7 @@
     prices = {
         "waste": goal.price_waste * wasted * speed / max(1e-9, tally.work_asked),
         "connections": goal.price_connection * tally.connections / first_tries,
-        "late failures": goal.price_late_failure * tally.late_worth / max(1e-9, asked),
+        "late failures": goal.price_late_failure * tally.late_weight / max(1e-9, requested),
     }
     figure = None
     if whole is not None and worst is not None:
@@ -205,8 +208,8 @@
         },
         "classes": {
             name: {
-                "service": rounded(worth.service),
-                "worth_asked": rounded(worth.asked, 3),
+                "service": rounded(priority_weight.service),
+                "worth_asked": rounded(priority_weight.requested, 3),
                 "endings": {e: tally.endings[name][e] for e in ENDINGS if tally.endings[name][e]},
                 "latency_ms": {
                     f"p{q:g}": tally.latencies[name].get_value_at_percentile(q) / 1000 for q in QUANTILES
@@ -214,11 +217,14 @@
                 if tally.latencies[name].get_total_count()
                 else {},
             }
-            for name, worth in tally.classes.items()
+            for name, priority_weight in tally.classes.items()
         },
         "tenants": {
-            name: {"service": rounded(worth.service), "worth_asked": rounded(worth.asked, 3)}
-            for name, worth in tally.tenants.items()
+            name: {
+                "service": rounded(priority_weight.service),
+                "worth_asked": rounded(priority_weight.requested, 3),
+            }
+            for name, priority_weight in tally.tenants.items()
         },
         "windows": [
             window(tally.bins[n : n + WINDOW], n, scenario.workers) for n in range(0, len(tally.bins), WINDOW)
@@ -229,9 +235,11 @@
                 "class": name,
                 "ending": ending,
                 "at_s": rounded(at / 1000, 3),
-                "share_of_worth": rounded(worth / asked),
+                "share_of_worth": rounded(priority_weight / requested),
             }
-            for worth, number, name, ending, at in sorted(tally.lost, key=lambda row: (-row[0], row[1]))
+            for priority_weight, number, name, ending, at in sorted(
+                tally.lost, key=lambda row: (-row[0], row[1])
+            )
         ],
         "troubles": [
             {"kind": t.kind, "at_s": t.at / 1000, "for_s": t.length / 1000, "struck": world.struck.get(n, [])}
@@ -256,15 +264,18 @@
 
 def window(bins: list[Bin], at: int, workers: tuple[Worker, ...]) -> dict[str, Any]:
     """Give one window of a few seconds."""
-    asked, earned = sum(b.worth.asked for b in bins), sum(b.worth.earned for b in bins)
+    requested, earned = (
+        sum(b.priority_weight.requested for b in bins),
+        sum(b.priority_weight.earned for b in bins),
+    )
     endings: Counter[str] = Counter()
-    classes: dict[str, Worth] = {}
+    classes: dict[str, PriorityWeight] = {}
     for b in bins:
         endings.update(b.endings)
-        for name, worth in b.classes.items():
-            there = classes.setdefault(name, Worth())
-            there.asked += worth.asked
-            there.earned += worth.earned
+        for name, priority_weight in b.classes.items():
+            there = classes.setdefault(name, PriorityWeight())
+            there.requested += priority_weight.requested
+            there.earned += priority_weight.earned
     busy = [b.busy for b in bins if b.busy]
     kinds: dict[str, list[float]] = {}
     for w, row in zip(workers, zip(*busy, strict=True), strict=False):
@@ -272,7 +283,7 @@
     return {
         "from_s": at,
         "requests": sum(b.requests for b in bins),
-        "service": rounded(earned / asked) if asked else None,
+        "service": rounded(earned / requested) if requested else None,
         "classes": {name: rounded(classes[name].service) for name in sorted(classes)},
         "endings": {name: endings[name] for name in ENDINGS if endings[name]},
         "busy": {kind: rounded(sum(rows) / len(rows), 4) for kind, rows in sorted(kinds.items())},
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -82,14 +82,14 @@
     def tell(self, process: Process) -> None:
         """Write the changes, or the whole list to one that holds none."""
         if process.version == 0:
-            process.told(ListScope.WHOLE, tuple(self.entries.values()), self.version)
+            process.notified(ListScope.WHOLE, tuple(self.entries.values()), self.version)
             return
         newest: dict[str, Endpoint] = {}
         for version, entry in reversed(self.log):
             if version <= process.version:
                 break
             newest.setdefault(entry.worker, entry)
-        process.told(ListScope.CHANGES, tuple(reversed(newest.values())), self.version)
+        process.notified(ListScope.CHANGES, tuple(reversed(newest.values())), self.version)
 
     def follow(self, process: Process) -> None:
         """Take a call: in turn, and too late is a failure."""
@@ -115,7 +115,7 @@
     def fail(self, process: Process) -> None:
         """Fail a call, or a watch."""
         self.watching.pop(process, None)
-        process.told(ListScope.FAILED, (), process.version)
+        process.notified(ListScope.FAILED, (), process.version)
 
     def forget(self, process: Process) -> None:
         """End the watch of a process that is gone."""
--- a/elderstall/simulation/reading.py
+++ b/elderstall/simulation/reading.py
@@ -285,12 +285,15 @@
     def faults(self, scenario: Scenario) -> tuple[Fault, ...]:
         """Read the faults, and check whom they strike and when."""
         names = [w.name for w in scenario.workers]
-        posts = [f"n{n + 1}" for n in range(len(scenario.dispatchers.weights))]
+        dispatcher_names = [f"n{n + 1}" for n in range(len(scenario.dispatchers.weights))]
         return tuple(
-            sorted((self.fault(t, scenario, names, posts) for t in self.root.troubles), key=lambda t: t.at)
+            sorted(
+                (self.fault(t, scenario, names, dispatcher_names) for t in self.root.troubles),
+                key=lambda t: t.at,
+            )
         )
 
-    def fault(self, t: Any, scenario: Scenario, names: list[str], posts: list[str]) -> Fault:
+    def fault(self, t: Any, scenario: Scenario, names: list[str], dispatcher_names: list[str]) -> Fault:
         """Read one."""
         kind = t.getSectionType()
         values = {name: getattr(t, name) for name in Fault.__dataclass_fields__ if hasattr(t, name)}
@@ -311,14 +314,14 @@
         for key in ("share", "chance", "after"):
             if hasattr(t, key):
                 self.fraction(t, key)
-        self.check_targets(t, fault, names, posts)
+        self.check_targets(t, fault, names, dispatcher_names)
         if fault.job_class and fault.job_class not in {c.cls.name for c in scenario.classes}:
             self.wrong(t, "class", f"there is no class {fault.job_class!r}")
         return fault
 
-    def check_targets(self, t: Any, fault: Fault, names: list[str], posts: list[str]) -> None:
+    def check_targets(self, t: Any, fault: Fault, names: list[str], dispatcher_names: list[str]) -> None:
         """Check that the workers and dispatchers named exist, and that a share is not given beside names."""
-        for key, known in (("workers", names), ("dispatchers", posts)):
+        for key, known in (("workers", names), ("dispatchers", dispatcher_names)):
             for name in getattr(fault, key):
                 if not select(name, known):
                     self.wrong(
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -376,7 +376,7 @@
         self.version = version if self.watch and version <= self.stage.listing.version else 0
         self.stage.listing.follow(self)  # type: ignore[arg-type]
 
-    def told(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
+    def notified(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
         """Write news of the list; a call that failed, or a watch that ends, says so."""
         if not self.alive:
             return
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -259,10 +259,10 @@
             done.callback(False)
             return done
         self.world.audit.given_up(attempt)
-        self.loop.after(attempt.worker_host.delay(), self.told, attempt, done)
+        self.loop.after(attempt.worker_host.delay(), self.deliver_cancellation, attempt, done)
         return done
 
-    def told(self, attempt: SimulatedAttempt, done: Deferred[bool]) -> None:
+    def deliver_cancellation(self, attempt: SimulatedAttempt, done: Deferred[bool]) -> None:
         """Have a worker host hear that an attempt is given up; one out of reach is waited for a while."""
         worker_host = attempt.worker_host
         if self.world.reaches(self, worker_host) and not worker_host.model.paused:
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -10,8 +10,7 @@
 
 from elderstall.simulation.audit import Auditor
 from elderstall.simulation.clients import Clients, Request
-from elderstall.simulation.dispatcher_host import DispatcherHost
-from elderstall.simulation.dispatcher_host import Tally as CountingLog
+from elderstall.simulation.dispatcher_host import CountingLog, DispatcherHost
 from elderstall.simulation.draws import Draws
 from elderstall.simulation.faults import Faults
 from elderstall.simulation.figures import BIN, Tally, figures_of
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -113,13 +113,13 @@
     def asked(*faults: Fault, seed: int = 1) -> set[tuple[float, float, str]]:
         world = World(scenario(*faults), seed)
         seen: set[tuple[float, float, str]] = set()
-        count = world.tally.asked
+        count = world.tally.count_request
 
         def note(request: Request) -> None:
-            seen.add((request.asked, request.work, request.load.cls.name))
+            seen.add((request.arrived_at, request.work, request.load.cls.name))
             count(request)
 
-        world.tally.asked = note  # type: ignore[method-assign]
+        world.tally.count_request = note  # type: ignore[method-assign]
         world.play()
         return seen
 
