--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -4,20 +4,71 @@
 
 import math
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from elderstall.client.budget import RetryBudget
 from elderstall.client.policy import Action, Call, Habits, Lost, Rule, Send, Wait
 from elderstall.client.policy import Answer as Reply
 from elderstall.interface import Effect
 from elderstall.messages import Answer, Failed, Rejected, Served
-from elderstall.simulation.draws import Choice
-from elderstall.simulation.scenario import ClassLoad, Traffic
+from elderstall.simulation.draws import Choice, Draws
+from elderstall.simulation.scenario import ClassLoad, Scenario, Traffic
 
 if TYPE_CHECKING:
     from elderstall.simulation.dispatcher_host import DispatcherHost, Process
+    from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.upstream import SimulatedAttempt
-    from elderstall.simulation.world import World
+
+
+class ClientAudit(Protocol):
+    """The auditor, as clients report to it."""
+
+    def taken(self, tried: Try) -> None:
+        """Note that a dispatcher has a client's try."""
+
+    def answered(self, tried: Try, answer: Answer) -> None:
+        """Check a final answer."""
+
+    def dropped(self, tried: Try) -> None:
+        """Note that a dispatcher died with a try in it."""
+
+    def left(self, tried: Try) -> None:
+        """Note that a client has left."""
+
+
+class ClientTally(Protocol):
+    """The counts of requests and their endings."""
+
+    tries: int
+    retries: int
+
+    def count_request(self, request: Request) -> None:
+        """Count a request."""
+
+    def useful(self, attempt: SimulatedAttempt) -> None:
+        """Book the core time of the attempt that served."""
+
+    def ended(self, request: Request, at: float) -> None:
+        """Count how a request ended."""
+
+
+class ClientSurroundings(Protocol):
+    """What clients need of the scenario that they are part of."""
+
+    scenario: Scenario
+    loop: VirtualTime
+    draws: Draws
+    clients: Clients
+    explain: int | None
+    explained: Request | None
+
+    @property
+    def audit(self) -> ClientAudit:
+        """The auditor."""
+
+    @property
+    def tally(self) -> ClientTally:
+        """The counts."""
 
 
 class Request:
@@ -93,7 +144,7 @@
         "world",
     )
 
-    def __init__(self, world: World, request: Request, number: int) -> None:
+    def __init__(self, world: ClientSurroundings, request: Request, number: int) -> None:
         self.world, self.request, self.number = world, request, number
         self.request_id = f"{request.number}.{number}"
         self.process: Process | None = None
@@ -130,7 +181,7 @@
 class Clients:
     """All clients of a scenario."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: ClientSurroundings) -> None:
         self.world, self.scenario, self.spec = world, world.scenario, world.scenario.clients
         draws = world.draws
         self.count = 0
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter, deque
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine, TooManyJobsError
@@ -11,11 +11,16 @@
 from elderstall.log import Log
 from elderstall.messages import JobRequest
 from elderstall.simulation.scenario import EPOCH
-from elderstall.simulation.upstream import SimulatedAttempt, SimulatedUpstream
+from elderstall.simulation.upstream import (
+    SimulatedAttempt,
+    SimulatedUpstream,
+    UpstreamAudit,
+    UpstreamSurroundings,
+)
 
 if TYPE_CHECKING:
     from elderstall.simulation.clients import Try
-    from elderstall.simulation.world import World
+    from elderstall.simulation.draws import Draws
 
 KILLED_AFTER = 1_700.0  # ms after a planned restart has stopped taking jobs until it is killed
 
@@ -35,6 +40,41 @@
             self.kept.append(f"{code} {text}")
 
 
+class DispatcherAudit(UpstreamAudit, Protocol):
+    """The auditor, as dispatchers and what carries their attempts report to it."""
+
+    def notified(self, process: Process, scope: ListScope, entries: tuple[Endpoint, ...]) -> None:
+        """Note what a dispatcher was notified of."""
+
+    def ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
+        """Note how an attempt ended, as its dispatcher knows."""
+
+
+class ListCalls(Protocol):
+    """The list, as dispatchers call it."""
+
+    def follow(self, process: Process) -> None:
+        """Take a call."""
+
+    def forget(self, process: Process) -> None:
+        """End the watch of a process that is gone."""
+
+
+class DispatcherSurroundings(UpstreamSurroundings, Protocol):
+    """What a dispatcher host needs of the scenario that it is part of."""
+
+    draws: Draws
+    log: CountingLog
+
+    @property
+    def audit(self) -> DispatcherAudit:
+        """The auditor."""
+
+    @property
+    def listing(self) -> ListCalls:
+        """The list."""
+
+
 class Process:
     """One life of a dispatcher."""
 
@@ -130,7 +170,7 @@
 class DispatcherHost:
     """A dispatcher's place: its name and address, whoever serves there."""
 
-    def __init__(self, world: World, rank: int, weight: float) -> None:
+    def __init__(self, world: DispatcherSurroundings, rank: int, weight: float) -> None:
         self.world, self.rank, self.weight = world, rank, weight
         self.name = f"n{rank + 1}"
         self.process: Process | None = None
--- a/elderstall/simulation/faults.py
+++ b/elderstall/simulation/faults.py
@@ -3,23 +3,43 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from elderstall.simulation.reading import select
-from elderstall.simulation.scenario import Fault
+from elderstall.simulation.scenario import Fault, Scenario
 
 if TYPE_CHECKING:
+    from collections import Counter
+
+    from elderstall.simulation.clients import Clients
     from elderstall.simulation.dispatcher_host import DispatcherHost
+    from elderstall.simulation.draws import Draws
+    from elderstall.simulation.listing import ListService
+    from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.worker_host import WorkerHost
-    from elderstall.simulation.world import World
 
 RAMP_STEPS = 10  # a slow-down comes and goes in so many steps
 
 
+class FaultSurroundings(Protocol):
+    """What faults strike, and what carries them out."""
+
+    scenario: Scenario
+    loop: VirtualTime
+    draws: Draws
+    listing: ListService
+    clients: Clients
+    dispatcher_hosts: list[DispatcherHost]
+    worker_hosts: dict[str, WorkerHost]
+    absent: set[str]
+    cut: Counter[tuple[int, str]]
+    struck: dict[int, list[str]]
+
+
 class Faults:
     """All of a scenario."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FaultSurroundings) -> None:
         self.world, self.loop = world, world.loop
         self.acts: dict[str, Callable[[Fault, int], None]] = {
             "slow": self.slow,
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -7,19 +7,21 @@
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from heapq import heappush, heappushpop
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from hdrh.histogram import HdrHistogram
 
-from elderstall.simulation.scenario import Scenario, Worker
+from elderstall.simulation.scenario import Kind, Scenario, Worker
 
 if TYPE_CHECKING:
+    from elderstall.simulation.audit import Auditor
     from elderstall.simulation.clients import Request
+    from elderstall.simulation.dispatcher_host import CountingLog
     from elderstall.simulation.upstream import SimulatedAttempt
-    from elderstall.simulation.worker import Task
-    from elderstall.simulation.world import World
+    from elderstall.simulation.worker import CardWorker, Task
 
 BIN = 1_000.0  # ms
 WINDOW = 5  # bins shown together
@@ -140,7 +142,29 @@
     return None if value is None else round(value, digits)
 
 
-def figures_of(world: World) -> dict[str, Any]:
+class HostFigures(Protocol):
+    """What the figures read of a worker host."""
+
+    model: CardWorker
+    kind: Kind
+
+
+class PlayedScenario(Protocol):
+    """What the figures read of a scenario that has been played."""
+
+    scenario: Scenario
+    seed: int
+    tally: Tally
+    audit: Auditor
+    log: CountingLog
+    struck: dict[int, list[str]]
+
+    @property
+    def worker_hosts(self) -> Mapping[str, HostFigures]:
+        """The worker hosts by name."""
+
+
+def figures_of(world: PlayedScenario) -> dict[str, Any]:
     """Give the figures as plain data, in a fixed order."""
     scenario, tally, audit = world.scenario, world.tally, world.audit
     requested = sum(w.requested for w in tally.classes.values())
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -3,21 +3,28 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from elderstall.interface import Endpoint, ListScope, WorkerState
 from elderstall.simulation.scenario import Listing
 
 if TYPE_CHECKING:
     from elderstall.simulation.dispatcher_host import Process
+    from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.worker_host import WorkerHost
-    from elderstall.simulation.world import World
+
+
+class ListSurroundings(Protocol):
+    """What the list needs of the scenario that it is part of."""
+
+    loop: VirtualTime
+    epoch: float
 
 
 class ListService:
     """What discovery is: entries with versions, calls in turn, watches."""
 
-    def __init__(self, world: World, spec: Listing, uniform: Iterator[float]) -> None:
+    def __init__(self, world: ListSurroundings, spec: Listing, uniform: Iterator[float]) -> None:
         self.world, self.spec, self.uniform = world, spec, uniform
         self.entries: dict[str, Endpoint] = {}
         self.log: list[tuple[int, Endpoint]] = []
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -10,6 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
+from typing import Protocol as Interface
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -24,7 +25,7 @@
 from elderstall.simulation.worker import Task
 
 if TYPE_CHECKING:
-    from elderstall.simulation.serve import Stage
+    from elderstall.simulation.listing import ListService
     from elderstall.simulation.worker_host import WorkerHost
 
 HEARTBEAT = 2_000.0  # ms between the empty lines of a watch
@@ -112,6 +113,27 @@
         self.link.transport.abortConnection()
 
 
+class SocketSurroundings(Interface):
+    """What connections need of the socket simulation that they are part of."""
+
+    reactor: Any
+    loop: RealTime
+    classes: dict[str, ClassLoad]
+    listing: ListService
+
+    def count(self) -> int:
+        """Give a new connection its number."""
+
+    def addresses(self, caller: Caller) -> dict[str, str]:
+        """Give the workers' addresses as one dispatcher reaches them."""
+
+    def job(self, load: ClassLoad, message: http.Message) -> SocketJob:
+        """Work out what a job costs."""
+
+    def ends(self, message: http.Message) -> float:
+        """Say when its sender stops waiting."""
+
+
 class WorkerLink(Protocol):
     """One connection that a dispatcher has opened to a worker host."""
 
@@ -223,7 +245,7 @@
 
     alive = True  # what worker hosts ask of a dispatcher's process
 
-    def __init__(self, stage: Stage, rank: int, host: str, port: int) -> None:
+    def __init__(self, stage: SocketSurroundings, rank: int, host: str, port: int) -> None:
         self.stage, self.rank, self.host, self.port = stage, rank, host, port
         self.process = self.dispatcher_host = self
         self.waiting: deque[tuple[dict[str, Any], int]] = deque()
@@ -348,7 +370,7 @@
 
     transport: Any
 
-    def __init__(self, stage: Stage, caller: Caller) -> None:
+    def __init__(self, stage: SocketSurroundings, caller: Caller) -> None:
         self.stage, self.caller = stage, caller
         self.parser = http.Parser()
         self.alive, self.version, self.watch, self.begun = True, 0, False, False
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from twisted.internet.defer import Deferred
 
@@ -21,10 +21,49 @@
 if TYPE_CHECKING:
     from elderstall.simulation.clients import Request, Try
     from elderstall.simulation.dispatcher_host import Process
+    from elderstall.simulation.loop import VirtualTime
+    from elderstall.simulation.scenario import Scenario
     from elderstall.simulation.worker import Task
     from elderstall.simulation.worker_host import WorkerHost
 
 
+class UpstreamAudit(Protocol):
+    """The auditor, as what carries attempts reports to it."""
+
+    def sent(self, attempt: SimulatedAttempt) -> None:
+        """Check a send."""
+
+    def given_up(self, attempt: SimulatedAttempt) -> None:
+        """Note that a dispatcher no longer waits for an attempt."""
+
+
+class UpstreamTally(Protocol):
+    """The counts of what goes to workers."""
+
+    attempts: int
+    connections: int
+    probes: int
+
+
+class UpstreamSurroundings(Protocol):
+    """What carries attempts needs this of the scenario that it is part of."""
+
+    scenario: Scenario
+    loop: VirtualTime
+    worker_hosts: dict[str, WorkerHost]
+
+    @property
+    def audit(self) -> UpstreamAudit:
+        """The auditor."""
+
+    @property
+    def tally(self) -> UpstreamTally:
+        """The counts."""
+
+    def reaches(self, upstream: SimulatedUpstream, worker_host: WorkerHost) -> bool:
+        """Say whether anything said between them arrives now."""
+
+
 class Link:
     """One connection between a dispatcher and a worker host."""
 
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -4,17 +4,19 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from elderstall.interface import Ending, WorkerState
 from elderstall.messages import Outcome
 from elderstall.simulation.loop import Call
-from elderstall.simulation.scenario import Kind, Worker
+from elderstall.simulation.scenario import Kind, Scenario, Worker
 from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
 
 if TYPE_CHECKING:
-    from elderstall.simulation.upstream import Link, SimulatedAttempt
-    from elderstall.simulation.world import World
+    from elderstall.simulation.dispatcher_host import Process
+    from elderstall.simulation.draws import Draws
+    from elderstall.simulation.loop import VirtualTime
+    from elderstall.simulation.upstream import Link, SimulatedAttempt, SimulatedUpstream
 
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
@@ -27,10 +29,60 @@
 }
 
 
+class RunAudit(Protocol):
+    """The auditor, as worker hosts report to it."""
+
+    def started(self, attempt: SimulatedAttempt) -> None:
+        """Note that an attempt has begun to run."""
+
+    def informed(self, process: Process, worker_host: WorkerHost) -> bool:
+        """Say whether a dispatcher knew of a worker's present start."""
+
+    def fell(self, worker_host: WorkerHost) -> None:
+        """Note that a cold worker was pushed over."""
+
+
+class CoreTimeTally(Protocol):
+    """The tally, as worker hosts report to it."""
+
+    def core_time(self, task: Task) -> None:
+        """Book the core time of a task that is over."""
+
+
+class ListNotices(Protocol):
+    """The list, as worker hosts report to it."""
+
+    def changed(self, m: WorkerHost, notice: float) -> None:
+        """Learn of a worker host's state a while later."""
+
+
+class WorkerSurroundings(Protocol):
+    """What a worker host needs of the scenario that it is part of."""
+
+    scenario: Scenario
+    loop: VirtualTime
+    draws: Draws
+
+    @property
+    def audit(self) -> RunAudit:
+        """The auditor."""
+
+    @property
+    def tally(self) -> CoreTimeTally:
+        """The counts."""
+
+    @property
+    def listing(self) -> ListNotices:
+        """The list."""
+
+    def reaches(self, upstream: SimulatedUpstream, worker_host: WorkerHost) -> bool:
+        """Say whether anything said between them arrives now."""
+
+
 class WorkerHost:
     """One worker host."""
 
-    def __init__(self, world: World, spec: Worker, kind: Kind, speed: float) -> None:
+    def __init__(self, world: WorkerSurroundings, spec: Worker, kind: Kind, speed: float) -> None:
         self.world, self.spec, self.kind = world, spec, kind
         rules, reports = world.scenario.rules, world.scenario.reports
         self.model = CardWorker(
