--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -27,10 +27,10 @@
 from elderstall.simulation.scenario import EPOCH, Rules
 
 if TYPE_CHECKING:
-    from elderstall.simulation.clients import Request, Try
     from elderstall.simulation.dispatcher_host import Process
     from elderstall.simulation.loop import VirtualTime
-    from elderstall.simulation.upstream import SimulatedAttempt
+    from elderstall.simulation.requests import Request, Try
+    from elderstall.simulation.upstream import SimulatedAttempt, TargetHost, UpstreamOwner
     from elderstall.simulation.worker_host import WorkerHost
 
 TO_BLAME = 2 / 3  # of the work that pushed a worker over came from dispatchers told of its start: rule 4
@@ -121,7 +121,7 @@
             if up:
                 starts[e.worker] = e.started
 
-    def informed(self, process: Process, worker_host: WorkerHost) -> bool:
+    def informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
         """Say whether a dispatcher had been told of a worker's present start."""
         if worker_host.model.started is None:
             return True
@@ -193,7 +193,7 @@
         watched.sent.append(Sent(worker, spec.zone, spec.cell, now, attempt.number))
 
     @staticmethod
-    def same_group(job_class: JobClass, earlier: Sent, worker_host: WorkerHost) -> bool:
+    def same_group(job_class: JobClass, earlier: Sent, worker_host: TargetHost) -> bool:
         """Say whether a repeat at a worker host is dropped after an earlier attempt."""
         spec = worker_host.spec
         if job_class.scope is Scope.ALL:
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -3,35 +3,27 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from typing import TYPE_CHECKING, Protocol
 
 from elderstall.client.budget import RetryBudget
 from elderstall.client.policy import Action, Call, Habits, Lost, Rule, Send, Wait
 from elderstall.client.policy import Answer as Reply
-from elderstall.interface import Effect
 from elderstall.messages import Answer, Failed, Rejected, Served
 from elderstall.simulation.draws import Choice, Draws
-from elderstall.simulation.scenario import ClassLoad, Scenario, Traffic
+from elderstall.simulation.requests import Request, ServedAttempt, ServingHost, Try, TryAudit, TrySurroundings
+from elderstall.simulation.scenario import Scenario, Traffic
 
 if TYPE_CHECKING:
-    from elderstall.simulation.dispatcher_host import DispatcherHost, Process
     from elderstall.simulation.loop import VirtualTime
-    from elderstall.simulation.upstream import SimulatedAttempt
 
 
-class ClientAudit(Protocol):
+class ClientAudit(TryAudit, Protocol):
     """The auditor, as clients report to it."""
 
     def taken(self, tried: Try) -> None:
         """Note that a dispatcher has a client's try."""
 
-    def answered(self, tried: Try, answer: Answer) -> None:
-        """Check a final answer."""
-
-    def dropped(self, tried: Try) -> None:
-        """Note that a dispatcher died with a try in it."""
-
     def left(self, tried: Try) -> None:
         """Note that a client has left."""
 
@@ -45,20 +37,19 @@
     def count_request(self, request: Request) -> None:
         """Count a request."""
 
-    def useful(self, attempt: SimulatedAttempt) -> None:
+    def useful(self, attempt: ServedAttempt) -> None:
         """Book the core time of the attempt that served."""
 
     def ended(self, request: Request, at: float) -> None:
         """Count how a request ended."""
 
 
-class ClientSurroundings(Protocol):
+class ClientSurroundings(TrySurroundings, Protocol):
     """What clients need of the scenario that they are part of."""
 
     scenario: Scenario
     loop: VirtualTime
     draws: Draws
-    clients: Clients
     explain: int | None
     explained: Request | None
 
@@ -71,113 +62,6 @@
         """The counts."""
 
 
-class Request:
-    """What a client wants, whatever the number of its tries."""
-
-    __slots__ = (
-        "arrived_at",
-        "current",
-        "deadline",
-        "dispatcher_host",
-        "ended",
-        "heeds",
-        "hint",
-        "history",
-        "in_share",
-        "leaves",
-        "load",
-        "number",
-        "priority_weight",
-        "retries",
-        "runs",
-        "saved",
-        "slots",
-        "tenant",
-        "tries",
-        "work",
-    )
-
-    def __init__(self, number: int, load: ClassLoad, arrived_at: float) -> None:
-        self.number, self.load, self.arrived_at = number, load, arrived_at
-        self.deadline = arrived_at + load.cls.deadline
-        self.tenant: str | None = None
-        self.work = self.priority_weight = 0.0
-        self.hint: float | None = None
-        self.slots = 1
-        self.in_share = self.heeds = True
-        self.dispatcher_host: DispatcherHost | None = None
-        self.tries = self.runs = 0
-        self.retries = 0
-        self.leaves = math.inf
-        self.saved = 0.0  # share of its work that was saved by workers that were lost
-        self.ended: str | None = None  # how, once it has
-        self.current: Try | None = None
-        self.history: list[tuple[float, str]] = []
-
-    @property
-    def safe(self) -> bool:
-        """Whether running it twice does no harm."""
-        return self.load.cls.effect is Effect.IDEMPOTENT
-
-    @property
-    def latency_objective_at(self) -> float:
-        """The latency objective as a time: a reading of the scenario's clock."""
-        cls = self.load.cls
-        return self.arrived_at + min(cls.latency_objective + cls.stretch * self.work, cls.deadline)
-
-
-class Try:
-    """One try of a request at a dispatcher: the core's client."""
-
-    __slots__ = (
-        "attempts",
-        "deadline",
-        "job",
-        "joined",
-        "number",
-        "over",
-        "process",
-        "request",
-        "request_id",
-        "sent",
-        "served_by",
-        "world",
-    )
-
-    def __init__(self, world: ClientSurroundings, request: Request, number: int) -> None:
-        self.world, self.request, self.number = world, request, number
-        self.request_id = f"{request.number}.{number}"
-        self.process: Process | None = None
-        self.sent, self.deadline = world.loop.now, request.deadline
-        self.job = 0
-        self.attempts = 0
-        self.over = self.joined = False
-        self.served_by: SimulatedAttempt | None = None
-
-    def answered(self, answer: Answer) -> None:
-        """Take the one final answer; see ``messages.Client``."""
-        self.world.audit.answered(self, answer)
-        if self.process is not None:
-            self.process.answered.append(self.request_id)
-        if not self.over:
-            self.over = True
-            self.world.clients.heard(self, answer)
-
-    def progressed(self, share: float, text: str) -> None:
-        """Take news of a running attempt; see ``messages.Client``."""
-
-    def here(self) -> bool:
-        """Say whether it waits; leaving is told at once here. See ``messages.Client``."""
-        return not self.over
-
-    def lost(self) -> None:
-        """See the connection reset: the dispatcher is gone."""
-        if not self.over:
-            self.over = True
-            self.world.audit.dropped(self)
-            self.world.clients.unreachable(self, taken=True)
-
-
 class Clients:
     """All clients of a scenario."""
 
@@ -196,7 +80,7 @@
         self.library = Library(self) if self.spec.policy == "library" else None
         self.hop = draws.spread(self.scenario.network.jitter, "client", "hops")
 
-    def begin(self, dispatcher_hosts: list[DispatcherHost]) -> None:
+    def begin(self, dispatcher_hosts: Sequence[ServingHost]) -> None:
         """Have requests arrive at every dispatcher, in proportion to their weights."""
         total = sum(dispatcher_host.weight for dispatcher_host in dispatcher_hosts)
         for dispatcher_host in dispatcher_hosts:
@@ -206,7 +90,7 @@
 
     def rush(
         self,
-        dispatcher_hosts: list[DispatcherHost],
+        dispatcher_hosts: Sequence[ServingHost],
         factor: float,
         ramp: float,
         at: float,
@@ -222,7 +106,7 @@
 
     # ---- a request ----
 
-    def arrive(self, dispatcher_host: DispatcherHost, source: Arrivals) -> None:
+    def arrive(self, dispatcher_host: ServingHost, source: Arrivals) -> None:
         """Make a request and send it."""
         world, now = self.world, self.world.loop.now
         self.count += 1
@@ -330,7 +214,7 @@
         else:
             self.close(request, "timed out" if answer.late else "failed", now)
 
-    def unreachable(self, tried: Try, taken: bool) -> None:
+    def unreachable(self, tried: Try, *, taken: bool) -> None:
         """Find nobody, or lose the dispatcher; what it had taken may have run."""
         request = tried.request
         if request.ended is not None:
@@ -442,7 +326,7 @@
     def __init__(
         self,
         clients: Clients,
-        dispatcher_host: DispatcherHost,
+        dispatcher_host: ServingHost,
         rate: float,
         name: str,
         at: float = 0.0,
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -19,8 +19,8 @@
 )
 
 if TYPE_CHECKING:
-    from elderstall.simulation.clients import Try
     from elderstall.simulation.draws import Draws
+    from elderstall.simulation.requests import Try
 
 KILLED_AFTER = 1_700.0  # ms after a planned restart has stopped taking jobs until it is killed
 
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -18,9 +18,8 @@
 
 if TYPE_CHECKING:
     from elderstall.simulation.audit import Auditor
-    from elderstall.simulation.clients import Request
     from elderstall.simulation.dispatcher_host import CountingLog
-    from elderstall.simulation.upstream import SimulatedAttempt
+    from elderstall.simulation.requests import Request, ServedAttempt
     from elderstall.simulation.worker import CardWorker, Task
 
 BIN = 1_000.0  # ms
@@ -112,7 +111,7 @@
         """Book the core time of a task that is over."""
         self.core_ms += task.core_time
 
-    def useful(self, attempt: SimulatedAttempt) -> None:
+    def useful(self, attempt: ServedAttempt) -> None:
         """Book the core time of the attempt that served."""
         if attempt.task is not None:
             self.useful_ms += attempt.task.core_time
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Protocol
 
 from twisted.internet.defer import Deferred
@@ -19,12 +19,12 @@
 from elderstall.simulation.loop import Call
 
 if TYPE_CHECKING:
-    from elderstall.simulation.clients import Request, Try
-    from elderstall.simulation.dispatcher_host import Process
+    from elderstall.deadlines import Deadlines
+    from elderstall.engine import Engine
     from elderstall.simulation.loop import VirtualTime
-    from elderstall.simulation.scenario import Scenario
-    from elderstall.simulation.worker import Task
-    from elderstall.simulation.worker_host import WorkerHost
+    from elderstall.simulation.requests import Request, Try
+    from elderstall.simulation.scenario import Kind, Scenario, Worker
+    from elderstall.simulation.worker import CardWorker, Happening, Task
 
 
 class UpstreamAudit(Protocol):
@@ -50,7 +50,10 @@
 
     scenario: Scenario
     loop: VirtualTime
-    worker_hosts: dict[str, WorkerHost]
+
+    @property
+    def worker_hosts(self) -> Mapping[str, TargetHost]:
+        """The worker hosts by name."""
 
     @property
     def audit(self) -> UpstreamAudit:
@@ -60,14 +63,86 @@
     def tally(self) -> UpstreamTally:
         """The counts."""
 
-    def reaches(self, upstream: SimulatedUpstream, worker_host: WorkerHost) -> bool:
+    def reaches(self, upstream: SimulatedUpstream, worker_host: TargetHost) -> bool:
         """Say whether anything said between them arrives now."""
 
 
+class TargetSurroundings(Protocol):
+    """What connections need of the scenario that a worker host is part of."""
+
+    loop: VirtualTime
+
+
+class TargetHost(Protocol):
+    """A worker host, as connections and attempts see it."""
+
+    spec: Worker
+    kind: Kind
+    model: CardWorker
+    links: set[Link]
+    silent: int
+
+    @property
+    def world(self) -> TargetSurroundings:
+        """The scenario that it is part of."""
+
+    @property
+    def name(self) -> str:
+        """Its name on the list."""
+
+    def delay(self) -> float:
+        """Draw the time of one way to or from it, ms."""
+
+    def poke(self, happenings: list[Happening]) -> None:
+        """Pass on what has happened."""
+
+    def connect(self, attempt: SimulatedAttempt) -> None:
+        """Take, refuse or not hear a new connection."""
+
+    def receive(self, attempt: SimulatedAttempt, link: Link) -> None:
+        """Hear a job's last byte."""
+
+    def cancel(self, attempt: SimulatedAttempt) -> None:
+        """Hear that an attempt is given up."""
+
+    def report(self) -> tuple[float, ...]:
+        """Give the newest report that is old enough to be sent."""
+
+
+class OwnerHost(Protocol):
+    """The host of the process whose attempts are carried."""
+
+    name: str
+    rank: int
+
+    @property
+    def process(self) -> UpstreamOwner | None:
+        """Give the process that serves there, if any."""
+
+
+class UpstreamOwner(Protocol):
+    """The dispatcher's process whose attempts are carried."""
+
+    alive: bool
+    engine: Engine
+    deadlines: Deadlines
+
+    @property
+    def world(self) -> UpstreamSurroundings:
+        """The scenario that it is part of."""
+
+    @property
+    def dispatcher_host(self) -> OwnerHost:
+        """Where it runs."""
+
+    def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
+        """Tell the auditor what this process has learned of an attempt."""
+
+
 class Link:
     """One connection between a dispatcher and a worker host."""
 
-    def __init__(self, upstream: SimulatedUpstream, worker_host: WorkerHost, number: int) -> None:
+    def __init__(self, upstream: SimulatedUpstream, worker_host: TargetHost, number: int) -> None:
         self.upstream, self.worker_host, self.number = upstream, worker_host, number
         self.open, self.deaf = True, False
         self.rested: float | None = None
@@ -96,7 +171,7 @@
     def __init__(
         self,
         upstream: SimulatedUpstream,
-        worker_host: WorkerHost,
+        worker_host: TargetHost,
         ask: JobRequest,
         number: int,
         ends: float,
@@ -248,7 +323,7 @@
 class Pool:
     """The free connections to one worker host."""
 
-    def __init__(self, worker_host: WorkerHost, started: float | None) -> None:
+    def __init__(self, worker_host: TargetHost, started: float | None) -> None:
         self.worker_host, self.started = worker_host, started
         self.idle: list[Link] = []  # the newest last
         self.timer: Call | None = None
@@ -257,7 +332,7 @@
 class SimulatedUpstream:
     """The carrier of one dispatcher process; see ``messages.Carrier``."""
 
-    def __init__(self, process: Process) -> None:
+    def __init__(self, process: UpstreamOwner) -> None:
         self.process, self.world = process, process.world
         self.loop, self.network = process.world.loop, process.world.scenario.network
         self.keep = self.network.idle_close * IDLE_PART
@@ -328,7 +403,7 @@
         self.loop.after(trips * worker_host.delay(), self.probed, worker_host, link, done)
         return done
 
-    def probed(self, worker_host: WorkerHost, link: Link, done: Deferred[Outcome]) -> None:
+    def probed(self, worker_host: TargetHost, link: Link, done: Deferred[Outcome]) -> None:
         """Hear a worker's answer to a question, or that it has none."""
         if not self.process.alive:
             link.close()
@@ -363,13 +438,13 @@
                     self.drop(pool)
                 self.pools[e.worker] = Pool(self.world.worker_hosts[e.worker], e.started)
 
-    def link_to(self, worker_host: WorkerHost) -> Link:
+    def link_to(self, worker_host: TargetHost) -> Link:
         """Make a connection."""
         self.count += 1
         self.world.tally.connections += 1
         return Link(self, worker_host, self.world.tally.connections)
 
-    def free_link(self, worker_host: WorkerHost) -> Link | None:
+    def free_link(self, worker_host: TargetHost) -> Link | None:
         """Take the newest free connection that may be used."""
         pool = self.pools.get(worker_host.name)
         return pool.idle.pop() if pool is not None and pool.idle else None
@@ -399,7 +474,7 @@
         if pool is not None and link in pool.idle:
             pool.idle.remove(link)
 
-    def doubt(self, worker_host: WorkerHost) -> None:
+    def doubt(self, worker_host: TargetHost) -> None:
         """Drop the free connections to a worker host."""
         if (pool := self.pools.get(worker_host.name)) is not None:
             self.drop(pool)
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -13,10 +13,9 @@
 from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
 
 if TYPE_CHECKING:
-    from elderstall.simulation.dispatcher_host import Process
     from elderstall.simulation.draws import Draws
     from elderstall.simulation.loop import VirtualTime
-    from elderstall.simulation.upstream import Link, SimulatedAttempt, SimulatedUpstream
+    from elderstall.simulation.upstream import Link, SimulatedAttempt, SimulatedUpstream, UpstreamOwner
 
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
@@ -35,7 +34,7 @@
     def started(self, attempt: SimulatedAttempt) -> None:
         """Note that an attempt has begun to run."""
 
-    def informed(self, process: Process, worker_host: WorkerHost) -> bool:
+    def informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
         """Say whether a dispatcher knew of a worker's present start."""
 
     def fell(self, worker_host: WorkerHost) -> None:
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -23,8 +23,8 @@
 from elderstall.interface import Effect, Ending, Endpoint, JobClass
 from elderstall.messages import Outcome, Rejected
 from elderstall.simulation.audit import KEPT, lines_of
-from elderstall.simulation.clients import Request, Try
 from elderstall.simulation.reading import find, read
+from elderstall.simulation.requests import Request, Try
 from elderstall.simulation.scenario import (
     ClassLoad,
     Clients,
