--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -2,8 +2,8 @@
 
 1. What a dispatcher has taken is answered once and finally, in time, while the dispatcher lives.
 2. What may have run goes again only as its class allows, never in two copies; nothing unsafe runs twice.
-3. Nothing new goes to a worker later than the grace after the dispatcher was told that it drains or is gone.
-4. No cold worker is pushed over by dispatchers that had been told of its start.
+3. Nothing new goes to a worker later than the grace after the dispatcher heard that it drains or is gone.
+4. No cold worker is pushed over by dispatchers that had been notified of its start.
 
 It is fed by the network, the workers and the clients, never by the dispatchers' own account of themselves.
 """
@@ -33,7 +33,7 @@
     from elderstall.simulation.upstream import SimulatedAttempt, TargetHost, UpstreamOwner
     from elderstall.simulation.worker_host import WorkerHost
 
-TO_BLAME = 2 / 3  # of the work that pushed a worker over came from dispatchers told of its start: rule 4
+TO_BLAME = 2 / 3  # of the work that pushed a worker over came from dispatchers notified of its start: rule 4
 KEPT = 200  # broken rules that are kept with their history; further ones are counted
 
 
@@ -58,7 +58,7 @@
     at: float
     number: int
     out: bool = True
-    proven: bool = False  # that it never ran, as the dispatcher was told
+    proven: bool = False  # that it never ran, as the dispatcher knows
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
         self.broken: list[Broken] = []
         self.count = 0
         self.watched: dict[str, Watched] = {}
-        self.states: dict[int, dict[str, tuple[bool, float]]] = {}  # a process's list: up, told since
+        self.states: dict[int, dict[str, tuple[bool, float]]] = {}  # a process's list: up, known since
         self.starts: dict[int, dict[str, float | None]] = {}
         self.taken_count = self.answered_count = self.dropped_count = self.left_count = 0
 
@@ -122,7 +122,7 @@
                 starts[e.worker] = e.started
 
     def informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
-        """Say whether a dispatcher had been told of a worker's present start."""
+        """Say whether a dispatcher had been notified of a worker's present start."""
         if worker_host.model.started is None:
             return True
         return self.starts.get(id(process), {}).get(worker_host.name) == EPOCH + worker_host.model.started
@@ -216,7 +216,7 @@
             )
 
     def ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
-        """Note how an attempt ended, as its dispatcher was told."""
+        """Note how an attempt ended, as its dispatcher knows."""
         self.note(attempt.job, f"attempt {attempt.number} at {attempt.worker_host.name}: {ending.value}")
         sent = self.find(attempt)
         if sent is not None and sent.out:
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -96,7 +96,7 @@
             rules.max_open,
         )
         self.engine.endpoints.follow = lambda: world.listing.follow(self)
-        self.version = 0  # of the list as it was last told
+        self.version = 0  # of the list as it was last notified of
         self.tries: dict[str, Try] = {}
         self.answered: deque[str] = deque()  # whose attempts can be forgotten
 
@@ -145,7 +145,7 @@
         return True
 
     def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
-        """Tell the auditor what this process has learned of an attempt."""
+        """Report to the auditor what this process has learned of an attempt."""
         if self.alive:
             self.world.audit.ended(attempt, ending)
 
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -1,4 +1,4 @@
-"""The list of workers: one service that learns late, tells in rounds, is asked or watched, and goes down."""
+"""The list of workers: a service that learns late, notifies in rounds, is called or watched, fails."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.entries: dict[str, Endpoint] = {}
         self.log: list[tuple[int, Endpoint]] = []
         self.version = 1
-        self.watching: dict[Process, float] = {}  # and when the next round tells it
+        self.watching: dict[Process, float] = {}  # and when the next round notifies it
         self.pending: set[Process] = set()  # a round is on its way
         self.free_at = 0.0  # when all calls so far are worked off
         self.outages = 0
@@ -72,7 +72,7 @@
     # ---- telling ----
 
     def round(self, process: Process) -> None:
-        """Have a watch told in the service's next round, with a spread."""
+        """Have a watch notified in the service's next round, with a spread."""
         if self.outages or process in self.pending:
             return
         self.pending.add(process)
@@ -81,12 +81,12 @@
         self.world.loop.after(wait, self.deliver, process)
 
     def deliver(self, process: Process) -> None:
-        """Tell all that has changed since the last time."""
+        """Send all that has changed since the last time."""
         self.pending.discard(process)
         if process in self.watching and not self.outages:
-            self.tell(process)
+            self.notify(process)
 
-    def tell(self, process: Process) -> None:
+    def notify(self, process: Process) -> None:
         """Write the changes, or the whole list to one that holds none."""
         if process.version == 0:
             process.notified(ListScope.WHOLE, tuple(self.entries.values()), self.version)
@@ -112,12 +112,12 @@
             loop.at(self.free_at, self.answer, process)
 
     def answer(self, process: Process) -> None:
-        """Answer a call; from then on the process is told changes."""
+        """Answer a call; from then on the process is notified of changes."""
         if self.outages:
             self.fail(process)
         elif process.alive:
             self.watching[process] = self.world.loop.now
-            self.tell(process)
+            self.notify(process)
 
     def fail(self, process: Process) -> None:
         """Fail a call, or a watch."""
--- a/elderstall/simulation/requests.py
+++ b/elderstall/simulation/requests.py
@@ -180,7 +180,7 @@
         """Take news of a running attempt; see ``messages.Client``."""
 
     def here(self) -> bool:
-        """Say whether it waits; leaving is told at once here. See ``messages.Client``."""
+        """Say whether it waits; leaving is noticed at once here. See ``messages.Client``."""
         return not self.over
 
     def lost(self) -> None:
--- a/elderstall/simulation/scenario.py
+++ b/elderstall/simulation/scenario.py
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What dispatchers are told, and held to."""
+    """What dispatchers are configured with, and held to."""
 
     slack: float = 58.0
     drain_grace: float = 2_000.0
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reports:
-    """What workers tell."""
+    """What workers report."""
 
     fields: tuple[str, ...] = ("qps", "util", "x0")
     free_slots: str = "x0"
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -106,7 +106,7 @@
         super().start(cold_share)
 
     def cancel(self, attempt: Any) -> None:
-        """Hear that an attempt is given up; what runs on has nobody to tell, and is forgotten here."""
+        """Hear that an attempt is given up; what runs on has nobody to report to, and is forgotten here."""
         super().cancel(attempt)
         request_id: str = attempt.request_id
         if self.attempts.get(request_id) is attempt:
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -255,7 +255,7 @@
         self.timer: RealCall | None = None
 
     def called_back(self, attempt: SocketAttempt, outcome: Outcome) -> None:
-        """Tell how a job ended."""
+        """Report how a job ended."""
         call: dict[str, Any] = {
             "id": attempt.request_id,
             "from": attempt.worker_host.name,
@@ -270,7 +270,7 @@
         self.queue(call)
 
     def noted(self, attempt: SocketAttempt, share: float, started: bool = False) -> None:
-        """Tell a start, or progress."""
+        """Report a start, or progress."""
         state = {"state": "started"} if started else {"state": "running", "share": round(share, 4)}
         self.queue({"id": attempt.request_id, "from": attempt.worker_host.name, **state})
 
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -1,4 +1,4 @@
-"""The carrier in memory: takes attempts to worker hosts over emulated connections, and tells how they end.
+"""The carrier in memory: takes attempts to worker hosts over emulated connections, and reports how they end.
 
 It stands where ``net/workers.py`` stands in a dispatcher and follows its rules on connections: the newest
 free one is used, a job is given up when its worker does not say that it has it, and what was not written has
@@ -136,7 +136,7 @@
         """Where it runs."""
 
     def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
-        """Tell the auditor what this process has learned of an attempt."""
+        """Report to the auditor what this process has learned of an attempt."""
 
 
 class Link:
@@ -204,7 +204,7 @@
         return self.tried.request
 
     def finish(self, outcome: Outcome | None) -> None:
-        """Tell the core, once."""
+        """Report to the core, once."""
         if self.over:
             return
         self.over = True
@@ -350,7 +350,7 @@
         note: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
-        """Start an attempt; here connections are up at once, and none is barred meanwhile."""
+        """Start an attempt; here connections are up at once, and none is forbidden meanwhile."""
         pool = self.pools.get(worker)
         tried: Try = ask.original  # type: ignore[assignment]
         worker_host = self.world.worker_hosts[worker]
@@ -366,7 +366,7 @@
         return attempt.done
 
     def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
-        """Tell a worker to give an attempt up."""
+        """Cancel an attempt at its worker."""
         done: Deferred[bool] = Deferred()
         attempt = self.attempts.get(request_id)
         if attempt is None or attempt.worker_host.name != worker:
--- a/elderstall/simulation/worker.py
+++ b/elderstall/simulation/worker.py
@@ -47,7 +47,7 @@
     repeatable: bool = False
     fails_at: float | None = None  # the share of its work at which it will fail
     saved: float = 0.0  # share of its work that is kept from an earlier attempt
-    informed: bool = True  # whether its sender had been told of the worker's start
+    informed: bool = True  # whether its sender had been notified of the worker's start
     owner: object = None  # the host's own; passes through unread
     began: float | None = None
     ends: float = math.inf  # reading of done_clock at its end
@@ -55,7 +55,7 @@
     core_time: float = 0.0  # ms of core it has used, once it is over
     running: bool = False
     over: bool = False
-    news: int = 0  # progress notes told
+    news: int = 0  # progress notes reported
 
     @property
     def size(self) -> float:
@@ -128,7 +128,7 @@
         self.unheard: deque[tuple[str, object]] = deque()  # what came while it was paused
         self.sent: deque[tuple[float, float, bool]] = deque()  # while cold: when, work, sender informed
         self.pushed = 0.0  # work in that
-        self.blame = 0.0  # at its fall: share of the work that came from senders told of its start
+        self.blame = 0.0  # at its fall: share of the work that came from senders notified of its start
         self.serial = 0
         self.ledger = Ledger()
         self.out: list[Happening] = []
@@ -282,7 +282,7 @@
         return self._said()
 
     def _said(self) -> list[Happening]:
-        """Give what there is to tell; what ends in no time at all is told with the next step of time."""
+        """Give what there is to report; what ends in no time is reported with the next step of time."""
         out, self.out = self.out, []
         return out
 
@@ -296,7 +296,7 @@
         self._fill()
 
     def _note(self, task: Task) -> None:
-        """Tell a task's progress; while it is paused nothing is told, and afterwards all at once."""
+        """Report a task's progress; while it is paused nothing is reported, and afterwards all at once."""
         task.news += 1
         self._tell(What.PROGRESS, task, self._share(task))
         self.serial += 1
@@ -436,7 +436,7 @@
         return out
 
     def pause(self, now: float) -> list[Happening]:
-        """Stand still: nothing runs, is heard or is told."""
+        """Stand still: nothing runs, is heard or is reported."""
         out = self.advance(now)
         self.paused = True
         return out
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -19,7 +19,7 @@
 
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
-LOST_NOTICE = 50.0  # ms until the worker host's agent tells of a process that died
+LOST_NOTICE = 50.0  # ms until the worker host's agent reports a process that died
 ENDINGS = {
     What.DONE: Ending.SERVED,
     What.FAILED: Ending.ERROR,
@@ -168,7 +168,7 @@
                 self.call_back(attempt, lambda e: e.upstream.called_back(e, outcome))
 
     def lost(self, attempt: SimulatedAttempt) -> None:
-        """Tell of a task that died with its process, where the worker host itself lives on."""
+        """Report a task that died with its process, where the worker host itself lives on."""
         if not self.silent:
             outcome = Outcome(Ending.BROKEN)
             self.world.loop.after(
@@ -263,7 +263,7 @@
     # ---- reports ----
 
     def snapshot(self) -> None:
-        """Measure what reports tell for the next while."""
+        """Measure what reports say for the next while."""
         world, reports = self.world, self.world.scenario.reports
         book = self.model.ledger
         self.poke(self.model.advance(world.loop.now))
@@ -288,7 +288,7 @@
         world.loop.after(reports.period, self.snapshot)
 
     def report(self) -> tuple[float, ...]:
-        """Give the newest report that is old enough to be told."""
+        """Give the newest report that is old enough to be sent."""
         now = self.world.loop.now
         while len(self.snapshots) > 1 and self.snapshots[1][0] <= now:
             self.snapshots.popleft()
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -71,7 +71,7 @@
             dispatcher_host.known = self.listing.version, tuple(self.listing.entries.values())
             dispatcher_host.start()
             if not self.scenario.listing.must_ask and dispatcher_host.process is not None:
-                # Told unasked: after a moment of its own, as processes do not start in step.
+                # Notified without a call: after a moment of its own, as processes do not start in step.
                 self.loop.after(
                     next(starts) * self.scenario.dispatchers.start_spread,
                     self.listing.follow,
@@ -94,7 +94,7 @@
             self.loop.at(self.loop.now + BIN, self.sample, before)
 
     def play(self, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
-        """Play to the end, and give the figures; ``progress`` is told the share that is done."""
+        """Play to the end, and give the figures; ``progress`` gets the share that is done."""
         with few_collections():
             return self._play(progress)
 
