--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -27,10 +27,10 @@
 from elderstall.simulation.scenario import EPOCH, Rules
 
 if TYPE_CHECKING:
+    from elderstall.simulation.attempt import SimulatedAttempt, TargetHost, UpstreamOwner
     from elderstall.simulation.dispatcher_host import Process
     from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.requests import Request, Try
-    from elderstall.simulation.upstream import SimulatedAttempt, TargetHost, UpstreamOwner
     from elderstall.simulation.worker_host import WorkerHost
 
 TO_BLAME = 2 / 3  # of the work that pushed a worker over came from dispatchers notified of its start: rule 4
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -10,13 +10,9 @@
 from elderstall.interface import Ending, Endpoint, ListScope
 from elderstall.log import Log
 from elderstall.messages import JobRequest
+from elderstall.simulation.attempt import SimulatedAttempt, UpstreamAudit, UpstreamSurroundings
 from elderstall.simulation.scenario import EPOCH
-from elderstall.simulation.upstream import (
-    SimulatedAttempt,
-    SimulatedUpstream,
-    UpstreamAudit,
-    UpstreamSurroundings,
-)
+from elderstall.simulation.upstream import SimulatedUpstream
 
 if TYPE_CHECKING:
     from elderstall.simulation.draws import Draws
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -13,9 +13,9 @@
 from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
 
 if TYPE_CHECKING:
+    from elderstall.simulation.attempt import AttemptCarrier, Link, SimulatedAttempt, UpstreamOwner
     from elderstall.simulation.draws import Draws
     from elderstall.simulation.loop import VirtualTime
-    from elderstall.simulation.upstream import Link, SimulatedAttempt, SimulatedUpstream, UpstreamOwner
 
 CALL_TRIES = 10  # of a call-back, as the protocol has it
 CALL_AGAIN = 300.0  # ms between them
@@ -74,7 +74,7 @@
     def listing(self) -> ListNotices:
         """The list."""
 
-    def reaches(self, upstream: SimulatedUpstream, worker_host: WorkerHost) -> bool:
+    def reaches(self, upstream: AttemptCarrier, worker_host: WorkerHost) -> bool:
         """Say whether anything said between them arrives now."""
 
 
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -8,6 +8,7 @@
 from contextlib import contextmanager
 from typing import Any
 
+from elderstall.simulation.attempt import AttemptCarrier, TargetHost
 from elderstall.simulation.audit import Auditor
 from elderstall.simulation.clients import Clients
 from elderstall.simulation.dispatcher_host import CountingLog, DispatcherHost
@@ -18,7 +19,6 @@
 from elderstall.simulation.loop import VirtualTime
 from elderstall.simulation.requests import Request
 from elderstall.simulation.scenario import EPOCH, Scenario
-from elderstall.simulation.upstream import SimulatedUpstream, TargetHost
 from elderstall.simulation.worker_host import WorkerHost
 
 COLLECT = 50_000, 10, 10  # allocations between looks for cycles, by generation
@@ -52,7 +52,7 @@
             DispatcherHost(self, rank, weight) for rank, weight in enumerate(scenario.dispatchers.weights)
         ]
 
-    def reaches(self, upstream: SimulatedUpstream, worker_host: TargetHost) -> bool:
+    def reaches(self, upstream: AttemptCarrier, worker_host: TargetHost) -> bool:
         """Say whether anything said between a dispatcher and a worker host arrives now."""
         if worker_host.silent:
             return False
