--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -27,8 +27,10 @@
 from elderstall.net.handover import Handover
 from elderstall.net.peer import unread
 from elderstall.net.server import Server
-from elderstall.net.sse import ProgressServer, StreamWorkers
-from elderstall.net.workers import WorkerConnection, Workers
+from elderstall.net.sse import ProgressServer
+from elderstall.net.upstream.connection import WorkerConnection
+from elderstall.net.upstream.streams import StreamTransport
+from elderstall.net.upstream.transport import WorkerTransport
 
 SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
 LONGEST_MOST = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
@@ -64,7 +66,9 @@
         self.deadlines = Deadlines(reactor)
         self.log = Log(self.deadlines.now)
         self.deadlines.failed = lambda error: self.log.failure("deadline", error)
-        carrier, listener = (StreamWorkers, ProgressServer) if config.progress.enabled else (Workers, Server)
+        carrier, listener = (
+            (StreamTransport, ProgressServer) if config.progress.enabled else (WorkerTransport, Server)
+        )
         self.workers = carrier(
             self.deadlines,
             self.connect_worker,
@@ -94,7 +98,7 @@
             config.live_weights,
         )
         self.engine.endpoints.follow, self.discovery.fits = self.discovery.follow, self.engine.view.fits
-        self.workers.wrote = self.engine.count_written
+        self.workers.on_written = self.engine.count_written
         self.console = Console(
             self.deadlines,
             self.log,
@@ -109,7 +113,7 @@
             self.engine,
             self.deadlines,
             self.log,
-            self.workers.report_of,
+            self.workers.read_report,
             config.client_hard,
             config.client_soft,
             config.reading_bytes,
@@ -310,7 +314,7 @@
         others = [link for link in self.handover.links if link.known]
         if self.handover.older is None:
             self.server.elsewhere = 0
-        self.workers.most = self.worker_connections
+        self.workers.connections.limit = self.worker_connections
         if self.port is None:
             return
         newer = any(link.newer for link in others)
@@ -458,9 +462,10 @@
 
     def limit(self) -> None:
         """Hand the limits out."""
-        self.workers.most = self.worker_connections
+        self.workers.connections.limit = self.worker_connections
         self.workers.report_fields = self.config.report_fields
-        self.workers.idle_for, self.workers.connect_for = self.config.idle_ms, self.config.connect_ms
+        self.workers.keep_alive.idle_limit = self.config.idle_ms
+        self.workers.connect_timeout = self.config.connect_ms
         self.discovery.live = self.config.live_weights
         self.server.most, self.server.soft = self.config.client_hard, self.config.client_soft
         self.server.weight_most = self.config.reading_bytes
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -44,10 +44,10 @@
 class Pools(Shape):
     """What is told of addresses."""
 
-    def listed(self, name: str, address: str, started: float | None) -> None:
+    def update_endpoint(self, name: str, address: str, started: float | None) -> None:
         """Take a worker's address, and its start as the list gives it."""
 
-    def gone(self, name: str) -> None:
+    def remove_endpoint(self, name: str) -> None:
         """Forget a worker."""
 
 
@@ -268,7 +268,7 @@
                 self.drop(listed.worker)
             else:
                 self.addresses[listed.worker] = address
-                self.pools.listed(listed.worker, address, listed.since_ms)
+                self.pools.update_endpoint(listed.worker, address, listed.since_ms)
                 started = self.starts.reading(listed.worker, listed.since_ms, oldest)
                 if started != listed.started:
                     entries.append(replace(listed, started=started))
@@ -281,7 +281,7 @@
         """Forget a worker's address."""
         self.addresses.pop(name, None)
         self.starts.drop(name)
-        self.pools.gone(name)
+        self.pools.remove_endpoint(name)
 
     def heard(self, value: Any, connection: WatchConnection) -> None:
         """Take one line of the watch; the first call to speak becomes it."""
--- a/elderstall/net/sse.py
+++ b/elderstall/net/sse.py
@@ -10,22 +10,17 @@
 import codecs
 import json
 from collections import OrderedDict
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from elderstall.config import Progress
-from elderstall.interface import Ending
-from elderstall.messages import Answer, Failed, JobRequest, Outcome, Rejected, Served
+from elderstall.messages import Answer, Failed, JobRequest, Rejected, Served
 from elderstall.net import http
 from elderstall.net.server import RequestError, Server, ServerConnection
-from elderstall.net.workers import Carriage, Pool, Posted, Workers
 
 MEDIA_TYPE = "text/event-stream"
 EVENT_MOST = http.MAX_BODY  # characters of one event, as of one body
-AFTER_RESULT = 1_000.0  # ms for a worker's stream to end after its last event
 
 
 @dataclass(slots=True, frozen=True)
@@ -135,97 +130,6 @@
     return float(value) if good else 0.0
 
 
-# ---- the worker's side ----
-
-
-class Streamed(Posted):
-    """The exchange of one job whose answer may be a stream."""
-
-    answers = Posted.answers | {200}
-
-    def __init__(
-        self,
-        workers: Workers,
-        done: Deferred[Outcome | None],
-        forbidden_by: Callable[[], str | None],
-        note: Callable[[float, str], None],
-    ) -> None:
-        super().__init__(workers, done, forbidden_by)
-        self.note = note
-        self.events: EventParser | None = None
-        self.ended = False
-
-    @property
-    def ends_it(self) -> bool:
-        """Whether the answer is neither a 202 nor a stream: it frees the job to go elsewhere."""
-        return self.message.status != 202 and self.events is None
-
-    def head(self, message: http.Message) -> None:
-        """Take the head: a stream, or an answer of the platform's protocol."""
-        super().head(message)
-        kinds = message.headers.tokens("Content-Type")
-        if message.status == 200 and kinds and kinds[0].split(";")[0].strip() == MEDIA_TYPE:
-            self.events = EventParser()
-
-    def data(self, data: bytes) -> None:
-        """Take a piece of the stream; after the last event nothing counts."""
-        if self.events is None or self.ended:
-            return
-        for event in self.events.feed(data):
-            if event.event == "progress":
-                self.note(share_of(event.data), event.data)
-            elif event.event == "result":
-                self.over(Outcome(Ending.SERVED, event.data.encode("utf-8", "replace")))
-            elif event.event == "error":
-                self.over(Outcome(Ending.ERROR))
-            if self.ended:
-                break
-
-    def over(self, outcome: Outcome | None) -> None:
-        """Give the attempt's end; the connection has a little time to finish the answer."""
-        if not self.ended:
-            self.ended = True
-            if self.events is not None:
-                self.workers.deadlines.after(AFTER_RESULT, self.stop)
-            super().over(outcome)
-
-    def done(self, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Take the answer's end: a stream that ends without a result was broken off."""
-        if self.events is not None:
-            self.over(Outcome(Ending.BROKEN))
-        else:
-            super().done(maybe_accepted, answer_begun)
-
-    def broke(self, ending: Ending, answer_begun: bool = False, unreached: bool = False) -> None:
-        """Take the connection's end: once a stream has begun, its job may have run."""
-        if self.events is not None:
-            self.over(Outcome(Ending.BROKEN))
-        else:
-            super().broke(ending, answer_begun, unreached)
-
-
-class StreamWorkers(Workers):
-    """The carrier that asks workers for streams."""
-
-    def begin(
-        self,
-        pool: Pool,
-        ask: JobRequest,
-        ends: float,
-        note: Callable[[float, str], None],
-        forbidden_by: Callable[[], str | None],
-        done: Deferred[Outcome | None],
-    ) -> Carriage:
-        """Start the exchange of a job; its body is passed on as it comes, so no limit holds for the whole.
-
-        A stream may begin with the job's start, so its worker's first word is waited for to the deadline.
-        """
-        exchange = Streamed(self, done, forbidden_by, note)
-        request = self.job_request(ask, pool.address, ends, MEDIA_TYPE)
-        exchange.carriage = pool.begin(request, exchange, 0, ask.repeatable)
-        return exchange.carriage
-
-
 # ---- the client's side ----
 
 
--- /dev/null
+++ b/elderstall/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The client side towards workers: attempts, cancellations and load-report polls over kept connections."""
--- /dev/null
+++ b/elderstall/net/upstream/connection.py
@@ -0,0 +1,293 @@
+"""One connection to a worker, carrying one request at a time."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any
+from typing import Protocol as Interface
+
+from twisted.internet.interfaces import IPullProducer
+from twisted.internet.protocol import Protocol, connectionDone
+from twisted.python.failure import Failure
+from zope.interface import implementer
+
+from elderstall.deadlines import Deadline, Deadlines
+from elderstall.interface import Ending
+from elderstall.log import Log
+from elderstall.net import http
+from elderstall.net.peer import unread
+from elderstall.net.upstream.exchange import Exchange
+from elderstall.net.upstream.keep_alive import STALE_WITHIN, KeepAlive
+from elderstall.net.upstream.open_connections import OpenConnections
+from elderstall.net.upstream.request import WorkerRequest
+
+WRITE_RETRY = 5.0  # ms after which a request is written again of which the system took no byte
+
+
+class CloseReason(Enum):
+    """Why a connection ended; the value is its code in the log."""
+
+    WORKER_CLOSED = "worker-closed"
+    LAST_ANSWER = "worker-close"  # the worker's answer is the last on this connection, or may be another's
+    BAD_ANSWER = "bad-answer"
+    WRITE_FAILED = "write-failed"
+    ABORTED = "given-up"
+    IDLE = "idle"
+    POOL_CLOSED = "retired"
+
+
+@dataclass(slots=True, frozen=True)
+class Services:
+    """What all connections to workers share."""
+
+    deadlines: Deadlines
+    log: Log
+    keep_alive: KeepAlive
+    connections: OpenConnections[WorkerConnection]
+
+
+@dataclass(slots=True, frozen=True)
+class LastAnswer:
+    """An answer that is complete, and reported as such once its connection has ended."""
+
+    exchange: Exchange
+    maybe_accepted: bool  # both as in ``Exchange.completed``
+    answer_begun: bool
+
+    def report(self) -> None:
+        """Report it."""
+        self.exchange.completed(maybe_accepted=self.maybe_accepted, answer_begun=self.answer_begun)
+
+
+class ConnectionPool(Interface):
+    """What a connection belongs to."""
+
+    services: Services
+    name: str  # the worker's
+
+    def release(self, connection: WorkerConnection) -> None:
+        """Take a connection that is free for the next request."""
+
+    def close_idle(self, connection: WorkerConnection) -> None:
+        """Close a connection if it is idle."""
+
+    def drop_idle(self, idle_for: float = 0.0) -> None:
+        """Close the connections that have been idle for so long."""
+
+    def connection_lost(self, connection: WorkerConnection) -> None:
+        """Take off a connection that has ended."""
+
+
+@implementer(IPullProducer)
+class WorkerConnection(Protocol):
+    """One connection to a worker: one request at a time."""
+
+    transport: Any  # ITCPTransport, as zope's interfaces say nothing to mypy
+
+    def __init__(self, pool: ConnectionPool) -> None:
+        self.pool, self.services = pool, pool.services
+        self.parser = http.Parser(responses=True)
+        self.exchange: Exchange | None = None
+        self.request: WorkerRequest | None = None  # until its first byte is written
+        self.unsent = b""  # what the system did not take at once
+        self.retry_timer: Deadline | None = None
+        self.written = False
+        self.reusable = False
+        self.close_reason = CloseReason.WORKER_CLOSED
+        self.number = 0
+        self.idle_timer: Deadline | None = None
+        self.started_at = 0.0  # when its request was handed over
+        self.idle_since: float | None = None  # when it last became idle, if it was used before
+        self.idle_for = 0.0  # ms that it was idle before this request
+        self.last_answer: LastAnswer | None = None
+
+    def connectionMade(self) -> None:  # noqa: N802, D102
+        self.transport.setTcpNoDelay(True)
+        self.number = self.services.connections.add(self)
+
+    # ---- the request ----
+
+    def start(self, request: WorkerRequest, exchange: Exchange, max_body: int = http.MAX_BODY) -> None:
+        """Write a request."""
+        self.stop_idle_timer()
+        self.started_at = self.services.deadlines.now()
+        self.idle_for = 0.0 if self.idle_since is None else self.started_at - self.idle_since
+        if exchange.counts_for_keep_alive:
+            self.services.keep_alive.used(self.idle_for)
+        self.parser.max_body = max_body
+        self.request, self.exchange, self.written = request, exchange, False
+        self.write_request()
+
+    def stop_idle_timer(self) -> None:
+        """Let the connection live on."""
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+
+    def write_request(self) -> None:
+        """Hand the request to the system at once, with the time that is left now.
+
+        What the system does not take is left to the transport, which asks for more once that is all written.
+        """
+        self.retry_timer = None
+        request, exchange = self.request, self.exchange
+        if request is None or exchange is None:
+            return
+        data = request.render(self.services.deadlines.now())
+        if data is None:
+            self._skip(exchange)
+            return
+        taken = self.transport.writeSomeData(data)
+        if isinstance(taken, Exception) or taken < 0:
+            self.drop(
+                CloseReason.WRITE_FAILED
+            )  # once it has ended the exchange hears that nothing was written
+        elif taken == 0:
+            self.retry_timer = self.services.deadlines.after(WRITE_RETRY, self.write_request)
+        elif taken < len(data):
+            self.request, self.unsent = None, data[taken:]
+            self.transport.registerProducer(self, False)
+        else:
+            self.request = None
+            self._all_written()
+
+    def _skip(self, exchange: Exchange) -> None:
+        """Keep the connection, as the time of its attempt was over before a byte was written."""
+        self.request = self.exchange = None
+        self.services.log.write("rule", f"nothing written to {self.pool.name}: no time left")
+        self.pool.release(self)
+        exchange.failed(Ending.NEVER_SENT)
+
+    def resumeProducing(self) -> None:  # noqa: N802
+        """Write the rest, or learn that its last byte has left the program (handed over isn't sent)."""
+        if self.unsent:
+            data, self.unsent = self.unsent, b""
+            self.transport.write(data)
+        elif not self.written:
+            self.transport.unregisterProducer()
+            self._all_written()
+
+    def _all_written(self) -> None:
+        """Note that the request's last byte was written."""
+        self.written = True
+        if self.exchange is not None:
+            self.exchange.request_written()
+
+    def stopProducing(self) -> None:  # noqa: N802, D102
+        pass
+
+    # ---- the answer ----
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
+        self.parser.feed(data)
+        if self.exchange is None:
+            self.drop(CloseReason.BAD_ANSWER, "bytes without a request")
+            return
+        try:
+            while self.exchange is not None and (event := self.parser.next()) is not None:
+                self._take(self.exchange, event)
+        except http.MessageError as error:
+            self.drop(CloseReason.BAD_ANSWER, str(error))
+
+    def _take(self, exchange: Exchange, event: http.Event) -> None:
+        """Pass one event of the answer on."""
+        if isinstance(event, http.Head):
+            if 100 <= event.message.status < 200:
+                self.parser.next()  # its End; the answer is still to come
+                return
+            self.reusable = event.message.keep_alive
+            exchange.head_received(event.message)
+        elif isinstance(event, http.Data):
+            exchange.data_received(event.data)
+        else:
+            self._answer_complete(exchange)
+
+    def _answer_complete(self, exchange: Exchange) -> None:
+        """Report the answer's end, at once or when the connection has ended.
+
+        Guards against two copies: on a reused connection the answer may be the second one to what it carried
+        before. Once the connection is closed the attempt is given up in any case, and may be reported as
+        ended; but not if this one's 202 has come behind it.
+        """
+        self.exchange = None
+        doubtful = self.idle_since is not None and exchange.ends_attempt
+        if self.reusable and self.written and self.parser.idle and not doubtful:
+            # Idle before the exchange hears of it, so that what it sends next finds this connection.
+            self.pool.release(self)
+            exchange.completed()
+        else:
+            self.last_answer = LastAnswer(exchange, doubtful, doubtful and self.answer_begun)
+            self.drop(CloseReason.LAST_ANSWER)
+
+    @property
+    def unread(self) -> bool:
+        """Whether bytes or an end have come that the reactor has not read yet."""
+        return unread(self.transport)
+
+    @property
+    def answer_begun(self) -> bool:
+        """Whether the worker has begun to say something that is not read to its end."""
+        return not self.parser.idle or self.unread
+
+    def has_begun_to_answer(self, exchange: Exchange) -> bool:
+        """Say whether an exchange's answer has begun, as far as that can be seen without waiting."""
+        if self.last_answer is not None and self.last_answer.exchange is exchange:
+            return True
+        return self.exchange is exchange and self.answer_begun
+
+    # ---- its end ----
+
+    @property
+    def started_just_now(self) -> bool:
+        """Whether the request was handed over so recently that a break shows a stale connection."""
+        return self.services.deadlines.now() - self.started_at <= STALE_WITHIN
+
+    def ending(self, *, stale: bool) -> Ending:
+        """Give the ending of what is under way; ``stale``: a kept connection counts as gone before it."""
+        if not self.written:
+            return Ending.UNREACHABLE
+        return Ending.STALE_CONNECTION if stale and self.idle_for > 0 else Ending.BROKEN
+
+    def close_idle(self) -> None:
+        """Close the connection if it is idle."""
+        self.pool.close_idle(self)
+
+    def abort(self, exchange: Exchange) -> Ending:
+        """Close the connection if it still carries the exchange, which hears no more; give its ending."""
+        if self.exchange is not exchange:
+            return Ending.BROKEN
+        self.exchange = None
+        self.drop(CloseReason.ABORTED)
+        return self.ending(stale=True)
+
+    def drop(self, reason: CloseReason, detail: str = "") -> None:
+        """End the connection from here."""
+        self.close_reason = reason
+        self.services.connections.closing.add(self)
+        if detail:
+            self.services.log.write("bad-answer", f"{self.pool.name}: {detail}")
+        self.transport.abortConnection()
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
+        self.stop_idle_timer()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        self.services.connections.closing.discard(self)
+        self.pool.connection_lost(self)
+        exchange, self.exchange = self.exchange, None
+        last_answer, self.last_answer = self.last_answer, None
+        self.services.log.ended("worker", self.number, self.close_reason.value, self.pool.name)
+        if last_answer is not None:
+            last_answer.report()
+        if exchange is not None:
+            self._lost_with(exchange)
+
+    def _lost_with(self, exchange: Exchange) -> None:
+        """Report the connection's end to the exchange that it carried; it may be the answer's."""
+        if self.parser.eof() is not None:
+            exchange.completed()
+            return
+        if exchange.counts_for_keep_alive and self.started_just_now:
+            self.services.keep_alive.broke_off(self.pool.name, self.idle_for)
+        answer_begun = self.close_reason is CloseReason.BAD_ANSWER or not self.parser.idle
+        exchange.failed(self.ending(stale=self.started_just_now), answer_begun=answer_begun)
--- a/elderstall/simulation/attempt.py
+++ b/elderstall/simulation/attempt.py
@@ -1,6 +1,6 @@
 """One attempt in memory and the connection that it goes over, and what both need of their surroundings.
 
-They follow the rules of ``net/workers.py``: a job is given up when its worker does not say it has it, and
+They follow the rules of ``net/upstream/``: a job is given up when its worker does not say it has it, and
 what was not written has not run.
 """
 
@@ -15,7 +15,8 @@
 from elderstall.engine import Engine
 from elderstall.interface import Ending
 from elderstall.messages import JobRequest, Outcome
-from elderstall.net.workers import ACCEPT_SOON, ACCEPT_WAIT, STALE_WITHIN
+from elderstall.net.upstream.job_exchange import ACCEPT_SOON, ACCEPT_WAIT
+from elderstall.net.upstream.keep_alive import STALE_WITHIN
 from elderstall.simulation.loop import Call, VirtualTime
 from elderstall.simulation.requests import Request, Try
 from elderstall.simulation.scenario import Kind, Network, Scenario, Worker
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -1,6 +1,6 @@
 """The carrier in memory: takes attempts to worker hosts over emulated connections, and reports how they end.
 
-It stands where ``net/workers.py`` stands in a dispatcher and follows its rules on connections: the newest
+It stands where ``net/upstream/`` stands in a dispatcher and follows its rules on connections: the newest
 free one is used, and one that has been free for long is closed.
 """
 
@@ -14,7 +14,7 @@
 from elderstall.config import IDLE_PART
 from elderstall.interface import Ending, Endpoint, WorkerState
 from elderstall.messages import JobRequest, Outcome
-from elderstall.net.workers import RECALL_WAIT
+from elderstall.net.upstream.cancel_exchange import CANCEL_WAIT
 from elderstall.simulation.attempt import Link, SimulatedAttempt, TargetHost, UpstreamOwner
 from elderstall.simulation.loop import Call
 
@@ -85,7 +85,7 @@
             worker_host.cancel(attempt)
             self.loop.after(worker_host.delay(), done.callback, True)
         else:
-            self.loop.after(RECALL_WAIT, done.callback, False)
+            self.loop.after(CANCEL_WAIT, done.callback, False)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
         """Ask a worker how it stands; its answer takes two trips, and a new connection's more."""
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -14,7 +14,7 @@
 
 from elderstall.net import http
 from elderstall.net.peer import unread
-from elderstall.net.workers import BUDGET_MARGIN, budget_to_send
+from elderstall.net.upstream.request import BUDGET_MARGIN, budget_to_send
 from tests.faulty_sockets import SHORT, FaultPlan, hand_in
 from tests.loopback import Loopback, Side
 
@@ -101,7 +101,7 @@
             self.hold_up()
             return unread(at)
 
-        with mock.patch("elderstall.net.workers.unread", slow):
+        with mock.patch("elderstall.net.upstream.connection.unread", slow):
             self.send("a2")
             self.heard("a2")
         self.assertEqual(1, len(self.sides))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -258,7 +258,7 @@
         since_ms = self.wall() - 1_000.0
         started, place = (
             self.app.engine.decisions.endpoints.workers["w2"].started,
-            self.app.workers.places["w2"],
+            self.app.workers.addresses["w2"],
         )
         self.off_by = -QUARTER
         self.watches[-1].sock.close()
@@ -266,7 +266,7 @@
         self.until(lambda: self.wait(50) or len(self.asked_lists()) > count)  # type: ignore[func-returns-value]
         self.list_starts(43, whole=True, w1=0, w2=since_ms)
         self.assertEqual(started, self.app.engine.decisions.endpoints.workers["w2"].started)
-        self.assertIs(place, self.app.workers.places["w2"])
+        self.assertIs(place, self.app.workers.addresses["w2"])
 
     def test_a_ban_lifted_after_a_step(self) -> None:
         """Starts and bans are compared: a step back had a new process pass for one of before the ban."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -465,13 +465,13 @@
         self.begin(workers=2)
         self.app.engine.view.entries_most = 50
         self.tell(43, whole=True, w1="up", w2="up")
-        places = dict(self.app.workers.places)
+        places = dict(self.app.workers.addresses)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
         self.watches[-1].send(
             http.chunk(json.dumps({"index": 44, "snapshot": True, "endpoints": many}).encode() + b"\n")
         )
         self.turn()
-        self.assertEqual(places, self.app.workers.places)
+        self.assertEqual(places, self.app.workers.addresses)
         self.assertEqual({"w1", "w2"}, set(self.app.engine.view.entries))
         self.assertEqual(1, self.app.engine.figures().lists_refused)
         self.tell(45, w1="draining")  # the watch goes on
@@ -637,7 +637,7 @@
             (
                 self.app.engine.settings.stop_sending_within,
                 module.context.settings.max_attempts,
-                self.app.workers.connect_for,
+                self.app.workers.connect_timeout,
             ),
         )
         self.assertEqual({"clinic"}, self.app.engine.tenants)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -328,14 +328,14 @@
         self.play(ask.format("a1") + done.format("a1") + "wait 400\n" + ask.format("a2"))
         told = "w expect DELETE a2\nw send 200\nw expect POST a2\n"
         self.play("w close\nlog expect stale\nwait 60\n" + told + done.format("a2"))
-        workers = self.world.app.workers
-        self.assertAlmostEqual(200, workers.keep, delta=5)
+        keep_alive = self.world.app.workers.keep_alive
+        self.assertAlmostEqual(200, keep_alive.keep_for, delta=5)
         self.play("wait 50\nc send job b1 deck-build\nw expect POST b1\n" + done.format("b1"))
         self.assertEqual(3, len(self.world.workers))
         self.play("wait 190\n" + ask.format("a3") + done.format("a3") + "wait 220\nlog expect end:idle")
         self.assertEqual(3, len(self.world.workers))
         self.play(ask.format("a4") + done.format("a4") + "wait 60000")
-        self.assertEqual((4, workers.idle_for), (len(self.world.workers), workers.keep))
+        self.assertEqual((4, keep_alive.idle_limit), (len(self.world.workers), keep_alive.keep_for))
 
     def test_workers_that_break_new_connections_do_not_cost_the_kept_ones(self) -> None:
         """Guards against a handshake a job where it is the workers that reset, old connections or new."""
@@ -345,11 +345,12 @@
         self.play(ask.format("a1") + "w close\nwait 150\n" + told.format("a1") + done.format("a1"))
         self.play("wait 300\n" + ask.format("a2") + "w close\nwait 100\n" + told.format("a2"))
         self.play(done.format("a2"))
-        workers = self.world.app.workers
-        self.assertEqual(workers.idle_for, workers.keep)
-        workers.breaks[0], workers.uses = 1.0, [20.0, 5.0]  # one new connection in twenty breaks all the same
+        keep_alive = self.world.app.workers.keep_alive
+        self.assertEqual(keep_alive.idle_limit, keep_alive.keep_for)
+        keep_alive.new.breaks = 1.0  # one new connection in twenty breaks all the same
+        keep_alive.new.uses, keep_alive.kept.uses = 20.0, 5.0
         self.play("wait 300\n" + ask.format("a3") + "w close\nlog expect stale")
-        self.assertFalse(workers.new_safer)
+        self.assertFalse(keep_alive.new_safer)
 
     def test_input_split_anywhere_is_read(self) -> None:
         self.play("""
@@ -445,7 +446,7 @@
 
     def test_connections_to_workers_are_bounded_while_they_come_up(self) -> None:
         self.begin(workers=2)
-        self.world.app.workers.most = 1
+        self.world.app.workers.connections.limit = 1
         self.play("""
             w close silent
             c send job a1 deck-build
@@ -455,11 +456,11 @@
             wait 260
             log expect connect
         """)
-        self.assertLessEqual(self.world.app.workers.opening, 1)
+        self.assertLessEqual(self.world.app.workers.connections.opening, 1)
 
     def test_with_fewer_connections_than_workers_the_one_free_for_longest_gives_way(self) -> None:
         self.begin(workers=5)
-        self.world.app.workers.most = 2
+        self.world.app.workers.connections.limit = 2
         for n in range(1, 11):  # each worker in its turn, twice
             self.play(f"""
                 c send job a{n} deck-fetch
@@ -470,7 +471,7 @@
                 wait 20
             """)
             self.assertLessEqual(len(self.world.app.workers.connections), 2)
-        self.assertFalse(self.world.app.workers.ending)
+        self.assertFalse(self.world.app.workers.connections.closing)
         self.assertEqual(10, self.world.app.engine.counters.tries)
         self.assertFalse(self.world.app.engine.counters.refused["deck-fetch"])
 
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -16,7 +16,7 @@
 
 from elderstall.engine.endpoint_feed import EndpointFeed
 from elderstall.net import http
-from elderstall.net.workers import is_local
+from elderstall.net.upstream.connect_errors import is_local
 from tests.faulty_sockets import SHORT, Fault, FaultPlan, descriptors, hand_in, no_descriptor_leaked
 from tests.loopback import Loopback, Side
 
@@ -164,7 +164,7 @@
         self.serve("a2")
         self.serve("a3")
         self.no_trouble(fault, reported)
-        self.assertEqual(0, self.app.workers.opening)
+        self.assertEqual(0, self.app.workers.connections.opening)
         self.assertEqual(before, self.open_now())
         self.end()
 
@@ -200,7 +200,7 @@
 
         self.app.workers.connect = fail_once
         self.serve("a1", UNSAFE)
-        self.assertEqual(0, self.app.workers.opening)
+        self.assertEqual(0, self.app.workers.connections.opening)
 
     def test_no_socket_for_three_seconds(self) -> None:
         """Nothing loops, each job gets its answer, and jobs are served again once sockets are there."""
@@ -218,7 +218,7 @@
                 self.wait_with_beats(2_000)
                 self.serve("b1", UNSAFE)
                 self.no_trouble(fault)
-                self.assertEqual(0, self.app.workers.opening)
+                self.assertEqual(0, self.app.workers.connections.opening)
                 self.assertEqual(before, self.open_now())
                 self.end()
 
