--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -75,9 +75,9 @@
     def send(
         self,
         worker: str,
-        ask: JobRequest,
-        ends: float,
-        note: Callable[[float, str], None],
+        request: JobRequest,
+        ends_at: float,
+        on_progress: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
         """Run a job."""
@@ -85,7 +85,7 @@
         self.reached.add(worker)
         done: Deferred[Outcome | None] = Deferred(lambda _: None)
         outcome = Outcome(Ending.SERVED, b"done", (2.0,))
-        self.deadlines.after(ask.work_hint or MEAN_WORK, self.end, done, outcome)
+        self.deadlines.after(request.work_hint or MEAN_WORK, self.end, done, outcome)
         return done
 
     def end(self, done: Deferred[Outcome | None], outcome: Outcome) -> None:
--- a/elderstall/net/upstream/connection.py
+++ b/elderstall/net/upstream/connection.py
@@ -7,22 +7,19 @@
 from typing import Any
 from typing import Protocol as Interface
 
-from twisted.internet.interfaces import IPullProducer
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
-from zope.interface import implementer
 
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.interface import Ending
 from elderstall.log import Log
 from elderstall.net import http
 from elderstall.net.peer import unread
-from elderstall.net.upstream.exchange import Exchange
+from elderstall.net.upstream.exchange import Exchange, LastAnswer
 from elderstall.net.upstream.keep_alive import STALE_WITHIN, KeepAlive
 from elderstall.net.upstream.open_connections import OpenConnections
 from elderstall.net.upstream.request import WorkerRequest
-
-WRITE_RETRY = 5.0  # ms after which a request is written again of which the system took no byte
+from elderstall.net.upstream.request_writer import RequestWriter
 
 
 class CloseReason(Enum):
@@ -47,19 +44,6 @@
     connections: OpenConnections[WorkerConnection]
 
 
-@dataclass(slots=True, frozen=True)
-class LastAnswer:
-    """An answer that is complete, and reported as such once its connection has ended."""
-
-    exchange: Exchange
-    maybe_accepted: bool  # both as in ``Exchange.completed``
-    answer_begun: bool
-
-    def report(self) -> None:
-        """Report it."""
-        self.exchange.completed(maybe_accepted=self.maybe_accepted, answer_begun=self.answer_begun)
-
-
 class ConnectionPool(Interface):
     """What a connection belongs to."""
 
@@ -79,7 +63,6 @@
         """Take off a connection that has ended."""
 
 
-@implementer(IPullProducer)
 class WorkerConnection(Protocol):
     """One connection to a worker: one request at a time."""
 
@@ -89,10 +72,7 @@
         self.pool, self.services = pool, pool.services
         self.parser = http.Parser(responses=True)
         self.exchange: Exchange | None = None
-        self.request: WorkerRequest | None = None  # until its first byte is written
-        self.unsent = b""  # what the system did not take at once
-        self.retry_timer: Deadline | None = None
-        self.written = False
+        self.writer: RequestWriter | None = None  # of the request under way
         self.reusable = False
         self.close_reason = CloseReason.WORKER_CLOSED
         self.number = 0
@@ -116,65 +96,48 @@
         if exchange.counts_for_keep_alive:
             self.services.keep_alive.used(self.idle_for)
         self.parser.max_body = max_body
-        self.request, self.exchange, self.written = request, exchange, False
-        self.write_request()
+        self.exchange = exchange
+        self.writer = RequestWriter(self, self.transport, self.services.deadlines, request)
+        self.writer.write()
 
     def stop_idle_timer(self) -> None:
         """Let the connection live on."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
 
-    def write_request(self) -> None:
-        """Hand the request to the system at once, with the time that is left now.
-
-        What the system does not take is left to the transport, which asks for more once that is all written.
-        """
-        self.retry_timer = None
-        request, exchange = self.request, self.exchange
-        if request is None or exchange is None:
-            return
-        data = request.render(self.services.deadlines.now())
-        if data is None:
-            self._skip(exchange)
-            return
-        taken = self.transport.writeSomeData(data)
-        if isinstance(taken, Exception) or taken < 0:
-            self.drop(
-                CloseReason.WRITE_FAILED
-            )  # once it has ended the exchange hears that nothing was written
-        elif taken == 0:
-            self.retry_timer = self.services.deadlines.after(WRITE_RETRY, self.write_request)
-        elif taken < len(data):
-            self.request, self.unsent = None, data[taken:]
-            self.transport.registerProducer(self, False)
-        else:
-            self.request = None
-            self._all_written()
+    @property
+    def written(self) -> bool:
+        """Whether the request under way was written to its last byte."""
+        return self.writer is not None and self.writer.written
 
-    def _skip(self, exchange: Exchange) -> None:
-        """Keep the connection, as the time of its attempt was over before a byte was written."""
-        self.request = self.exchange = None
-        self.services.log.write("rule", f"nothing written to {self.pool.name}: no time left")
-        self.pool.release(self)
-        exchange.failed(Ending.NEVER_SENT)
-
-    def resumeProducing(self) -> None:  # noqa: N802
-        """Write the rest, or learn that its last byte has left the program (handed over isn't sent)."""
-        if self.unsent:
-            data, self.unsent = self.unsent, b""
-            self.transport.write(data)
-        elif not self.written:
-            self.transport.unregisterProducer()
-            self._all_written()
-
-    def _all_written(self) -> None:
+    def request_written(self) -> None:
         """Note that the request's last byte was written."""
-        self.written = True
         if self.exchange is not None:
             self.exchange.request_written()
 
-    def stopProducing(self) -> None:  # noqa: N802, D102
-        pass
+    def request_expired(self) -> None:
+        """Keep the connection, as the time of its attempt was over before a byte was written."""
+        exchange = self._end_exchange()
+        self.services.log.write("rule", f"nothing written to {self.pool.name}: no time left")
+        self._release()
+        if exchange is not None:
+            exchange.failed(Ending.NEVER_SENT)
+
+    def write_failed(self) -> None:
+        """Close the connection; once it has ended the exchange hears that nothing was written."""
+        self.drop(CloseReason.WRITE_FAILED)
+
+    def _end_exchange(self) -> Exchange | None:
+        """Carry the exchange no more; give it."""
+        exchange, self.exchange = self.exchange, None
+        if self.writer is not None:
+            self.writer.cancel()
+        return exchange
+
+    def _release(self) -> None:
+        """Be free for the next request."""
+        self.writer = None
+        self.pool.release(self)
 
     # ---- the answer ----
 
@@ -209,11 +172,11 @@
         before. Once the connection is closed the attempt is given up in any case, and may be reported as
         ended; but not if this one's 202 has come behind it.
         """
-        self.exchange = None
+        self._end_exchange()
         doubtful = self.idle_since is not None and exchange.ends_attempt
         if self.reusable and self.written and self.parser.idle and not doubtful:
             # Idle before the exchange hears of it, so that what it sends next finds this connection.
-            self.pool.release(self)
+            self._release()
             exchange.completed()
         else:
             self.last_answer = LastAnswer(exchange, doubtful, doubtful and self.answer_begun)
@@ -256,9 +219,10 @@
         """Close the connection if it still carries the exchange, which hears no more; give its ending."""
         if self.exchange is not exchange:
             return Ending.BROKEN
-        self.exchange = None
+        ending = self.ending(stale=True)
+        self._end_exchange()
         self.drop(CloseReason.ABORTED)
-        return self.ending(stale=True)
+        return ending
 
     def drop(self, reason: CloseReason, detail: str = "") -> None:
         """End the connection from here."""
@@ -270,17 +234,16 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.stop_idle_timer()
-        if self.retry_timer is not None:
-            self.retry_timer.cancel()
         self.services.connections.closing.discard(self)
         self.pool.connection_lost(self)
-        exchange, self.exchange = self.exchange, None
+        exchange = self._end_exchange()
         last_answer, self.last_answer = self.last_answer, None
         self.services.log.ended("worker", self.number, self.close_reason.value, self.pool.name)
         if last_answer is not None:
             last_answer.report()
         if exchange is not None:
             self._lost_with(exchange)
+        self.writer = None  # it holds this connection, which is freed at once without it
 
     def _lost_with(self, exchange: Exchange) -> None:
         """Report the connection's end to the exchange that it carried; it may be the answer's."""
--- a/elderstall/net/upstream/exchange.py
+++ b/elderstall/net/upstream/exchange.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Protocol
 
 from elderstall.interface import Ending
@@ -47,3 +48,16 @@
         The ending is unreachable if the request's last byte was not written. ``answer_begun``: the worker
         had begun to answer. ``unreached``: see ``messages.Outcome``.
         """
+
+
+@dataclass(slots=True, frozen=True)
+class LastAnswer:
+    """An answer that is complete, and reported as such once its connection has ended."""
+
+    exchange: Exchange
+    maybe_accepted: bool  # both as in ``Exchange.completed``
+    answer_begun: bool
+
+    def report(self) -> None:
+        """Report it."""
+        self.exchange.completed(maybe_accepted=self.maybe_accepted, answer_begun=self.answer_begun)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -48,9 +48,9 @@
     def send(
         self,
         worker: str,
-        ask: JobRequest,
-        ends: float,
-        note: Callable[[float, str], None],
+        request: JobRequest,
+        ends_at: float,
+        on_progress: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
         done: Deferred[Outcome | None] = Deferred()
