--- /dev/null
+++ b/tests/test_upstream_parts.py
@@ -0,0 +1,161 @@
+"""The parts of the client side towards workers that know no socket."""
+
+from __future__ import annotations
+
+import pytest
+
+from elderstall.interface import Ending
+from elderstall.log import Log
+from elderstall.messages import Outcome
+from elderstall.net import http
+from elderstall.net.upstream.keep_alive import FIRST_DOUBLING_TIME, SHORTEST_KEEP, KeepAlive
+from elderstall.net.upstream.open_connections import CLOSING_LIMIT, OpenConnections
+from elderstall.net.upstream.request import WorkerRequest
+from elderstall.net.upstream.responses import read_outcome, read_report
+
+IDLE_LIMIT = 8_000.0
+FIELDS = ("running", "waiting")
+
+
+class Clock:
+    """A clock that the test sets."""
+
+    def __init__(self) -> None:
+        self.at = 1_000_000.0
+
+    def now(self) -> float:
+        return self.at
+
+
+def keep_alive_on(clock: Clock) -> KeepAlive:
+    return KeepAlive(IDLE_LIMIT, clock.now, Log(clock.now))
+
+
+class IdleConnection:
+    """A connection as the limit on their number sees it."""
+
+    def __init__(self, connections: OpenConnections[IdleConnection]) -> None:
+        self.connections = connections
+        self.number = connections.add(self)
+        connections.idle[self] = None
+
+    def close_idle(self) -> None:
+        del self.connections.idle[self]
+        self.connections.closing.add(self)
+
+
+# ---- idle connections ----
+
+
+def test_a_cut_connection_halves_the_time_kept_and_it_grows_back() -> None:
+    clock = Clock()
+    keep_alive = keep_alive_on(clock)
+    keep_alive.used(400.0)
+    keep_alive.broke_off("w", 400.0)
+    assert keep_alive.keep_for == 200.0
+    assert keep_alive.new_safer
+    clock.at += FIRST_DOUBLING_TIME
+    assert keep_alive.keep_for == 400.0
+    clock.at += 10 * FIRST_DOUBLING_TIME
+    assert keep_alive.keep_for == IDLE_LIMIT
+    assert not keep_alive.new_safer
+
+
+def test_a_second_cut_soon_after_has_the_time_grow_back_more_slowly() -> None:
+    clock = Clock()
+    keep_alive = keep_alive_on(clock)
+    for idle_for in (400.0, 100.0):
+        keep_alive.used(idle_for)
+        keep_alive.broke_off("w", idle_for)
+    assert (keep_alive.keep_for, keep_alive.doubling_time) == (50.0, 2 * FIRST_DOUBLING_TIME)
+
+
+def test_the_time_kept_is_never_less_than_the_shortest() -> None:
+    keep_alive = keep_alive_on(Clock())
+    keep_alive.used(1.0)
+    keep_alive.broke_off("w", 1.0)
+    assert keep_alive.keep_for == SHORTEST_KEEP
+
+
+def test_breaks_of_new_connections_show_no_cut() -> None:
+    keep_alive = keep_alive_on(Clock())
+    for idle_for in (0.0, 400.0):
+        keep_alive.used(idle_for)
+        keep_alive.broke_off("w", idle_for)
+    assert keep_alive.keep_for == IDLE_LIMIT
+
+
+# ---- their number ----
+
+
+def test_connections_that_open_count_and_the_one_idle_for_longest_gives_way() -> None:
+    connections = OpenConnections["IdleConnection"](2)
+    first, second = IdleConnection(connections), IdleConnection(connections)
+    assert connections.make_room()
+    assert (list(connections.idle), connections.closing) == ([second], {first})
+    connections.opening += 1
+    assert connections.make_room()
+    assert not connections.idle
+    connections.opening += 1
+    assert not connections.make_room()
+
+
+def test_only_a_few_connections_close_at_once_to_make_room() -> None:
+    connections = OpenConnections["IdleConnection"](2 * CLOSING_LIMIT)
+    for _ in range(2 * CLOSING_LIMIT):
+        IdleConnection(connections)
+    made = 0
+    while connections.make_room():
+        connections.opening += 1
+        made += 1
+    assert made == len(connections.closing) == CLOSING_LIMIT
+
+
+# ---- bytes ----
+
+
+def test_a_request_is_rendered_with_the_time_left_and_not_at_all_without() -> None:
+    request = WorkerRequest("POST", "/jobs", "w:1", ends_at=1_000.0)
+    data = request.render(600.0)
+    assert data is not None
+    assert b"X-Budget-Ms: 380\r\n" in data
+    assert request.render(1_000.0) is None
+    assert b"X-Budget-Ms" not in (WorkerRequest("GET", "/metrics/load", "w:1").render(1e9) or b"")
+
+
+@pytest.mark.parametrize(
+    ("load", "report"),
+    [
+        ({"running": 1, "waiting": 2.5, "more": "x"}, (1.0, 2.5)),
+        ({"running": 1}, ()),
+        ({"running": 1, "waiting": "2"}, ()),
+        ({"running": 1, "waiting": 1e15}, ()),
+        ([1, 2], ()),
+        (None, ()),
+    ],
+)
+def test_a_load_report_that_lacks_a_field_is_empty(load: object, report: tuple[float, ...]) -> None:
+    assert read_report(load, FIELDS) == report
+
+
+@pytest.mark.parametrize(
+    ("status", "fields", "outcome"),
+    [
+        (503, [("X-Rejected", "1")], Outcome(Ending.FULL)),
+        (504, [("X-Rejected", "1")], Outcome(Ending.FULL)),
+        (503, [], Outcome(Ending.ERROR)),
+        (500, [("X-Rejected", "1")], Outcome(Ending.ERROR)),
+        (503, [("X-Rejected", "1"), ("X-Load-Report", "{")], Outcome(Ending.FULL)),
+        (503, [("X-Rejected", "1"), ("X-Rejected", "1")], Outcome(Ending.ERROR)),
+        (
+            500,
+            [("X-Load-Report", '{"running": 1, "waiting": 2}')],
+            Outcome(Ending.ERROR, report=(1.0, 2.0)),
+        ),
+    ],
+)
+def test_an_answer_ends_an_attempt_by_the_protocols_table(
+    status: int, fields: list[tuple[str, str]], outcome: Outcome
+) -> None:
+    message = http.Message((1, 1), http.Headers(fields), status=status)
+    assert read_outcome(message, FIELDS) == outcome
