--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -26,8 +26,8 @@
 from elderstall.net.discovery import Discovery, WatchConnection, told_as
 from elderstall.net.handover import Handover
 from elderstall.net.peer import unread
-from elderstall.net.server import Server
-from elderstall.net.sse import ProgressServer
+from elderstall.net.server.listener import Server
+from elderstall.net.server.streams import ProgressServer
 from elderstall.net.upstream.connection import WorkerConnection
 from elderstall.net.upstream.streams import StreamTransport
 from elderstall.net.upstream.transport import WorkerTransport
--- /dev/null
+++ b/elderstall/net/server/connection.py
@@ -0,0 +1,93 @@
+"""One accepted connection as Twisted sees it: what the reactor calls."""
+
+from __future__ import annotations
+
+from twisted.internet.error import ConnectionDone
+from twisted.internet.interfaces import IPushProducer
+from twisted.internet.protocol import connectionDone
+from twisted.python.failure import Failure
+from zope.interface import implementer
+
+from elderstall.net.server.admission import Activity
+from elderstall.net.server.request_connection import RequestConnection
+from elderstall.net.server.state import CloseReason, Stage
+
+READ_AT_ONCE = 16 * 1024  # bytes taken from a socket in one go: hundreds may send at once, in little memory
+
+
+@implementer(IPushProducer)
+class ServerConnection(RequestConnection):
+    """One accepted connection."""
+
+    def connectionMade(self) -> None:  # noqa: N802, D102
+        table = self.server.table
+        self.transport.setTcpNoDelay(True)
+        self.transport.bufferSize = READ_AT_ONCE
+        self.number = table.connections.add(self)
+        self.transport.registerProducer(self, True)
+        table.set_activity(self, Activity.NEW)
+        self.message_began = self.active_since
+        table.enforce_limits()
+        # From here on, not from its first byte: a peer that says nothing holds a descriptor all the same.
+        self.set_timeout(self.server.request_for, CloseReason.SILENT)
+
+    # ---- reading ----
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
+        if self.closing:
+            return
+        self.last_received = self.server.deadlines.now()
+        if self.first_byte_at is None:
+            self.first_byte_at = self.last_received
+        if self.activity in (Activity.HEALTH_CHECKED, Activity.IDLE):
+            # Guards against a later request without end; the first has its time from the connection's start.
+            self.expect_request(self.last_received)
+        self.parser.feed(data)
+        self.process_received()
+
+    # ---- the peer's reading ----
+
+    def pauseProducing(self) -> None:  # noqa: N802
+        """Stop answering while the peer does not read; it has so long to take what is there."""
+        self.blocked = True
+        if not self.busy:  # else the job's own deadline bounds the wait
+            self.watch_writing()
+
+    def resumeProducing(self) -> None:  # noqa: N802, D102
+        if not self.blocked:
+            return
+        self.blocked = False
+        if self.stream is not None:
+            self.stream.flush()
+        if self.closing:
+            self.close_writing()
+        elif not self.busy:
+            self.await_request()
+
+    def stopProducing(self) -> None:  # noqa: N802, D102
+        pass
+
+    # ---- the end ----
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
+        table = self.server.table
+        if self.stage is Stage.OPEN:
+            self.stage = Stage.CLOSING
+        for deadline in (self.timeout, self.departure_check):
+            if deadline is not None:
+                deadline.cancel()
+        job, self.job = self.job, None
+        if job is not None:
+            self.reason = CloseReason.CLIENT_GONE
+            self.server.engine.client_left(job)
+        self.body_size = 0
+        self.count_kept_bytes()
+        table.set_activity(self, None)
+        table.closing_count -= self.stage is Stage.ENDING
+        table.connections.remove(self.number)
+        if self.passing is not None:
+            self.server.passed(self, whole=isinstance(reason.value, ConnectionDone))  # else it broke first
+        else:
+            kind = "client" if self.client else "peer"
+            self.server.log.ended(kind, self.number, self.reason, f"{self.requests} requests")
+        table.enforce_limits()
--- a/elderstall/net/upstream/streams.py
+++ b/elderstall/net/upstream/streams.py
@@ -5,7 +5,7 @@
 from elderstall.interface import Ending
 from elderstall.messages import Outcome
 from elderstall.net import http
-from elderstall.net.sse import MEDIA_TYPE, EventParser, ServerEvent, share_of
+from elderstall.net.event_stream import MEDIA_TYPE, EventParser, ServerEvent, parse_share
 from elderstall.net.upstream.handle import RequestHandle
 from elderstall.net.upstream.job_exchange import JobAttempt, JobExchange, JobTransport
 from elderstall.net.upstream.pool import Pool
@@ -51,7 +51,7 @@
     def _take(self, event: ServerEvent) -> None:
         """Take one event of the stream."""
         if event.event == "progress":
-            self.on_progress(share_of(event.data), event.data)
+            self.on_progress(parse_share(event.data), event.data)
         elif event.event == "result":
             self.finish(Outcome(Ending.SERVED, event.data.encode("utf-8", "replace")))
         elif event.event == "error":
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -38,7 +38,7 @@
 from elderstall.app import App
 from elderstall.config import Config, Progress, config_of
 from elderstall.net import http
-from elderstall.net.sse import EventParser, ServerEvent
+from elderstall.net.event_stream import EventParser, ServerEvent
 
 CLASSES = [
     {"name": "deck-fetch", "points": 2, "aim": 250, "deadline": 5000, "effect": "safe"},
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -17,7 +17,9 @@
 from elderstall.messages import Outcome
 from elderstall.net import http
 from elderstall.net.peer import unread, unwritten
-from elderstall.net.server import LINGER, LOOK_AGAIN, YOUNG, ServerConnection
+from elderstall.net.server.admission import MIN_SHED_AGE
+from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL, LINGER
+from elderstall.net.server.connection import ServerConnection
 from tests.loopback import Loopback, Side, reactor
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -133,9 +135,9 @@
         self.assertFalse(self.app.engine.jobs.knows("a2"))
         self.assertEqual([], client.messages)
         client.sock.close()
-        self.wait(2 * LOOK_AGAIN)
+        self.wait(2 * DEPARTURE_CHECK_INTERVAL)
         self.assertNotIn(c, list(self.app.server.connections))
-        self.wait(2 * LOOK_AGAIN)
+        self.wait(2 * DEPARTURE_CHECK_INTERVAL)
         self.assertTrue(self.loop.stopped)
 
     def test_connection_whose_client_stays_is_ended_after_the_lingering_time(self) -> None:
@@ -258,7 +260,7 @@
     def test_new_connection_with_an_unread_request_is_passed_over(self) -> None:
         self.begin()
         first, second = self.accepted()[0], self.accepted()[0]
-        self.wait(YOUNG + 10)
+        self.wait(MIN_SHED_AGE + 10)
         first.send(self.job("a1"))
         self.keep_at_most(1)
         self.app.server.soft = 500
@@ -271,7 +273,7 @@
                 self.begin()
                 client, _ = self.accepted()
                 client.send(self.job("a1")[:part])
-                self.wait(YOUNG + 10)
+                self.wait(MIN_SHED_AGE + 10)
                 self.keep_at_most(0)
                 message = self.answer(client)
                 self.assertEqual((503, "1"), (message.status, message.headers.get("Retry-After")))
@@ -291,7 +293,7 @@
         self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"x" * 60_000))
         self.turn()
         self.assertTrue(c.closing)
-        self.wait(YOUNG + 10)
+        self.wait(MIN_SHED_AGE + 10)
         self.keep_at_most(0)
         self.assertEqual(60_000, len(self.answer(client).body))
 
@@ -301,7 +303,7 @@
         for client in clients:
             client.send(b"nothing\r\n\r\n")
         self.turn()
-        self.wait(YOUNG + 10)
+        self.wait(MIN_SHED_AGE + 10)
         self.keep_at_most(0)
         self.wait(10)
         self.assertEqual([], list(self.app.server.connections))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from elderstall.net import http
-from elderstall.net.server import LOOK_AGAIN, READ_AHEAD
+from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL
+from elderstall.net.server.request_connection import READ_AHEAD
 from tests.loopback import Loopback, Side, address_of
 from tests.scenario import CLASSES, RULES, entry
 
@@ -172,7 +173,7 @@
         self.take("POST gone").send(http.response(202))
         self.turn()
         side.sock.close()
-        self.wait(2 * LOOK_AGAIN)
+        self.wait(2 * DEPARTURE_CHECK_INTERVAL)
         self.take("DELETE /jobs/gone")
 
     def test_of_many_that_leave_at_any_instant_none_is_sent_from_0_1_s_on(self) -> None:
@@ -218,7 +219,7 @@
         self.assertTrue(c.paused)
         self.assertLess(len(c.parser.buffer), READ_AHEAD + 16 * 1024 + 1)
         self.take("POST a1").send(http.response(202))
-        self.wait(3 * LOOK_AGAIN)
+        self.wait(3 * DEPARTURE_CHECK_INTERVAL)
         self.call_back("a1")
         for status in [200] * (1 + MUCH.count(b"GET")):
             self.assertEqual(status, self.answer(side).status)
@@ -233,8 +234,8 @@
         before = self.app.deadlines.live
         for _ in range(50):
             c.paused = False
-            c.weigh()
-            c.step()
+            c.count_kept_bytes()
+            c.process_received()
         self.assertTrue(c.paused)
         self.assertEqual(before, self.app.deadlines.live)
 
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from elderstall.interface import AttemptProgressed, Event, ResponseStarted
-from elderstall.net.sse import EventParser, ServerEvent, share_of, written
+from elderstall.net.event_stream import EventParser, ServerEvent, encode_event, parse_share
 from tests.scenario import Scenario, World
 
 ASKS = "Accept=text/event-stream"
@@ -227,7 +227,7 @@
 def test_what_is_written_is_read_back_however_it_is_split(
     events: list[tuple[str, str]], cuts: list[int], end: str
 ) -> None:
-    raw = b"\xef\xbb\xbf" + b"".join(written(name, data, "7") for name, data in events)
+    raw = b"\xef\xbb\xbf" + b"".join(encode_event(name, data, "7") for name, data in events)
     raw = raw.decode().replace("\n", end).encode()
     parser, got, at = EventParser(), list[ServerEvent](), 0
     for cut in [*cuts, len(raw)]:
@@ -248,4 +248,9 @@
         ServerEvent("message", " kept", "4"),
     ]
     assert parser.retry == 250
-    assert (share_of('{"share": 0.4}'), share_of("0.2"), share_of("true"), share_of("[")) == (0.4, 0.2, 0, 0)
+    assert (parse_share('{"share": 0.4}'), parse_share("0.2"), parse_share("true"), parse_share("[")) == (
+        0.4,
+        0.2,
+        0,
+        0,
+    )
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -328,7 +328,9 @@
         side = self.client()
         side.send(http.request("GET", "/up", "x"))
         self.assertEqual(200, self.answer(side).status)
-        with mock.patch("elderstall.net.server.os.dup", mock.Mock(side_effect=system_error(errno.EMFILE))):
+        with mock.patch(
+            "elderstall.net.server.handing_over.os.dup", mock.Mock(side_effect=system_error(errno.EMFILE))
+        ):
             link = self.new_process()
             link.sendall(b'{"m": "got"}\n{"m": "serving"}\n')
             self.wait(200)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -434,7 +434,7 @@
 
     def test_a_fault_in_the_program_is_met_in_one_request_only(self) -> None:
         self.begin()
-        self.world.app.server.job = None  # type: ignore[method-assign, assignment]
+        self.world.app.server.handle_job = None  # type: ignore[method-assign, assignment]
         self.play("""
             c send job a1 deck-fetch
             c expect 500
