--- a/elderstall/net/server/closing.py
+++ b/elderstall/net/server/closing.py
@@ -5,7 +5,7 @@
 from elderstall.net import http
 from elderstall.net.peer import left, unread, unwritten
 from elderstall.net.server.admission import Activity
-from elderstall.net.server.requests import HeaderFields, retry_after
+from elderstall.net.server.requests import BUSY_RETRY_AFTER, HeaderFields, retry_after
 from elderstall.net.server.state import CloseReason, ConnectionState, Stage
 
 DEPARTURE_CHECK_INTERVAL = 50.0  # ms between looks whether a client has left from which nothing is read
@@ -34,7 +34,7 @@
         if self.job is not None or self.busy:
             return
         now = self.server.deadlines.now()
-        body_until = min(self.last_received + BODY_PAUSE, self.message_began + self.server.body_for)
+        body_until = min(self.last_received + BODY_PAUSE, self.message_began + self.server.timeouts.body)
         if self.message is not None and now < body_until:
             self.set_timeout(BODY_PAUSE, reason)
         elif not self.grace_used and unread(self.transport):
@@ -71,7 +71,7 @@
     def watch_writing(self) -> None:
         """Give the peer so long to take its answer."""
         self.cancel_timeout()
-        self.timeout = self.server.deadlines.after(self.server.write_for, self.abort_slow_reader)
+        self.timeout = self.server.deadlines.after(self.server.timeouts.write, self.abort_slow_reader)
 
     def abort_slow_reader(self) -> None:
         """Give up on a peer that does not read."""
@@ -83,13 +83,13 @@
     def count_kept_bytes(self) -> None:
         """Count the bytes kept, against the limit for requests that are not whole yet."""
         kept = 0 if self.closing else len(self.parser.buffer) + self.body_size
-        self.server.weight += kept - self.kept_bytes
+        self.server.kept.total += kept - self.kept_bytes
         self.kept_bytes = kept
         unfinished = kept and not self.busy and not self.closing
-        if unfinished and self.server.weight > self.server.weight_most:
+        if unfinished and self.server.kept.over_limit:
             if self.message is not None:
                 self.count_rejected()
-            retry = retry_after(self.server.busy_retry)
+            retry = retry_after(BUSY_RETRY_AFTER)
             self.refuse(503, CloseReason.MEMORY, b"too much is being read\n", retry)
 
     def count_rejected(self) -> None:
@@ -146,7 +146,7 @@
         self.mark_ending()
         self.transport.loseConnection()
         # A peer that reads nothing would hold the connection for ever; one that is slow gets its answer.
-        delay = self.server.write_for if unwritten(self.transport) else LINGER
+        delay = self.server.timeouts.write if unwritten(self.transport) else LINGER
         self.timeout = self.server.deadlines.after(delay, self.transport.abortConnection)
 
     def mark_ending(self) -> None:
@@ -164,7 +164,7 @@
             return
         if self.message is not None or not self.parser.idle:
             self.count_rejected()
-            retry = retry_after(self.server.busy_retry)
+            retry = retry_after(BUSY_RETRY_AFTER)
             self.transport.write(http.response(503, b"too many connections\n", retry, close=True))
         self.end(CloseReason.CROWDED)
 
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -29,7 +29,7 @@
         self.message_began = self.active_since
         table.enforce_limits()
         # From here on, not from its first byte: a peer that says nothing holds a descriptor all the same.
-        self.set_timeout(self.server.request_for, CloseReason.SILENT)
+        self.set_timeout(self.server.timeouts.request, CloseReason.SILENT)
 
     # ---- reading ----
 
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -132,7 +132,7 @@
         else:
             age = fields["age"]
             connection.message_began -= age
-            time_left = max(0.0, connection.server.request_for - age)
+            time_left = max(0.0, connection.server.timeouts.request - age)
             connection.set_timeout(time_left, CloseReason.SILENT)
 
     def adopt_job(self, connection: RequestConnection, fields: dict[str, Any]) -> None:
--- a/elderstall/net/server/listener.py
+++ b/elderstall/net/server/listener.py
@@ -22,8 +22,8 @@
 from elderstall.net.server.delegation import PartAttribute
 from elderstall.net.server.handing_over import HandingOver
 from elderstall.net.server.request_connection import RequestConnection
-from elderstall.net.server.requests import RequestError, parse_head, retry_after
-from elderstall.net.server.state import CloseReason
+from elderstall.net.server.requests import BUSY_RETRY_AFTER, RequestError, parse_head, retry_after
+from elderstall.net.server.state import CloseReason, KeptBytes, Timeouts
 from elderstall.slots import Slots
 
 KEPT_FACTOR = 2  # jobs are refused past so many times the limit for requests that are not whole
@@ -43,12 +43,13 @@
     accepting = PartAttribute[bool]("table", "accepting")
     crowded = PartAttribute[Callable[[], None]]("table", "enforce_limits")
     room = PartAttribute[int]("table", "capacity_left")
+    weight = PartAttribute[int]("kept", "total")
+    weight_most = PartAttribute[int]("kept", "limit")
     may_pass = PartAttribute[Callable[[], bool]]("handing_over", "may_pass")
     hand = PartAttribute[Callable[..., bool]]("handing_over", "hand")
     keep = PartAttribute[Callable[[int, dict[str, Any]], None]]("handing_over", "keep")
     moving = PartAttribute[set[str]]("handing_over", "moving")
     pass_all = PartAttribute[Callable[[], None]]("handing_over", "pass_all")
-    pass_on = PartAttribute[Callable[[RequestConnection], bool]]("handing_over", "pass_on")
     adopted = PartAttribute[Callable[[RequestConnection, dict[str, Any]], None]]("handing_over", "adopted")
     ask_others = PartAttribute[Callable[[Any], Deferred[bool] | None]]("callbacks", "ask_others")
 
@@ -60,21 +61,14 @@
         parse_report: ReportParser,
         most: int = 600,
         soft: int = 500,
-        weight_most: int = 8 * 1024 * 1024,
-        idle_for: float = 75_000.0,
-        request_for: float = 2_500.0,
-        body_for: float = 15_000.0,
-        write_for: float = 20_000.0,
-        busy_retry: float = 1_000.0,
+        kept_limit: int = 8 * 1024 * 1024,
     ) -> None:
         self.engine, self.deadlines, self.log = engine, deadlines, log
         self.table: ConnectionTable[ServerConnection] = ConnectionTable(deadlines, most, soft)
+        self.timeouts = Timeouts()
+        self.kept = KeptBytes(kept_limit)
         self.callbacks = CallbackReceiver(engine, log, parse_report)
         self.handing_over = HandingOver(engine, deadlines, self.table)
-        # Bad clients are owed an answer or a close within 3 s: half a second is for a program under load.
-        self.idle_for, self.request_for, self.write_for = idle_for, request_for, write_for
-        self.body_for, self.busy_retry = body_for, busy_retry
-        self.weight_most, self.weight = weight_most, 0  # bytes of requests not whole, and of all kept
         self.draining = False
         self.shortened, self.until = False, math.inf  # jobs are taken only for the time until then
         self.leaving = False  # clients are let go
@@ -117,12 +111,12 @@
         """Take a client's job."""
         connection.client = True
         request = replace(request, budget=max(0.0, request.budget - connection.time_since_first_byte()))
-        if not self.may_pass():  # else it moves on with the job
+        if not self.handing_over.may_pass():  # else it moves on with the job
             request = self.bound_by_shutdown(request)
         if self.table.busy_count > self.table.soft_limit:
             # Guards the descriptors that workers' callbacks need.
             raise self.rejected(request, "too many connections")
-        if self.weight > KEPT_FACTOR * self.weight_most:
+        if self.kept.total > KEPT_FACTOR * self.kept.limit:
             raise self.rejected(request, "too much is kept")
         self.submit(connection, message, request)
 
@@ -139,7 +133,7 @@
     def rejected(self, request: JobRequest, why: str) -> RequestError:
         """Reject a job that cannot be taken, and count it."""
         self.engine.count_rejected(request.job_class)
-        return RequestError(503, why, retry_after(self.busy_retry))
+        return RequestError(503, why, retry_after(BUSY_RETRY_AFTER))
 
     def submit(self, connection: RequestConnection, message: http.Message, request: JobRequest) -> None:
         """Hand a job in for a plain answer."""
@@ -184,7 +178,7 @@
         """Answer a callback that the other process was asked about; its job may have come over by now."""
         self.callbacks.apply(callback)
         # Without the other's word, or while its job is still on the way, the worker is to try again.
-        connection.reply(204 if confirmed and callback.request_id not in self.moving else 503)
+        connection.reply(204 if confirmed and callback.request_id not in self.handing_over.moving else 503)
 
     def called(self, call: Any) -> bool:
         """Act on a callback that the other process forwards; say whether its attempt is live."""
@@ -199,6 +193,10 @@
     def inherit(self, streamed: list[str]) -> None:
         """Take those of the process that hands over."""
 
+    def pass_on(self, connection: RequestConnection) -> bool:
+        """Leave a connection that is between requests to the other process, if there is one."""
+        return self.handing_over.pass_on(connection)
+
     def passed(self, connection: RequestConnection, *, whole: bool) -> None:
         """Give a connection that this process has let go of to the other one."""
         self.handing_over.passed(connection, whole=whole)
@@ -211,7 +209,7 @@
         # Nor where another process serves: it gets the connection.
         # Nor before what has come behind that request is answered too.
         leaves = (self.leaving or connection.rejected_in_shutdown) and connection.client
-        return leaves and not self.may_pass() and not connection.more_came
+        return leaves and not self.handing_over.may_pass() and not connection.more_came
 
     def close_reason(self) -> CloseReason:
         """Name the reason of such an end."""
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -56,7 +56,7 @@
         """Give the peer its time for a request that has begun."""
         self.message_began = began
         self.server.table.set_activity(self, Activity.READING)
-        self.set_timeout(self.server.request_for, CloseReason.SLOW_REQUEST)
+        self.set_timeout(self.server.timeouts.request, CloseReason.SLOW_REQUEST)
 
     def process_received(self) -> None:
         """Read what has come, as far as answers may go out."""
@@ -89,7 +89,7 @@
 
     def bound_read_ahead(self) -> None:
         """Read no further while enough lies behind the request in hand."""
-        most = READ_AHEAD if self.server.weight <= self.server.weight_most else CROWDED_AHEAD
+        most = CROWDED_AHEAD if self.server.kept.over_limit else READ_AHEAD
         full = (self.busy or self.blocked) and len(self.parser.buffer) > most
         if full != self.paused and not self.closing:
             self.paused = full
@@ -175,7 +175,7 @@
         self.grace_used = False
         between = Activity.IDLE if self.client or self.worker else Activity.HEALTH_CHECKED
         self.server.table.set_activity(self, between)
-        self.set_timeout(self.server.idle_for, CloseReason.IDLE)
+        self.set_timeout(self.server.timeouts.idle, CloseReason.IDLE)
         if not self.parser.idle:
             self.expect_request(self.server.deadlines.now())
         self.process_received()
--- a/elderstall/net/server/requests.py
+++ b/elderstall/net/server/requests.py
@@ -11,6 +11,7 @@
 from elderstall.messages import JobRequest
 from elderstall.net import http
 
+BUSY_RETRY_AFTER = 1_000.0  # ms after which a client is to retry that met no room
 MAX_BUDGET = 24 * 3_600_000.0  # ms
 MAX_ID_LENGTH = 256
 MAX_QUERY_FIELDS = 50
--- a/elderstall/net/server/state.py
+++ b/elderstall/net/server/state.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import Enum, StrEnum, auto
 from typing import Any
 from typing import Protocol as Interface
@@ -50,6 +51,30 @@
         """Write what has waited."""
 
 
+@dataclass(slots=True, frozen=True)
+class Timeouts:
+    """How long a connection may take, ms."""
+
+    idle: float = 75_000.0  # between requests
+    # Bad clients are owed an answer or a close within 3 s: half a second is for a program under load.
+    request: float = 2_500.0  # for a request to come whole
+    body: float = 15_000.0  # the same for one whose body still comes
+    write: float = 20_000.0  # for the peer to read its answer
+
+
+@dataclass(slots=True)
+class KeptBytes:
+    """The bytes that all connections keep, of requests and of what lies behind them."""
+
+    limit: int  # for requests that are not whole
+    total: int = 0
+
+    @property
+    def over_limit(self) -> bool:
+        """Whether more is kept than should be."""
+        return self.total > self.limit
+
+
 class SharedState(Interface):
     """What the connections of one listener share."""
 
@@ -57,13 +82,8 @@
     deadlines: Deadlines
     log: Log
     table: ConnectionTable[Any]
-    weight: int  # bytes kept by all connections
-    weight_most: int  # of requests that are not whole
-    idle_for: float  # ms
-    request_for: float  # ms
-    body_for: float  # ms
-    write_for: float  # ms
-    busy_retry: float  # ms
+    kept: KeptBytes
+    timeouts: Timeouts
 
 
 class ConnectionState(Protocol):
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -68,13 +68,13 @@
         self.begin()
         client, _ = self.accepted()
         client.send(self.job("a1"))
-        self.jump(self.app.server.request_for + 1)
+        self.jump(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
     def test_request_on_a_new_connection_with_the_process_held_up(self) -> None:
         self.begin()
         client, _ = self.accepted()
-        self.wait(self.app.server.request_for - 10)
+        self.wait(self.app.server.timeouts.request - 10)
         client.send(self.job("a1"))
         self.jump(150)
         self.serve(client, "a1")
@@ -86,7 +86,7 @@
         client.send(data[:20])
         self.turn()
         client.send(data[20:])
-        self.jump(self.app.server.request_for + 1)
+        self.jump(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
     def test_rest_of_a_body(self) -> None:
@@ -96,14 +96,14 @@
         client.send(data[:-2])
         self.turn()
         client.send(data[-2:])
-        self.jump(self.app.server.request_for + 1)
+        self.jump(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
     def test_client_that_sends_a_byte_in_that_moment_is_still_ended_within_3_s(self) -> None:
         self.begin()
         client, _ = self.accepted()
         client.send(self.job("a1")[:20])
-        self.wait(self.app.server.request_for - 10)
+        self.wait(self.app.server.timeouts.request - 10)
         for _ in range(48):  # from then on a byte lies unread at every look
             client.sock.send(b"x")
             self.jump(10)
@@ -113,7 +113,7 @@
     def test_silent_connection_is_still_ended(self) -> None:
         self.begin()
         client, _ = self.accepted()
-        self.wait(self.app.server.request_for + 10)
+        self.wait(self.app.server.timeouts.request + 10)
         self.assertTrue(self.closed(client))
 
 
@@ -238,7 +238,7 @@
 
     def test_client_that_never_reads_is_ended(self) -> None:
         _, c, _ = self.answers_unread()
-        self.wait(self.app.server.write_for + 3 * LINGER)
+        self.wait(self.app.server.timeouts.write + 3 * LINGER)
         self.assertNotIn(c, list(self.app.server.connections))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -304,9 +304,9 @@
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(200, self.answer(side).status)
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.jump(self.app.server.idle_for + 1)
+        self.jump(self.app.server.timeouts.idle + 1)
         self.assertEqual(200, self.answer(side).status)
-        self.wait(self.app.server.idle_for + 1_000)
+        self.wait(self.app.server.timeouts.idle + 1_000)
         side.read()
         self.assertTrue(side.ended)
 
