--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -145,13 +145,13 @@
                 worker.send(TAKEN[:20])
                 self.turn()
                 worker.sock.shutdown(socket.SHUT_RDWR)  # it may have the job: it has to confirm the end
-                told = self.take("DELETE /jobs/gone")
-                self.assertEqual(self.name(worker), self.name(told))
+                cancel = self.take("DELETE /jobs/gone")
+                self.assertEqual(self.name(worker), self.name(cancel))
                 if leaves_first:
                     self.leaves(client)
-                    told.send(http.response(200))
+                    cancel.send(http.response(200))
                 else:
-                    told.send(http.response(200))
+                    cancel.send(http.response(200))
                     self.leaves(client)
                 self.not_sent()
 
@@ -167,7 +167,7 @@
         self.not_sent()
 
     def test_at_its_worker(self) -> None:
-        """Nothing new begins, and the worker is told."""
+        """Nothing new begins, and its worker is notified."""
         self.begin()
         client = self.sent()
         self.take("POST gone").send(TAKEN)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -267,7 +267,7 @@
         self.serve(first, "a1")
         self.assertTrue(self.closed(second))
 
-    def test_client_in_the_middle_of_a_request_is_told_to_come_back(self) -> None:
+    def test_client_in_the_middle_of_a_request_is_asked_to_come_back(self) -> None:
         for part in (20, -2):  # of the head, of the body
             with self.subTest(part):
                 self.begin()
@@ -456,7 +456,7 @@
         return adopt
 
     def test_descriptors_stay_short(self) -> None:
-        """Its client's connection ends with the job, and the worker is told; no descriptor is left."""
+        """Its client's connection ends with the job, its worker is notified, and no descriptor is left."""
         self.begin()
         fields, fd, client = self.moved()
         self.loop.adoptStreamConnection = self.short_of(errno.EMFILE)
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -186,7 +186,7 @@
                 self.say(call, 3, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
-    def test_what_the_former_one_told_last_is_not_undone_by_its_end(self) -> None:
+    def test_what_the_former_one_sent_last_is_not_undone_by_its_end(self) -> None:
         self.begin(workers=2)
         former = self.watches[-1]
         self.say(former, 42, w1="up")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -326,8 +326,14 @@
         done = "w send 202\nw send call done {0}\nc expect 200\n"
         ask = "c send job {0} deck-fetch\nw expect POST {0}\n"
         self.play(ask.format("a1") + done.format("a1") + "wait 400\n" + ask.format("a2"))
-        told = "w expect DELETE a2\nw send 200\nw expect POST a2\n"
-        self.play("w close\nlog expect stale\nwait 60\n" + told + done.format("a2"))
+        cancelled_and_resent = "w expect DELETE a2
+w send 200
+w expect POST a2
+"
+        self.play("w close
+log expect stale
+wait 60
+" + cancelled_and_resent + done.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
         self.assertAlmostEqual(200, keep_alive.keep_for, delta=5)
         self.play("wait 50\nc send job b1 deck-build\nw expect POST b1\n" + done.format("b1"))
@@ -341,9 +347,11 @@
         """Guards against a handshake a job where it is the workers that reset, old connections or new."""
         done = "w send 202\nw send call done {0}\nc expect 200\n"
         ask = "c send job {0} deck-fetch\nw expect POST {0}\n"
-        told = "w expect DELETE {0}\nw send 200\nw expect POST {0}\n"
-        self.play(ask.format("a1") + "w close\nwait 150\n" + told.format("a1") + done.format("a1"))
-        self.play("wait 300\n" + ask.format("a2") + "w close\nwait 100\n" + told.format("a2"))
+        cancelled_and_resent = "w expect DELETE {0}\nw send 200\nw expect POST {0}\n"
+        self.play(
+            ask.format("a1") + "w close\nwait 150\n" + cancelled_and_resent.format("a1") + done.format("a1")
+        )
+        self.play("wait 300\n" + ask.format("a2") + "w close\nwait 100\n" + cancelled_and_resent.format("a2"))
         self.play(done.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
         self.assertEqual(keep_alive.idle_limit, keep_alive.keep_for)
@@ -637,7 +645,7 @@
         )
 
     def test_clients_are_let_go_in_time_to_find_the_next_dispatcher(self) -> None:
-        """Guards against clients that are held until the next one is told to end, too (reload)."""
+        """Guards against clients that are held until the next one is to end, too (reload)."""
         self.play("""
             c send job a0 deck-fetch
             w expect POST a0
@@ -773,7 +781,7 @@
                     **self.MANY,
                 )
 
-    def test_a_worker_told_draining_is_not_asked(self) -> None:
+    def test_a_worker_listed_as_draining_is_not_asked(self) -> None:
         self.play(
             """
             # where dispatchers are many, the first call for the list waits its turn, 2.5 s at most
@@ -817,7 +825,7 @@
         self.assertEqual({"w1", "w2", "w3"}, set(self.world.app.discovery.addresses))
 
     def test_the_former_watch_is_heard_until_the_new_one_speaks(self) -> None:
-        """Guards the rule on drains: a change that was written just before the move counts as told."""
+        """Guards the rule on drains: a change that was written just before the move counts as notified."""
         self.play("d expect watch 41\nd send beat\nhup send discovery=127.0.0.1:2")
         new = self.world.watches.pop()
         self.play("d send changes 50 w1=draining\nc send job a1 deck-fetch\nw expect nothing\nd close")
