--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import contextlib
-import os
 import socket
 from collections.abc import Callable
 from dataclasses import replace
@@ -15,48 +13,38 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from elderstall.clocks import SharedClock
 from elderstall.config import Config, ConfigError, UnreadableError, address_of, fixed_keys, reloaded
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.engine import Engine
-from elderstall.engine.learned_transfer import read_learned, write_learned
+from elderstall.interface import Endpoint
 from elderstall.log import Log
 from elderstall.net.accepting import RESOURCE_ERRORS, Acceptor
 from elderstall.net.console import CALLERS, Console
-from elderstall.net.discovery import Discovery, WatchConnection, told_as
-from elderstall.net.handover import Handover
+from elderstall.net.discovery import Discovery, WatchConnection
+from elderstall.net.handover.peers import Offer
+from elderstall.net.handover.process_state import ProcessState
 from elderstall.net.peer import unread
 from elderstall.net.server.listener import Server
 from elderstall.net.server.streams import ProgressServer
 from elderstall.net.upstream.connection import WorkerConnection
 from elderstall.net.upstream.streams import StreamTransport
 from elderstall.net.upstream.transport import WorkerTransport
+from elderstall.upgrade import Upgrade, close_descriptor
 
 SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
 LONGEST_MOST = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
 LET_GO = 2_000.0  # ms after SIGTERM: dispatchers end 3 s apart, and clients should find the next one there
 KILL_MARGIN = 300.0  # ms before that by which all is answered, however busy the machine is
 LOOK_EVERY = 50.0  # ms between looks whether all is answered
-HAND_EVERY = 50.0  # ms between looks for connections that can be handed over now, in an upgrade
-OLD_PART = 0.25  # of the cold budget that the old process of an upgrade keeps, for jobs that can't move yet
-BAN_TRIES = 10  # looks for what a process that runs hands over, before a call about a worker is answered
 DISCOVERY_CONNECT = 2.0  # s
 BACKLOG = 1024
 CONSOLE_BACKLOG = 64  # operators' calls that wait while the program is in another turn
 LISTEN_AGAIN = 100.0  # ms until a listener that could not be opened for lack of resources is tried again
 LISTEN_TRIES = 50  # times: the platform waits longer for a start
-ADOPT_AGAIN = 20.0  # ms until a connection handed over is tried again for which no descriptor was free
-ADOPT_TRIES = 100  # times: two seconds, then its client is given up
 RELOAD_AGAIN = 250.0  # ms until a file that could not be read at SIGHUP is read again
 RELOAD_TRIES = 12  # times: what is new counts 4 s after the signal
 
 
-def close_descriptor(descriptor: int) -> None:
-    """Close a descriptor: Linux frees it whatever error ``close`` gives."""
-    with contextlib.suppress(OSError):
-        os.close(descriptor)
-
-
 class App:
     """One dispatcher on real sockets."""
 
@@ -99,16 +87,6 @@
         )
         self.engine.endpoints.follow, self.discovery.fits = self.discovery.follow, self.engine.view.fits
         self.workers.on_written = self.engine.count_written
-        self.console = Console(
-            self.deadlines,
-            self.log,
-            lambda: self.ready,
-            self.engine.figures,
-            {
-                "/api/exclude": lambda worker: self.ban("exclude", worker),
-                "/api/include": lambda worker: self.ban("include", worker),
-            },
-        )
         self.server = listener(
             self.engine,
             self.deadlines,
@@ -120,21 +98,23 @@
         )
         if isinstance(self.server, ProgressServer):
             self.server.setup = config.progress
-        self.handover: Handover | None = None
-        if config.folder is not None:
-            self.handover = h = Handover(
-                self.deadlines, self.log, reactor, config.folder, f"elderstall-{config.host}-{config.port}"
-            )
-            h.state, h.told, h.on_links, h.on_room = self.state, self.told, self.linked, self.server.pass_all
-            self.engine.jobs.on_taken = lambda request_id: h.announce("id", id=request_id)
-            self.server.may_pass, self.server.hand = lambda: h.room, self.hand
-            self.server.keep = h.on_returned = self.take_over
-            self.server.ask_others = lambda call: h.tell("callback", call=call) if h.linked else None
+        self.upgrade = Upgrade(
+            self, reactor, self.deadlines, self.log, self.engine, self.discovery, self.workers, self.server
+        )
+        self.console = Console(
+            self.deadlines,
+            self.log,
+            lambda: self.ready,
+            self.engine.figures,
+            {
+                "/api/exclude": self.upgrade.exclude,
+                "/api/include": self.upgrade.include,
+            },
+        )
         self.port: Any = None
         self.acceptor: Acceptor | None = None  # of that port
         self.console_acceptor: Acceptor | None = None
         self.inherited: int | None = None  # the listener's descriptor that another process has handed over
-        self.adopting = 0  # connections handed over for which no descriptor was free yet
         self.reload_retry: Deadline | None = None
         self.stopping, self.stay = False, 0.0  # stay: when it may end at the earliest
         self.failed = False  # the program could not begin
@@ -177,10 +157,10 @@
 
     def find(self) -> None:
         """Begin, with what a process that runs hands over, if there is one."""
-        if self.handover is None:
+        if self.upgrade.handover is None:
             self.begin(None)
         else:
-            self.handover.find().addCallback(self.begin).addErrback(self.not_begun)
+            self.upgrade.handover.find().addCallback(self.begin).addErrback(self.not_begun)
 
     def listen(
         self, open_port: Callable[[], Any], opened: Callable[[Any], None], tries: int = LISTEN_TRIES
@@ -219,28 +199,34 @@
         self.failed = True
         self.reactor.callLater(0, self.reactor.stop)
 
-    def begin(self, found: tuple[dict[str, Any], int] | None) -> None:
+    def begin(self, offer: Offer | None) -> None:
         """Take the known list, then listen: from the first ``/up`` on clients may come."""
-        state: dict[str, Any] = {}
-        if found is not None:
-            state, self.inherited = found
+        if offer is not None:
+            self.inherited = offer.listener
         if self.stopping:
             self.release_inherited()
             return
-        known = state.get("known", self.config.known)
-        if state:
-            self.inherit(state)
-        _, entries = self.discovery.take(known) or (None, ())
-        self.config = replace(self.config, known=None)  # what is listed from here on is the view's
-        if state.get("discovery", self.config.discovery) != self.config.discovery:
-            self.discovery.index = 0  # another one counts its versions afresh
-        data = state.get("learned")
-        if data is not None:
-            clock = SharedClock.of_message(state, self.deadlines.offset)
-            read_learned(data, entries, state["back"], self.engine.view, clock)
-        self.engine.start(entries, data)
+        if offer is None:
+            self.engine.start(self.take_list(self.config.known), None)
+        else:
+            self.begin_after(ProcessState.decode(offer.state, self.deadlines.offset))
         self.listen(self.open_port, self.serve)
 
+    def begin_after(self, state: ProcessState) -> None:
+        """Go on from where the process that runs is."""
+        self.upgrade.import_state(state)
+        entries = self.take_list(self.config.known if state.endpoints is None else state.endpoints)
+        if state.discovery is not None and state.discovery != self.config.discovery:
+            self.discovery.index = 0  # another one counts its versions afresh
+        self.upgrade.read_learned(state, entries)
+        self.engine.start(entries, state.learned)
+
+    def take_list(self, known: Any) -> tuple[Endpoint, ...]:
+        """Take the endpoint list that is known at the start; what is listed from here on is the view's."""
+        _, entries = self.discovery.take(known) or (None, ())
+        self.config = replace(self.config, known=None)
+        return entries
+
     def open_port(self) -> Any:
         """Open the listener, or take on the one that was handed over."""
         if self.inherited is not None:
@@ -253,162 +239,23 @@
 
     def serve(self, port: Any) -> None:
         """Accept clients, and be there for the next process."""
-        handed_over = self.inherited is not None
+        taken_over = self.inherited is not None
         self.release_inherited()
         self.port = port
         self.acceptor = Acceptor(port, self.deadlines, self.log, lambda: self.server.room)
         self.server.accept = self.accept
         host = port.getHost()
         self.log.write("start", f"{self.config.name} listens on {host.host}:{host.port}")
-        if self.handover is None:
-            return
-        if not handed_over or self.handover.older is None:
-            self.handover.listen()
-        else:
-            self.handover.older.send("serving")
-            self.linked()
+        self.upgrade.listener_opened(taken_over=taken_over)
 
     def accept(self, on: bool) -> None:
         """Read the listening port or not; while another process serves, it does."""
-        serves = self.handover is None or self.handover.successor is None
         if self.acceptor is not None:
-            self.acceptor.enable(on and serves)
-
-    # ---- an upgrade: see net/handover.py ----
-
-    def state(self) -> tuple[dict[str, Any], int]:
-        """Give a new process what it needs, and the listener."""
-        engine, clock = self.engine, self.deadlines.shared()
-        return {
-            "clock": clock.plain(),
-            "starts": self.discovery.starts.written(clock),
-            "known": told_as(self.discovery.index, engine.view.entries.values(), self.discovery.addresses),
-            "discovery": self.config.discovery,
-            "banned": {name: clock.written(since) for name, since in engine.view.banned.items()},
-            "back": {
-                name: (clock.written(since), clock.written(until))
-                for name, (since, until) in engine.view.put_back.items()
-            },
-            "ids": [*engine.jobs.taken_elsewhere, *engine.jobs.answered, *engine.jobs.by_id],
-            "begun": self.server.streamed(),
-            "learned": write_learned(engine.decisions.learned(), engine.view, clock),
-            "held": len(self.server.connections),
-        }, os.dup(self.port.fileno())
-
-    def inherit(self, state: dict[str, Any]) -> None:
-        """Take what the process that runs hands over."""
-        view, clock = self.engine.view, SharedClock.of_message(state, self.deadlines.offset)
-        view.banned.update((name, clock.read(since)) for name, since in state["banned"].items())
-        view.put_back.update(
-            (name, (clock.read(since), clock.read(until))) for name, (since, until) in state["back"].items()
-        )
-        self.discovery.starts.inherit(state.get("starts", {}), clock)
-        for request_id in state["ids"]:
-            self.engine.jobs.taken_elsewhere.add(request_id)
-        self.server.inherit(state["begun"])
-        self.server.elsewhere = state["held"]
-
-    def linked(self) -> None:
-        """Share limits with the other processes that are there, and the listener with the one that serves."""
-        assert self.handover is not None
-        others = [link for link in self.handover.links if link.known]
-        if self.handover.older is None:
-            self.server.elsewhere = 0
-        self.workers.connections.limit = self.worker_connections
-        if self.port is None:
-            return
-        newer = any(link.newer for link in others)
-        part = OLD_PART if newer else 1 - OLD_PART if others else 1.0
-        if self.engine.endpoints.budget_part != part:
-            self.engine.endpoints.share_budget(part)
-        if self.handover.successor is None:
-            if not newer:
-                self.handover.listen()
-            self.server.crowded()
-            self.accept(self.server.accepting)
-        else:
-            self.accept(False)
-            self.hand_over()
-
-    @property
-    def worker_connections(self) -> int:
-        """Our part of what the dispatcher may have open to workers."""
-        links = self.handover.links if self.handover is not None else []
-        return self.config.worker_connections // (1 + sum(link.known for link in links))
-
-    def hand_over(self) -> None:
-        """Hand over what can go, and say how much is still here: it counts as the other one's too."""
-        assert self.handover is not None
-        if (successor := self.handover.successor) is not None:
-            self.server.pass_all()
-            successor.send("held", held=len(self.server.connections))
-            self.deadlines.after(HAND_EVERY, self.hand_over)
-
-    def hand(self, fd: int, **fields: Any) -> bool:
-        """Hand a connection over."""
-        return self.handover is not None and self.handover.hand(fd, **fields)
-
-    def told(self, what: str, message: dict[str, Any], fd: int | None) -> bool:
-        """Take what the other process says; gives its word where it asks."""
-        if what == "connection":
-            assert fd is not None
-            self.take_over(fd, message)
-        elif what == "held":
-            self.server.elsewhere = message["held"]
-            self.server.crowded()
-        elif what == "id":
-            self.engine.jobs.taken_elsewhere.add(message["id"])
-        elif what == "callback":
-            self.server.called(message["call"])  # whether or not it is a live one's, it was heard
-            return message["call"]["id"] not in self.server.moving
-        elif what in ("exclude", "include"):
-            return (self.engine.endpoints.ban if what == "exclude" else self.engine.endpoints.end_ban)(
-                message["id"]
-            )
-        else:
-            raise ValueError(f"unknown message {what!r}")
-        return True
+            self.acceptor.enable(on and not self.upgrade.successor_serves)
 
-    def take_over(self, fd: int, message: dict[str, Any], tries: int = ADOPT_TRIES) -> None:
-        """Go on with a connection that another process had, from a descriptor that is this one's to close.
-
-        A lack of descriptors for its copy is waited for: its client is still owed an answer.
-        """
-        job = message.get("job")
-        try:
-            transport = self.reactor.adoptStreamConnection(fd, socket.AF_INET, self.server)
-        except OSError as error:
-            if error.errno in RESOURCE_ERRORS and tries:
-                self.log.write_seldom("adopt", f"a connection handed over waits: {error}")
-                self.adopting += tries == ADOPT_TRIES
-                if job is not None:
-                    self.server.moving.add(job["cid"])
-                self.deadlines.after(ADOPT_AGAIN, self.take_over, fd, message, tries - 1)
-                return
-            transport = None  # its client is gone
-        self.adopting -= tries < ADOPT_TRIES
-        close_descriptor(fd)
-        if job is not None:
-            self.server.moving.discard(job["cid"])
-        if transport is not None:
-            self.server.adopted(transport.protocol, message)
-        elif job is not None:
-            self.engine.abandon_transfer(self.engine.decode_transfer(job))
-
-    def ban(self, what: str, worker: str, patience: int = BAN_TRIES) -> Deferred[bool]:
-        """Ban a worker or put it back, here and at the other process."""
-        done: Deferred[bool] = Deferred()
-        if self.port is None and patience:  # what the process that runs hands over is still to come
-            self.deadlines.after(
-                LOOK_EVERY, lambda: self.ban(what, worker, patience - 1).addCallback(done.callback)
-            )
-            return done
-        good = (self.engine.endpoints.ban if what == "exclude" else self.engine.endpoints.end_ban)(worker)
-        if self.handover is None:
-            done.callback(good)
-        else:
-            self.handover.tell(what, id=worker).addCallback(lambda others: done.callback(good or others))
-        return done
+    def update_accepting(self) -> None:
+        """Read the listening port or not, as the server has it and as it is now."""
+        self.accept(self.server.accepting)
 
     # ---- signals ----
 
@@ -430,8 +277,8 @@
             self.reload_retry.cancel()
             self.reload_retry = None
         try:
-            told = self.read()
-            new = reloaded(self.config, told)
+            read = self.read()
+            new = reloaded(self.config, read)
         except UnreadableError as error:
             if tries == RELOAD_TRIES:
                 self.engine.counters.load_errors += 1
@@ -444,10 +291,10 @@
             self.log.write("reload", f"nothing changed: {error}")
             return
         self.engine.counters.loads += 1
-        if keys := fixed_keys(self.config, told):
+        if keys := fixed_keys(self.config, read):
             self.log.write("reload", f"only a restart changes {', '.join(keys)}")
         old, self.config = self.config, replace(new, known=None)
-        moved = told.discovery != old.discovery
+        moved = read.discovery != old.discovery
         self.limit()
         if (new.settings, new.slack_ms, new.max_open) != (old.settings, old.slack_ms, old.max_open):
             self.engine.change_settings(new.settings, new.slack_ms, new.max_open)
@@ -456,13 +303,13 @@
                 "reload",
                 f"classes are {', '.join(self.engine.classes)}; {new.settings.max_attempts} attempts",
             )
-        self.log.write("reload", f"discovery is at {told.discovery}" + ("" if moved else ", as before"))
+        self.log.write("reload", f"discovery is at {read.discovery}" + ("" if moved else ", as before"))
         if moved:
-            self.discovery.move(told.discovery)
+            self.discovery.move(read.discovery)
 
     def limit(self) -> None:
         """Hand the limits out."""
-        self.workers.connections.limit = self.worker_connections
+        self.workers.connections.limit = self.upgrade.worker_connections
         self.workers.report_fields = self.config.report_fields
         self.workers.keep_alive.idle_limit = self.config.idle_ms
         self.workers.connect_timeout = self.config.connect_ms
@@ -497,7 +344,7 @@
         New connections keep coming for a while after SIGTERM. What lies in the listener's queue, or unread
         on a connection, would be lost with this process; unless another one goes on with the listener.
         """
-        if self.port is None or self.handover is not None and self.handover.successor is not None:
+        if self.port is None or self.upgrade.successor_serves:
             return True
         if self.deadlines.now() < self.stay or unread(self.port):
             return False
@@ -505,14 +352,15 @@
 
     def look(self) -> None:
         """End once nothing is owed and every client's connection is closed."""
-        leaving = self.handover is not None and any(link.sent for link in self.handover.links)
+        handover = self.upgrade.handover
+        leaving = handover is not None and handover.has_unconfirmed
         clients = any(c.client or c.passing is not None for c in self.server.connections)
         owed = (
             len(self.engine.jobs)
             or not self.server.quiet
             or clients
             or leaving
-            or self.adopting
+            or self.upgrade.adopting
             or self.console.answering
         )
         if owed or not self.unseen():
@@ -524,6 +372,6 @@
                 acceptor.close()
         self.discovery.close()
         self.workers.close()
-        if self.handover is not None:
-            self.handover.close()
+        if handover is not None:
+            handover.close()
         self.reactor.stop()
--- /dev/null
+++ b/elderstall/net/handover/messages.py
@@ -0,0 +1,194 @@
+"""The messages between the two processes of an upgrade, as typed records with one codec.
+
+Each is a line of JSON. Its keys are fixed, as processes of two versions meet there: ``m`` names the message,
+``n`` numbers a question that the other process is to answer, and ``fd`` says that a descriptor comes with it.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, TypeAlias
+
+VERSION = 1  # of the messages; a process that speaks another one is not served
+
+
+@dataclass(slots=True, frozen=True)
+class Hello:
+    """A new process asks the one that runs to hand over."""
+
+    version: object
+
+
+@dataclass(slots=True, frozen=True)
+class Busy:
+    """The process that runs cannot hand over now: another new process is there, or versions differ."""
+
+
+@dataclass(slots=True, frozen=True)
+class State:
+    """The state of the process that runs, see `ProcessState`; the listener's descriptor comes with it."""
+
+    fields: dict[str, Any]
+
+
+@dataclass(slots=True, frozen=True)
+class Serving:
+    """The new process accepts clients."""
+
+
+@dataclass(slots=True, frozen=True)
+class Released:
+    """The old process listens no more for a next one: the new process may."""
+
+
+@dataclass(slots=True, frozen=True)
+class Got:
+    """The oldest descriptor that is not confirmed yet has arrived."""
+
+
+@dataclass(slots=True, frozen=True)
+class ConnectionTransfer:
+    """A connection, and its job if one is out, as the server writes them; its descriptor comes with it."""
+
+    fields: dict[str, Any]
+
+
+@dataclass(slots=True, frozen=True)
+class ConnectionsHeld:
+    """The number of clients' connections that the sender still has."""
+
+    count: int
+
+
+@dataclass(slots=True, frozen=True)
+class RequestTaken:
+    """The sender has taken a job of this id."""
+
+    request_id: str
+
+
+@dataclass(slots=True, frozen=True)
+class Callback:
+    """A worker's call-back for a job that the sender does not have."""
+
+    call: dict[str, Any]
+
+
+@dataclass(slots=True, frozen=True)
+class ExcludeWorker:
+    """An operator has banned a worker."""
+
+    worker: str
+
+
+@dataclass(slots=True, frozen=True)
+class IncludeWorker:
+    """An operator has ended a worker's ban."""
+
+    worker: str
+
+
+@dataclass(slots=True, frozen=True)
+class Answer:
+    """The answer to a question: yes or no."""
+
+    number: int
+    accepted: bool
+
+
+Question: TypeAlias = Callback | ExcludeWorker | IncludeWorker
+LinkMessage: TypeAlias = Hello | Busy | State | Serving | Released | Got | Answer
+ProgramMessage: TypeAlias = ConnectionTransfer | ConnectionsHeld | RequestTaken | Question
+Message: TypeAlias = LinkMessage | ProgramMessage
+
+
+@dataclass(slots=True, frozen=True)
+class Envelope:
+    """A message with what goes around it."""
+
+    message: Message
+    number: int | None = None  # of a question that waits for an answer
+    has_descriptor: bool = False
+
+
+def encode(envelope: Envelope) -> bytes:
+    """Write a message as a line."""
+    name, fields = _encode_message(envelope.message)
+    line: dict[str, Any] = {"m": name}
+    if envelope.number is not None:
+        line["n"] = envelope.number
+    line |= fields
+    if envelope.has_descriptor:
+        line["fd"] = 1
+    return json.dumps(line).encode() + b"\n"
+
+
+def decode(line: bytes) -> Envelope:
+    """Read a message from a line without its end.
+
+    Raises ValueError where the message is unknown; that, KeyError, TypeError or AttributeError where it is
+    malformed.
+    """
+    fields = json.loads(line)
+    has_descriptor = bool(fields.get("fd"))
+    name = fields["m"]
+    decoder = _DECODERS.get(name)
+    if decoder is None:
+        raise ValueError(f"unknown message {name!r}")
+    return Envelope(decoder(fields), fields.get("n"), has_descriptor)
+
+
+def _encode_message(message: Message) -> tuple[str, dict[str, Any]]:
+    """Give a message's name and fields on the wire."""
+    match message:
+        case State(fields) | ConnectionTransfer(fields):
+            return _NAMES[type(message)], fields
+        case Hello(version):
+            fields = {"version": version}
+        case ConnectionsHeld(count):
+            fields = {"held": count}
+        case RequestTaken(request_id):
+            fields = {"id": request_id}
+        case Callback(call):
+            fields = {"call": call}
+        case ExcludeWorker(worker) | IncludeWorker(worker):
+            fields = {"id": worker}
+        case Answer(number, accepted):
+            fields = {"n": number, "good": accepted}
+        case _:
+            fields = {}
+    return _NAMES[type(message)], fields
+
+
+_NAMES: dict[type[Message], str] = {
+    Hello: "hello",
+    Busy: "busy",
+    State: "state",
+    Serving: "serving",
+    Released: "released",
+    Got: "got",
+    ConnectionTransfer: "connection",
+    ConnectionsHeld: "held",
+    RequestTaken: "id",
+    Callback: "callback",
+    ExcludeWorker: "exclude",
+    IncludeWorker: "include",
+    Answer: "word",
+}
+_DECODERS: dict[str, Callable[[dict[str, Any]], Message]] = {
+    "hello": lambda fields: Hello(fields.get("version")),
+    "busy": lambda fields: Busy(),
+    "state": State,
+    "serving": lambda fields: Serving(),
+    "released": lambda fields: Released(),
+    "got": lambda fields: Got(),
+    "connection": ConnectionTransfer,
+    "held": lambda fields: ConnectionsHeld(fields["held"]),
+    "id": lambda fields: RequestTaken(fields["id"]),
+    "callback": lambda fields: Callback(fields["call"]),
+    "exclude": lambda fields: ExcludeWorker(fields["id"]),
+    "include": lambda fields: IncludeWorker(fields["id"]),
+    "word": lambda fields: Answer(fields["n"], bool(fields["good"])),
+}
--- /dev/null
+++ b/elderstall/upgrade.py
@@ -0,0 +1,300 @@
+"""The program's side of an upgrade: what goes to the other process, and what comes from it.
+
+A new process takes the state, the listener and the connections over from the one that runs. Until that one
+has ended, both share the dispatcher's limits, and operators' bans hold at both.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import socket
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol
+
+from twisted.internet.defer import Deferred
+
+from elderstall.config import Config
+from elderstall.deadlines import Deadlines
+from elderstall.engine import Engine
+from elderstall.engine.learned_transfer import read_learned, write_learned
+from elderstall.interface import Endpoint
+from elderstall.log import Log
+from elderstall.net.accepting import RESOURCE_ERRORS
+from elderstall.net.discovery import Discovery, told_as
+from elderstall.net.handover.messages import (
+    Callback,
+    ConnectionsHeld,
+    ConnectionTransfer,
+    ExcludeWorker,
+    IncludeWorker,
+    ProgramMessage,
+    RequestTaken,
+    Serving,
+)
+from elderstall.net.handover.peers import Handover, Offer
+from elderstall.net.handover.process_state import ProcessState
+from elderstall.net.server.listener import Server
+from elderstall.net.upstream.transport import WorkerTransport
+
+HAND_OVER_INTERVAL = 50.0  # ms between looks for connections that can be handed over now
+OLD_PART = 0.25  # of the cold budget that the old process keeps, for jobs that can't move yet
+BAN_TRIES = 10  # looks for what a process that runs hands over, before a call about a worker is answered
+BAN_RETRY = 50.0  # ms between them
+ADOPT_RETRY = 20.0  # ms until a connection handed over is tried again for which no descriptor was free
+ADOPT_TRIES = 100  # times: two seconds, then its client is given up
+
+
+def close_descriptor(descriptor: int) -> None:
+    """Close a descriptor: Linux frees it whatever error ``close`` gives."""
+    with contextlib.suppress(OSError):
+        os.close(descriptor)
+
+
+class Program(Protocol):
+    """What an upgrade needs of the program around it."""
+
+    config: Config  # as it is now
+    port: Any  # the listening port; None until clients are accepted
+
+    def update_accepting(self) -> None:
+        """Accept clients or not, as it is now."""
+
+
+class Upgrade:
+    """Hands over to the next process, and takes over from the one that runs."""
+
+    def __init__(
+        self,
+        program: Program,
+        reactor: Any,
+        deadlines: Deadlines,
+        log: Log,
+        engine: Engine,
+        discovery: Discovery,
+        workers: WorkerTransport,
+        server: Server,
+    ) -> None:
+        self.program, self.reactor, self.deadlines, self.log = program, reactor, deadlines, log
+        self.engine, self.discovery, self.workers, self.server = engine, discovery, workers, server
+        self.adopting = 0  # connections handed over for which no descriptor was free yet
+        self.handover: Handover | None = None  # None: no folder is given to meet in
+        config = program.config
+        if config.folder is not None:
+            name = f"elderstall-{config.host}-{config.port}"
+            self.connect(Handover(deadlines, log, reactor, config.folder, name))
+
+    def connect(self, handover: Handover) -> None:
+        """Put the parts together."""
+        self.handover = handover
+        handover.program = self
+        self.engine.jobs.on_taken = lambda request_id: handover.announce(RequestTaken(request_id))
+        self.server.may_pass = lambda: handover.may_send_connection
+        self.server.hand = self.send_connection
+        self.server.keep = lambda descriptor, fields: self.adopt(descriptor, ConnectionTransfer(fields))
+        self.server.ask_others = self.ask_about_callback
+
+    # ---- the state, and the listener ----
+
+    def make_offer(self) -> Offer:
+        """Give a new process what it needs, and a copy of the listener."""
+        return Offer(self.export_state().encode(), os.dup(self.program.port.fileno()))
+
+    def export_state(self) -> ProcessState:
+        """Describe this process for the next one."""
+        view, jobs, clock = self.engine.view, self.engine.jobs, self.deadlines.shared()
+        return ProcessState(
+            clock=clock,
+            starts=self.discovery.starts.written(clock),
+            endpoints=told_as(self.discovery.index, view.entries.values(), self.discovery.addresses),
+            discovery=self.program.config.discovery,
+            banned={worker: clock.written(since) for worker, since in view.banned.items()},
+            bans_ended={
+                worker: (clock.written(since), clock.written(until))
+                for worker, (since, until) in view.put_back.items()
+            },
+            request_ids=[*jobs.taken_elsewhere, *jobs.answered, *jobs.by_id],
+            streamed=self.server.streamed(),
+            learned=write_learned(self.engine.decisions.learned(), view, clock),
+            connections=len(self.server.connections),
+        )
+
+    def import_state(self, state: ProcessState) -> None:
+        """Go on from where the process that runs is; what it has learned comes after the endpoint list."""
+        view, clock = self.engine.view, state.clock
+        view.banned.update((worker, clock.read(since)) for worker, since in state.banned.items())
+        view.put_back.update(
+            (worker, (clock.read(since), clock.read(until)))
+            for worker, (since, until) in state.bans_ended.items()
+        )
+        self.discovery.starts.inherit(state.starts, clock)
+        for request_id in state.request_ids:
+            self.engine.jobs.taken_elsewhere.add(request_id)
+        self.server.inherit(list(state.streamed))
+        self.server.elsewhere = state.connections
+
+    def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
+        """Read what the process that runs has learned, of the listed endpoints; changes it in place."""
+        if state.learned is not None:
+            read_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
+
+    def listener_opened(self, *, taken_over: bool) -> None:
+        """Be there for the next process, or say to the one that runs that this one serves."""
+        if self.handover is None:
+            return
+        if taken_over and self.handover.older is not None:
+            self.handover.older.send(Serving())
+            self.links_changed()
+        else:
+            self.handover.listen()
+
+    # ---- limits that the processes share ----
+
+    @property
+    def successor_serves(self) -> bool:
+        """Whether another process accepts the clients instead of this one."""
+        return self.handover is not None and self.handover.successor is not None
+
+    @property
+    def worker_connections(self) -> int:
+        """The part that this process has of what the dispatcher may have open to workers."""
+        others = 0 if self.handover is None else len(self.handover.others)
+        return self.program.config.worker_connections // (1 + others)
+
+    def links_changed(self) -> None:
+        """Share limits with the other processes that are there, and the listener with the one that serves."""
+        assert self.handover is not None
+        if self.handover.older is None:
+            self.server.elsewhere = 0
+        self.workers.connections.limit = self.worker_connections
+        if self.program.port is None:
+            return
+        newer = any(link.newer for link in self.handover.others)
+        self.share_cold_budget(newer=newer)
+        if self.successor_serves:
+            self.program.update_accepting()
+            self.hand_over()
+            return
+        if not newer:
+            self.handover.listen()
+        self.server.crowded()
+        self.program.update_accepting()
+
+    def share_cold_budget(self, *, newer: bool) -> None:
+        """Take this process's part of the slow-start budget."""
+        assert self.handover is not None
+        part = 1.0
+        if newer:
+            part = OLD_PART
+        elif self.handover.others:
+            part = 1 - OLD_PART
+        if self.engine.endpoints.budget_part != part:
+            self.engine.endpoints.share_budget(part)
+
+    # ---- connections ----
+
+    def hand_over(self) -> None:
+        """Hand over what can go, and say how much is still here: it counts as the other one's too."""
+        assert self.handover is not None
+        if (successor := self.handover.successor) is not None:
+            self.server.pass_all()
+            successor.send(ConnectionsHeld(len(self.server.connections)))
+            self.deadlines.after(HAND_OVER_INTERVAL, self.hand_over)
+
+    def descriptor_confirmed(self) -> None:
+        """Hand over more, as there is room on the way."""
+        self.server.pass_all()
+
+    def send_connection(self, descriptor: int, **fields: Any) -> bool:
+        """Hand a connection over, if another process serves."""
+        return self.handover is not None and self.handover.send_connection(
+            descriptor, ConnectionTransfer(fields)
+        )
+
+    def connection_returned(self, descriptor: int, transfer: ConnectionTransfer) -> None:
+        """Serve on with a connection that the other process has not taken."""
+        self.adopt(descriptor, transfer)
+
+    def adopt(self, descriptor: int, transfer: ConnectionTransfer, tries: int = ADOPT_TRIES) -> None:
+        """Go on with a connection that another process had, from a descriptor that is this one's to close.
+
+        A lack of descriptors for its copy is waited for: its client is still owed an answer.
+        """
+        job = transfer.fields.get("job")
+        try:
+            transport = self.reactor.adoptStreamConnection(descriptor, socket.AF_INET, self.server)
+        except OSError as error:
+            if error.errno in RESOURCE_ERRORS and tries:
+                self.log.write_seldom("adopt", f"a connection handed over waits: {error}")
+                self.adopting += tries == ADOPT_TRIES
+                if job is not None:
+                    self.server.moving.add(job["cid"])
+                self.deadlines.after(ADOPT_RETRY, self.adopt, descriptor, transfer, tries - 1)
+                return
+            transport = None  # its client is gone
+        self.adopting -= tries < ADOPT_TRIES
+        close_descriptor(descriptor)
+        if job is not None:
+            self.server.moving.discard(job["cid"])
+        if transport is not None:
+            self.server.adopted(transport.protocol, transfer.fields)
+        elif job is not None:
+            self.engine.abandon_transfer(self.engine.decode_transfer(job))
+
+    # ---- messages and questions ----
+
+    def message_received(self, message: ProgramMessage, descriptor: int | None) -> bool:
+        """Act on a message of the other process; gives the answer if it is a question."""
+        match message:
+            case ConnectionTransfer():
+                assert descriptor is not None
+                self.adopt(descriptor, message)
+            case ConnectionsHeld(count):
+                self.server.elsewhere = count
+                self.server.crowded()
+            case RequestTaken(request_id):
+                self.engine.jobs.taken_elsewhere.add(request_id)
+            case Callback(call):
+                self.server.called(call)  # whether or not it is a live one's, it was heard
+                return call["id"] not in self.server.moving
+            case ExcludeWorker() | IncludeWorker():
+                return self.apply_ban(message)
+        return True
+
+    def ask_about_callback(self, call: Any) -> Deferred[bool] | None:
+        """Pass a call-back for a job that is not here on; None if there is no other process."""
+        if self.handover is None or not self.handover.others:
+            return None
+        return self.handover.ask_others(Callback(call))
+
+    def exclude(self, worker: str) -> Deferred[bool]:
+        """Ban a worker, here and at the other process; gives whether one of them knows it."""
+        return self.change_ban(ExcludeWorker(worker))
+
+    def include(self, worker: str) -> Deferred[bool]:
+        """End a worker's ban, here and at the other process; gives whether one of them knows it."""
+        return self.change_ban(IncludeWorker(worker))
+
+    def change_ban(self, change: ExcludeWorker | IncludeWorker, tries: int = BAN_TRIES) -> Deferred[bool]:
+        """Change a ban once what the process that runs hands over has come, or was waited for long enough."""
+        done: Deferred[bool] = Deferred()
+        if self.program.port is None and tries:
+            self.deadlines.after(
+                BAN_RETRY, lambda: self.change_ban(change, tries - 1).addCallback(done.callback)
+            )
+            return done
+        accepted = self.apply_ban(change)
+        if self.handover is None:
+            done.callback(accepted)
+        else:
+            others = self.handover.ask_others(change)
+            others.addCallback(lambda yes: done.callback(accepted or yes))
+        return done
+
+    def apply_ban(self, change: ExcludeWorker | IncludeWorker) -> bool:
+        """Change a ban here; says no if the worker was never listed."""
+        endpoints = self.engine.endpoints
+        change_ban: Callable[[str], bool] = (
+            endpoints.ban if isinstance(change, ExcludeWorker) else endpoints.end_ban
+        )
+        return change_ban(change.worker)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -243,10 +243,10 @@
         self.occupy()
         self.first.send(b"G")  # a further request has begun: this connection does not move
         client = self.sent()
-        assert self.app.handover is not None
+        assert self.app.upgrade.handover is not None
         link = socket.socket(socket.AF_UNIX)
         self.addCleanup(link.close)
-        link.connect(self.app.handover.path)
+        link.connect(self.app.upgrade.handover.path)
         link.sendall(b'{"m": "hello", "version": 1}\n')
         self.turn()
         _, fds, _, _ = socket.recv_fds(link, 1 << 20, 4)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -29,6 +29,7 @@
 from elderstall.interface import Endpoint, ListScope
 from elderstall.net import http
 from elderstall.net.discovery import told_as
+from elderstall.net.handover.peers import Offer
 from elderstall.net.monotonic_reactor import MonotonicReactor
 from elderstall.starts import GONE_KEPT, LEARNED_WITHIN, StartTimes
 from tests.loopback import CHUNKED, Loopback, address_of
@@ -290,7 +291,8 @@
         first = self.app
         self.off_by = step
         first.deadlines.unix = lambda: first.deadlines.now() + self.off_by
-        state, fd = first.state()
+        offer = first.upgrade.make_offer()
+        state = offer.state
         if of_before:
             del state["clock"], state["starts"]
         next_app = App(config_of(self.raw, {}), self.loop)
@@ -299,7 +301,7 @@
         next_app.deadlines.unix = next_app.deadlines.now
         next_app.log.clock, next_app.log.at = next_app.deadlines.now, 0.0
         next_app.log.print = lambda now, code, text: None  # type: ignore[method-assign]
-        next_app.begin((json.loads(json.dumps(state)), fd))
+        next_app.begin(Offer(json.loads(json.dumps(state)), offer.listener))
         self.addCleanup(next_app.port.stopListening)
         self.addCleanup(next_app.discovery.close)
         return next_app
@@ -379,8 +381,9 @@
         old = self.app.deadlines
         for step in (0.0, *STEPS):
             old.unix = lambda step=step: old.now() + step  # type: ignore[misc]
-            state, fd = self.app.state()
-            os.close(fd)
+            offer = self.app.upgrade.make_offer()
+            os.close(offer.listener)
+            state = offer.state
             self.assertAlmostEqual(self.app.engine.view.banned["w2"] + step, state["banned"]["w2"], 1)
             learned = state["learned"]["workers"]
             listed = {e["name"]: e["since_ms"] for e in state["known"]["endpoints"]}
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -16,6 +16,7 @@
 from elderstall.interface import Ending
 from elderstall.messages import Outcome
 from elderstall.net import http
+from elderstall.net.handover.messages import ConnectionTransfer
 from elderstall.net.peer import unread, unwritten
 from elderstall.net.server.admission import MIN_SHED_AGE
 from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL, LINGER
@@ -341,10 +342,10 @@
 
     def successor(self) -> socket.socket:
         """Have a process ask for the listener and say that it serves; it reads no connection."""
-        assert self.app.handover is not None
+        assert self.app.upgrade.handover is not None
         link = socket.socket(socket.AF_UNIX)
         self.addCleanup(link.close)
-        link.connect(self.app.handover.path)
+        link.connect(self.app.upgrade.handover.path)
         link.sendall(b'{"m": "hello", "version": 1}\n')
         self.turn()
         _, fds, _, _ = socket.recv_fds(link, 1 << 20, 4)
@@ -380,10 +381,10 @@
         """Else the other process would take its connection back, and both would serve it."""
         self.job_out()
         fields, fd, client = self.moved()
-        assert self.app.handover is not None
+        assert self.app.upgrade.handover is not None
         link = socket.socket(socket.AF_UNIX)
         self.addCleanup(link.close)
-        link.connect(self.app.handover.path)
+        link.connect(self.app.upgrade.handover.path)
         line = json.dumps({"m": "connection", "fd": 1, **fields, "job": {**fields["job"], "cid": "a2"}})
         socket.send_fds(link, [line.encode() + b"\nno message\n"], [fd])
         os.close(fd)
@@ -443,7 +444,7 @@
                 fields, fd, client = self.moved()
                 adopt = self.loop.adoptStreamConnection
                 self.loop.adoptStreamConnection = self.short_of(number)
-                self.app.told("connection", fields, fd)
+                self.app.upgrade.message_received(ConnectionTransfer(fields), fd)
                 self.wait(60)
                 self.loop.adoptStreamConnection = adopt
                 self.wait(200)
@@ -460,7 +461,7 @@
         self.begin()
         fields, fd, client = self.moved()
         self.loop.adoptStreamConnection = self.short_of(errno.EMFILE)
-        self.app.told("connection", fields, fd)
+        self.app.upgrade.message_received(ConnectionTransfer(fields), fd)
         self.wait(3_000)
         self.assertTrue(self.closed(client))
         with self.assertRaises(OSError):
@@ -483,7 +484,7 @@
                 fields, fd, client = self.moved(
                     cls={**safe, "effect": effect}, attempt=["w1", now, now + 900] if attempt else None
                 )
-                self.app.told("connection", fields, fd)
+                self.app.upgrade.message_received(ConnectionTransfer(fields), fd)
                 self.assertEqual(status, self.answer(client).status)
                 if attempt:
                     self.take("DELETE /jobs/a1")
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -19,7 +19,6 @@
 from typing import Any
 
 from elderstall import Dispatcher
-from elderstall.app import OLD_PART
 from elderstall.interface import (
     AttemptEnded,
     AttemptProgressed,
@@ -41,6 +40,7 @@
     Started,
     TimerFired,
 )
+from elderstall.upgrade import OLD_PART
 
 COLD = "w0"
 MEAN_WORK = 300.0  # ms of a standard core
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -4,6 +4,7 @@
 
 from elderstall.config import ConfigError, config_of
 from elderstall.net.console import CALLERS, PATIENCE
+from elderstall.net.handover.messages import Callback
 from tests.scenario import Scenario, platform
 
 
@@ -303,6 +304,6 @@
         self.begin()
         call = {"id": "a1", "from": "w1", "state": "done", "result": "deck"}
         self.world.app.server.moving.add("a1")
-        self.assertFalse(self.world.app.told("callback", {"call": call}, None))
+        self.assertFalse(self.world.app.upgrade.message_received(Callback(call), None))
         self.world.app.server.moving.clear()
-        self.assertTrue(self.world.app.told("callback", {"call": call}, None))
+        self.assertTrue(self.world.app.upgrade.message_received(Callback(call), None))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from elderstall.net import http
+from elderstall.net.handover.messages import ConnectionTransfer, RequestTaken
 from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL
 from elderstall.net.server.request_connection import READ_AHEAD
 from tests.loopback import Loopback, Side, address_of
@@ -151,17 +152,18 @@
             "attempt": None,
         }
         message = http.Message((1, 1), http.Headers(), b"body", "POST", "/album")
-        self.app.told(
-            "connection",
-            {
-                "client": True,
-                "worker": False,
-                "asked": 0,
-                "age": 1.0,
-                "job": state,
-                "parcel": message.plain(),
-                "last": False,
-            },
+        self.app.upgrade.message_received(
+            ConnectionTransfer(
+                {
+                    "client": True,
+                    "worker": False,
+                    "asked": 0,
+                    "age": 1.0,
+                    "job": state,
+                    "parcel": message.plain(),
+                    "last": False,
+                }
+            ),
             accepted.detach(),
         )
         self.wait(100)
@@ -505,7 +507,7 @@
     def test_one_that_stops_to_read_is_given_up_and_what_waits_for_it_is_bounded(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             self.begin(folder=folder)
-            handover = self.app.handover
+            handover = self.app.upgrade.handover
             assert handover is not None
             new = socket.socket(socket.AF_UNIX)
             new.connect(handover.path)
@@ -514,7 +516,7 @@
                 self.turn()
             self.assertIsNotNone(handover.successor)
             for n in range(2_000):  # as for each job that is taken meanwhile
-                handover.announce("id", id=f"{n}{'x' * 500}")
+                handover.announce(RequestTaken(f"{n}{'x' * 500}"))
             self.turn()
             self.wait(5_100)
             self.assertEqual([], handover.links)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 from elderstall.deadlines import Deadlines
 from elderstall.log import Log
 from elderstall.net import http
-from elderstall.net.handover import ANSWER, Handover
+from elderstall.net.handover.peers import OFFER_TIMEOUT, Handover
 from tests.test_program import PATIENCE, Line, Program
 
 
@@ -140,7 +140,7 @@
         handover.path = "/dev/null"
         found: list[Any] = []
         handover.find().addBoth(found.append)
-        clock.advance(ANSWER / 1000 - 1)
+        clock.advance(OFFER_TIMEOUT / 1000 - 1)
         self.assertEqual((["/dev/null"], []), (tried, found))
         clock.advance(1.1)
         self.assertIsInstance(found[0].value, TimeoutError)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -326,14 +326,8 @@
         done = "w send 202\nw send call done {0}\nc expect 200\n"
         ask = "c send job {0} deck-fetch\nw expect POST {0}\n"
         self.play(ask.format("a1") + done.format("a1") + "wait 400\n" + ask.format("a2"))
-        cancelled_and_resent = "w expect DELETE a2
-w send 200
-w expect POST a2
-"
-        self.play("w close
-log expect stale
-wait 60
-" + cancelled_and_resent + done.format("a2"))
+        cancelled_and_resent = "w expect DELETE a2\nw send 200\nw expect POST a2\n"
+        self.play("w close\nlog expect stale\nwait 60\n" + cancelled_and_resent + done.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
         self.assertAlmostEqual(200, keep_alive.keep_for, delta=5)
         self.play("wait 50\nc send job b1 deck-build\nw expect POST b1\n" + done.format("b1"))
