--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -1,4 +1,4 @@
-"""The program put together: who owns what is told in docs/architecture.md."""
+"""The program put together: docs/architecture.md says which part owns what."""
 
 from __future__ import annotations
 
@@ -23,25 +23,20 @@
 from elderstall.net.discovery import Discovery, WatchConnection
 from elderstall.net.handover.peers import Offer
 from elderstall.net.handover.process_state import ProcessState
-from elderstall.net.peer import unread
 from elderstall.net.server.listener import Server
 from elderstall.net.server.streams import ProgressServer
 from elderstall.net.upstream.connection import WorkerConnection
 from elderstall.net.upstream.streams import StreamTransport
 from elderstall.net.upstream.transport import WorkerTransport
+from elderstall.shutdown import Shutdown
 from elderstall.upgrade import Upgrade, close_descriptor
 
-SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
-LONGEST_MOST = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
-LET_GO = 2_000.0  # ms after SIGTERM: dispatchers end 3 s apart, and clients should find the next one there
-KILL_MARGIN = 300.0  # ms before that by which all is answered, however busy the machine is
-LOOK_EVERY = 50.0  # ms between looks whether all is answered
-DISCOVERY_CONNECT = 2.0  # s
+DISCOVERY_CONNECT_TIMEOUT_S = 2.0  # s
 BACKLOG = 1024
 CONSOLE_BACKLOG = 64  # operators' calls that wait while the program is in another turn
-LISTEN_AGAIN = 100.0  # ms until a listener that could not be opened for lack of resources is tried again
+LISTEN_RETRY = 100.0  # ms until a listener that could not be opened for lack of resources is tried again
 LISTEN_TRIES = 50  # times: the platform waits longer for a start
-RELOAD_AGAIN = 250.0  # ms until a file that could not be read at SIGHUP is read again
+RELOAD_RETRY = 250.0  # ms until a file that could not be read at SIGHUP is read again
 RELOAD_TRIES = 12  # times: what is new counts 4 s after the signal
 
 
@@ -111,18 +106,20 @@
                 "/api/include": self.upgrade.include,
             },
         )
+        self.shutdown = Shutdown(
+            self, self.deadlines, self.log, self.engine, self.server, self.console, self.upgrade, self.end
+        )
         self.port: Any = None
         self.acceptor: Acceptor | None = None  # of that port
         self.console_acceptor: Acceptor | None = None
         self.inherited: int | None = None  # the listener's descriptor that another process has handed over
         self.reload_retry: Deadline | None = None
-        self.stopping, self.stay = False, 0.0  # stay: when it may end at the earliest
         self.failed = False  # the program could not begin
 
     @property
     def ready(self) -> bool:
         """Whether this process serves: it listens, and no end is planned."""
-        return self.port is not None and not self.stopping
+        return self.port is not None and not self.shutdown.begun
 
     def connect_worker(self, address: str, factory: Factory) -> Deferred[WorkerConnection]:
         """Open a connection to a worker within the settings' time."""
@@ -133,13 +130,13 @@
     def connect_discovery(self, factory: Factory) -> Deferred[WatchConnection]:
         """Open a connection to discovery."""
         host, port = address_of(self.config.discovery, "discovery")
-        endpoint: Any = TCP4ClientEndpoint(self.reactor, host, port, timeout=DISCOVERY_CONNECT)
+        endpoint: Any = TCP4ClientEndpoint(self.reactor, host, port, timeout=DISCOVERY_CONNECT_TIMEOUT_S)
         return cast("Deferred[WatchConnection]", endpoint.connect(factory))
 
     def start(self) -> None:
         """Listen for operators, and begin: with what a process that runs hands over, if there is one."""
         if self.config.console is None:
-            self.find()
+            self.find_predecessor()
             return
         host, port = self.config.console
 
@@ -153,20 +150,20 @@
         self.console_acceptor = Acceptor(port, self.deadlines, self.log, lambda: CALLERS)
         at = port.getHost()
         self.log.write("console", f"{at.host}:{at.port}")
-        self.find()
+        self.find_predecessor()
 
-    def find(self) -> None:
+    def find_predecessor(self) -> None:
         """Begin, with what a process that runs hands over, if there is one."""
         if self.upgrade.handover is None:
             self.begin(None)
         else:
-            self.upgrade.handover.find().addCallback(self.begin).addErrback(self.not_begun)
+            self.upgrade.handover.find().addCallback(self.begin).addErrback(self.not_handed_over)
 
     def listen(
         self, open_port: Callable[[], Any], opened: Callable[[Any], None], tries: int = LISTEN_TRIES
     ) -> None:
         """Open a listener, and go on with it; a lack of resources is waited for."""
-        if self.stopping:
+        if self.shutdown.begun:
             # Guards the process that runs: told that another serves, it would leave it its clients.
             self.release_inherited()
             return
@@ -176,10 +173,10 @@
             cause = error.socketError if isinstance(error, CannotListenError) else error
             if tries and getattr(cause, "errno", None) in RESOURCE_ERRORS:
                 self.log.write_seldom("listen", f"tried again: {error}")
-                self.deadlines.after(LISTEN_AGAIN, self.listen, open_port, opened, tries - 1)
+                self.deadlines.after(LISTEN_RETRY, self.listen, open_port, opened, tries - 1)
             else:
                 self.release_inherited()
-                self.cannot(error)
+                self.cannot_begin(error)
             return
         opened(port)
 
@@ -189,11 +186,11 @@
             close_descriptor(self.inherited)
             self.inherited = None
 
-    def not_begun(self, failure: Failure) -> None:
+    def not_handed_over(self, failure: Failure) -> None:
         """End, as the process that runs does not hand over."""
-        self.cannot(failure.value)
+        self.cannot_begin(failure.value)
 
-    def cannot(self, error: BaseException | None) -> None:
+    def cannot_begin(self, error: BaseException | None) -> None:
         """End, as the program cannot begin."""
         self.log.write("exit", f"cannot begin: {error}")
         self.failed = True
@@ -203,7 +200,7 @@
         """Take the known list, then listen: from the first ``/up`` on clients may come."""
         if offer is not None:
             self.inherited = offer.listener
-        if self.stopping:
+        if self.shutdown.begun:
             self.release_inherited()
             return
         if offer is None:
@@ -281,21 +278,27 @@
             new = reloaded(self.config, read)
         except UnreadableError as error:
             if tries == RELOAD_TRIES:
-                self.engine.counters.load_errors += 1
-                self.log.write("reload", f"nothing changed: {error}")
+                self.reload_failed(error)
             if tries:
-                self.reload_retry = self.deadlines.after(RELOAD_AGAIN, self.reload, tries - 1)
-            return
+                self.reload_retry = self.deadlines.after(RELOAD_RETRY, self.reload, tries - 1)
         except ConfigError as error:
-            self.engine.counters.load_errors += 1
-            self.log.write("reload", f"nothing changed: {error}")
-            return
+            self.reload_failed(error)
+        else:
+            self.change_configuration(read, new)
+
+    def reload_failed(self, error: ConfigError) -> None:
+        """Note that the configuration in use stays."""
+        self.engine.counters.load_errors += 1
+        self.log.write("reload", f"nothing changed: {error}")
+
+    def change_configuration(self, read: Config, new: Config) -> None:
+        """Take on ``new``: the configuration that was read, but for what only a restart changes."""
         self.engine.counters.loads += 1
         if keys := fixed_keys(self.config, read):
             self.log.write("reload", f"only a restart changes {', '.join(keys)}")
         old, self.config = self.config, replace(new, known=None)
         moved = read.discovery != old.discovery
-        self.limit()
+        self.apply_limits()
         if (new.settings, new.slack_ms, new.max_open) != (old.settings, old.slack_ms, old.max_open):
             self.engine.change_settings(new.settings, new.slack_ms, new.max_open)
             self.server.retuned()
@@ -307,8 +310,8 @@
         if moved:
             self.discovery.move(read.discovery)
 
-    def limit(self) -> None:
-        """Hand the limits out."""
+    def apply_limits(self) -> None:
+        """Give each part its limits as they are configured now."""
         self.workers.connections.limit = self.upgrade.worker_connections
         self.workers.report_fields = self.config.report_fields
         self.workers.keep_alive.idle_limit = self.config.idle_ms
@@ -321,57 +324,16 @@
         self.server.crowded()
 
     def drain(self) -> None:
-        """Serve on for a while, let clients go, and end once all that was taken is answered."""
-        if self.stopping:
-            return
-        self.stopping = True
-        self.log.write("drain", f"{len(self.engine.jobs)} jobs are out")
-        self.server.drain()
-        longest = min(max(c.deadline for c in self.engine.classes.values()), LONGEST_MOST)
-        self.server.until = self.deadlines.now() + longest + SERVE_FOR - KILL_MARGIN
-        self.stay = self.deadlines.now() + SERVE_FOR
-        self.deadlines.after(SERVE_FOR, self.shorten)
-        self.deadlines.after(min(LET_GO, longest + SERVE_FOR - KILL_MARGIN), self.server.let_go)
-        self.look()
-
-    def shorten(self) -> None:
-        """Take jobs for the time left only: one that comes now and is unanswered at SIGKILL is lost."""
-        self.server.shortened = True
-
-    def unseen(self) -> bool:
-        """Say that nothing waits in the system that clients hold for taken, as far as can be seen.
-
-        New connections keep coming for a while after SIGTERM. What lies in the listener's queue, or unread
-        on a connection, would be lost with this process; unless another one goes on with the listener.
-        """
-        if self.port is None or self.upgrade.successor_serves:
-            return True
-        if self.deadlines.now() < self.stay or unread(self.port):
-            return False
-        return self.server.last_look()
-
-    def look(self) -> None:
-        """End once nothing is owed and every client's connection is closed."""
-        handover = self.upgrade.handover
-        leaving = handover is not None and handover.has_unconfirmed
-        clients = any(c.client or c.passing is not None for c in self.server.connections)
-        owed = (
-            len(self.engine.jobs)
-            or not self.server.quiet
-            or clients
-            or leaving
-            or self.upgrade.adopting
-            or self.console.answering
-        )
-        if owed or not self.unseen():
-            self.deadlines.after(LOOK_EVERY, self.look)
-            return
-        self.log.write("exit", "all that was taken is answered")
+        """Begin the planned end."""
+        self.shutdown.begin()
+
+    def end(self) -> None:
+        """Close what is open, and end the process."""
         for acceptor in (self.acceptor, self.console_acceptor):
             if acceptor is not None:
                 acceptor.close()
         self.discovery.close()
         self.workers.close()
-        if handover is not None:
-            handover.close()
+        if self.upgrade.handover is not None:
+            self.upgrade.handover.close()
         self.reactor.stop()
