--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -21,8 +21,8 @@
 from elderstall.net.accepting import RESOURCE_ERRORS, Acceptor
 from elderstall.net.console import CALLERS, Console
 from elderstall.net.discovery import Discovery, WatchConnection
-from elderstall.net.handover.peers import Offer
 from elderstall.net.handover.process_state import ProcessState
+from elderstall.net.handover.search import Offer
 from elderstall.net.server.listener import Server
 from elderstall.net.server.streams import ProgressServer
 from elderstall.net.upstream.connection import WorkerConnection
--- a/elderstall/net/handover/peers.py
+++ b/elderstall/net/handover/peers.py
@@ -7,13 +7,10 @@
 from __future__ import annotations
 
 import os
-from dataclasses import dataclass
 from typing import Any, Protocol, cast
 
 from twisted.internet.defer import Deferred
-from twisted.internet.endpoints import UNIXClientEndpoint
 from twisted.internet.protocol import Factory
-from twisted.python.failure import Failure
 
 from elderstall.deadlines import Deadlines
 from elderstall.log import Log
@@ -34,20 +31,9 @@
     State,
 )
 from elderstall.net.handover.questions import any_accepted
+from elderstall.net.handover.search import Offer, PredecessorSearch, path_too_long
 
 UNCONFIRMED_LIMIT = 32  # descriptors on the way at once: each is held twice for a moment
-CONNECT_TIMEOUT_S = 1.0  # s to connect to the process that runs; it is on this machine
-OFFER_TIMEOUT = 5_000.0  # ms for it to hand over: the platform waits 6 s for the new one
-BUSY_RETRY = 100.0  # ms until a call that found the other too busy is made again
-PATH_LIMIT = 107  # bytes of a Unix socket's path, by the system's limit
-
-
-@dataclass(slots=True, frozen=True)
-class Offer:
-    """What the process that runs hands over: its state as plain data, and the listener's descriptor."""
-
-    state: dict[str, Any]
-    listener: int
 
 
 class Program(Protocol):
@@ -82,65 +68,22 @@
         self.closed = False
         self.path_free = True  # nobody else is to be found at the path
         self.older: Link | None = None  # to the process that hands over to this one
-        self.awaited_offer: Deferred[Offer | None] | None = None
+        self.search = PredecessorSearch(deadlines, log, reactor, self, self.predecessor_found)
         self.program: Program  # set as the program is put together
 
     def buildProtocol(self, addr: object) -> Link:  # noqa: N802, D102
         return Link(self)
 
-    # ---- the new process ----
-
     def find(self) -> Deferred[Offer | None]:
         """Ask the process that runs to hand over; gives its offer, or None if there is no such process.
 
         Fails with TimeoutError where one is there but does not hand over.
         """
-        self.awaited_offer = awaited = Deferred[Offer | None]()
-        if self.path_too_long:
-            self.log.write("handover", f"off: the path of {self.path} is too long")
-            self.settle(None)
-        elif not os.path.exists(self.path):
-            self.settle(None)
-        else:
-            self.deadlines.after(OFFER_TIMEOUT, self.offer_timed_out)
-            self.connect()
-        return awaited
-
-    @property
-    def path_too_long(self) -> bool:
-        """Whether the system has no room for the socket's path."""
-        return len(os.fsencode(self.path)) > PATH_LIMIT
+        return self.search.begin(self.path)
 
-    def connect(self) -> None:
-        """Connect to the process that runs."""
-        if self.awaited_offer is None:
-            return
-        endpoint_class: Any = UNIXClientEndpoint
-        endpoint = endpoint_class(self.reactor, self.path, timeout=CONNECT_TIMEOUT_S)
-        connecting = cast("Deferred[Link]", endpoint.connect(self))
-        connecting.addCallbacks(self.ask_for_offer, self.nobody_listens)
-
-    def ask_for_offer(self, link: Link) -> None:
-        """Ask the process that runs to hand over."""
+    def predecessor_found(self, link: Link) -> None:
+        """Note the process that is asked to hand over."""
         self.older, self.path_free = link, False
-        link.send(Hello(VERSION))
-
-    def nobody_listens(self, failure: Failure) -> None:
-        """Take a socket that nobody listens on for one that a dead process has left."""
-        self.log.write("handover", f"nobody listens on {self.path}: {type(failure.value).__name__}")
-        self.settle(None)
-
-    def offer_timed_out(self) -> None:
-        """Give up on a process that is there but does not hand over."""
-        if self.awaited_offer is not None:
-            awaited, self.awaited_offer = self.awaited_offer, None
-            awaited.errback(TimeoutError("the process that runs does not hand over"))
-
-    def settle(self, offer: Offer | None) -> None:
-        """Give what was found."""
-        if self.awaited_offer is not None:
-            awaited, self.awaited_offer = self.awaited_offer, None
-            awaited.callback(offer)
 
     # ---- messages ----
 
@@ -154,7 +97,7 @@
             case State(fields):
                 assert received.descriptor is not None
                 link.send(Got())
-                self.settle(Offer(fields, received.descriptor))
+                self.search.settle(Offer(fields, received.descriptor))
             case Serving():
                 self.release(link)
             case Released():
@@ -195,7 +138,7 @@
 
     def listen(self) -> None:
         """Be there for the next process. A dead one's socket is replaced; without any all else works."""
-        if self.port is not None or not self.path_free or self.path_too_long:
+        if self.port is not None or not self.path_free or path_too_long(self.path):
             return
         try:
             if os.path.exists(self.path):
@@ -224,7 +167,7 @@
 
     def established(self, link: Link) -> bool:
         """Say whether one of the two processes has handed its state over to the other."""
-        return link.newer or (link is self.older and self.awaited_offer is None)
+        return link.newer or (link is self.older and not self.search.under_way)
 
     @property
     def others(self) -> list[Link]:
@@ -280,8 +223,8 @@
             return
         if link is self.older:
             self.older, self.path_free = None, True
-            if self.awaited_offer is not None:  # it was busy with another, or died: see again
-                self.deadlines.after(BUSY_RETRY, self.connect)
+            if self.search.under_way:
+                self.search.retry()
                 return
             self.listen()
         elif not link.newer:
--- a/elderstall/upgrade.py
+++ b/elderstall/upgrade.py
@@ -32,8 +32,9 @@
     RequestTaken,
     Serving,
 )
-from elderstall.net.handover.peers import Handover, Offer
+from elderstall.net.handover.peers import Handover
 from elderstall.net.handover.process_state import ProcessState
+from elderstall.net.handover.search import Offer
 from elderstall.net.server.listener import Server
 from elderstall.net.upstream.transport import WorkerTransport
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -29,7 +29,7 @@
 from elderstall.interface import Endpoint, ListScope
 from elderstall.net import http
 from elderstall.net.discovery import told_as
-from elderstall.net.handover.peers import Offer
+from elderstall.net.handover.search import Offer
 from elderstall.net.monotonic_reactor import MonotonicReactor
 from elderstall.starts import GONE_KEPT, LEARNED_WITHIN, StartTimes
 from tests.loopback import CHUNKED, Loopback, address_of
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,8 @@
 from elderstall.deadlines import Deadlines
 from elderstall.log import Log
 from elderstall.net import http
-from elderstall.net.handover.peers import OFFER_TIMEOUT, Handover
+from elderstall.net.handover.peers import Handover
+from elderstall.net.handover.search import OFFER_TIMEOUT
 from tests.test_program import PATIENCE, Line, Program
 
 
