--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -29,7 +29,8 @@
 from elderstall.net.upstream.streams import StreamTransport
 from elderstall.net.upstream.transport import WorkerTransport
 from elderstall.shutdown import Shutdown
-from elderstall.upgrade import Upgrade, close_descriptor
+from elderstall.upgrade import Upgrade
+from elderstall.upgrade.adoption import close_descriptor
 
 DISCOVERY_CONNECT_TIMEOUT_S = 2.0  # s
 BACKLOG = 1024
@@ -211,11 +212,11 @@
 
     def begin_after(self, state: ProcessState) -> None:
         """Go on from where the process that runs is."""
-        self.upgrade.import_state(state)
+        self.upgrade.state.import_state(state)
         entries = self.take_list(self.config.known if state.endpoints is None else state.endpoints)
         if state.discovery is not None and state.discovery != self.config.discovery:
             self.discovery.index = 0  # another one counts its versions afresh
-        self.upgrade.read_learned(state, entries)
+        self.upgrade.state.read_learned(state, entries)
         self.engine.start(entries, state.learned)
 
     def take_list(self, known: Any) -> tuple[Endpoint, ...]:
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -83,7 +83,7 @@
             or not self.server.quiet
             or any(c.client or c.passing is not None for c in self.server.connections)
             or (handover is not None and handover.has_unconfirmed)
-            or self.upgrade.adopting
+            or self.upgrade.adoption.waiting
             or self.console.answering
         )
 
--- /dev/null
+++ b/elderstall/upgrade/state_transfer.py
@@ -0,0 +1,58 @@
+"""The state that one process of an upgrade exports, and the next one goes on from."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from elderstall.deadlines import Deadlines
+from elderstall.engine import Engine
+from elderstall.engine.learned_transfer import read_learned, write_learned
+from elderstall.interface import Endpoint
+from elderstall.net.discovery import Discovery, told_as
+from elderstall.net.handover.process_state import ProcessState
+from elderstall.net.server.listener import Server
+
+
+class StateTransfer:
+    """Describes this process for the next one, and goes on from where the one before is."""
+
+    def __init__(self, deadlines: Deadlines, engine: Engine, discovery: Discovery, server: Server) -> None:
+        self.deadlines, self.engine, self.discovery, self.server = deadlines, engine, discovery, server
+
+    def export_state(self, discovery_address: str) -> ProcessState:
+        """Describe this process for the next one."""
+        view, jobs, clock = self.engine.view, self.engine.jobs, self.deadlines.shared()
+        return ProcessState(
+            clock=clock,
+            starts=self.discovery.starts.written(clock),
+            endpoints=told_as(self.discovery.index, view.entries.values(), self.discovery.addresses),
+            discovery=discovery_address,
+            banned={worker: clock.written(since) for worker, since in view.banned.items()},
+            bans_ended={
+                worker: (clock.written(since), clock.written(until))
+                for worker, (since, until) in view.put_back.items()
+            },
+            request_ids=[*jobs.taken_elsewhere, *jobs.answered, *jobs.by_id],
+            streamed=self.server.streamed(),
+            learned=write_learned(self.engine.decisions.learned(), view, clock),
+            connections=len(self.server.connections),
+        )
+
+    def import_state(self, state: ProcessState) -> None:
+        """Go on from where the process that runs is; what it has learned comes after the endpoint list."""
+        view, clock = self.engine.view, state.clock
+        view.banned.update((worker, clock.read(since)) for worker, since in state.banned.items())
+        view.put_back.update(
+            (worker, (clock.read(since), clock.read(until)))
+            for worker, (since, until) in state.bans_ended.items()
+        )
+        self.discovery.starts.inherit(state.starts, clock)
+        for request_id in state.request_ids:
+            self.engine.jobs.taken_elsewhere.add(request_id)
+        self.server.inherit(list(state.streamed))
+        self.server.elsewhere = state.connections
+
+    def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
+        """Read what the process that runs has learned, of the listed endpoints; changes it in place."""
+        if state.learned is not None:
+            read_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
--- a/elderstall/upgrade.py
+++ b/elderstall/upgrade/upgrade.py
@@ -6,10 +6,8 @@
 
 from __future__ import annotations
 
-import contextlib
 import os
-import socket
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from typing import Any, Protocol
 
 from twisted.internet.defer import Deferred
@@ -17,11 +15,8 @@
 from elderstall.config import Config
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine
-from elderstall.engine.learned_transfer import read_learned, write_learned
-from elderstall.interface import Endpoint
 from elderstall.log import Log
-from elderstall.net.accepting import RESOURCE_ERRORS
-from elderstall.net.discovery import Discovery, told_as
+from elderstall.net.discovery import Discovery
 from elderstall.net.handover.messages import (
     Callback,
     ConnectionsHeld,
@@ -33,23 +28,16 @@
     Serving,
 )
 from elderstall.net.handover.peers import Handover
-from elderstall.net.handover.process_state import ProcessState
 from elderstall.net.handover.search import Offer
 from elderstall.net.server.listener import Server
 from elderstall.net.upstream.transport import WorkerTransport
+from elderstall.upgrade.adoption import Adoption
+from elderstall.upgrade.state_transfer import StateTransfer
 
 HAND_OVER_INTERVAL = 50.0  # ms between looks for connections that can be handed over now
 OLD_PART = 0.25  # of the cold budget that the old process keeps, for jobs that can't move yet
 BAN_TRIES = 10  # looks for what a process that runs hands over, before a call about a worker is answered
 BAN_RETRY = 50.0  # ms between them
-ADOPT_RETRY = 20.0  # ms until a connection handed over is tried again for which no descriptor was free
-ADOPT_TRIES = 100  # times: two seconds, then its client is given up
-
-
-def close_descriptor(descriptor: int) -> None:
-    """Close a descriptor: Linux frees it whatever error ``close`` gives."""
-    with contextlib.suppress(OSError):
-        os.close(descriptor)
 
 
 class Program(Protocol):
@@ -76,9 +64,10 @@
         workers: WorkerTransport,
         server: Server,
     ) -> None:
-        self.program, self.reactor, self.deadlines, self.log = program, reactor, deadlines, log
-        self.engine, self.discovery, self.workers, self.server = engine, discovery, workers, server
-        self.adopting = 0  # connections handed over for which no descriptor was free yet
+        self.program, self.deadlines = program, deadlines
+        self.engine, self.workers, self.server = engine, workers, server
+        self.state = StateTransfer(deadlines, engine, discovery, server)
+        self.adoption = Adoption(reactor, deadlines, log, engine, server)
         self.handover: Handover | None = None  # None: no folder is given to meet in
         config = program.config
         if config.folder is not None:
@@ -92,53 +81,20 @@
         self.engine.jobs.on_taken = lambda request_id: handover.announce(RequestTaken(request_id))
         self.server.may_pass = lambda: handover.may_send_connection
         self.server.hand = self.send_connection
-        self.server.keep = lambda descriptor, fields: self.adopt(descriptor, ConnectionTransfer(fields))
+        self.server.keep = lambda descriptor, fields: self.adoption.adopt(
+            descriptor, ConnectionTransfer(fields)
+        )
         self.server.ask_others = self.ask_about_callback
 
     # ---- the state, and the listener ----
 
     def make_offer(self) -> Offer:
         """Give a new process what it needs, and a copy of the listener."""
-        return Offer(self.export_state().encode(), os.dup(self.program.port.fileno()))
-
-    def export_state(self) -> ProcessState:
-        """Describe this process for the next one."""
-        view, jobs, clock = self.engine.view, self.engine.jobs, self.deadlines.shared()
-        return ProcessState(
-            clock=clock,
-            starts=self.discovery.starts.written(clock),
-            endpoints=told_as(self.discovery.index, view.entries.values(), self.discovery.addresses),
-            discovery=self.program.config.discovery,
-            banned={worker: clock.written(since) for worker, since in view.banned.items()},
-            bans_ended={
-                worker: (clock.written(since), clock.written(until))
-                for worker, (since, until) in view.put_back.items()
-            },
-            request_ids=[*jobs.taken_elsewhere, *jobs.answered, *jobs.by_id],
-            streamed=self.server.streamed(),
-            learned=write_learned(self.engine.decisions.learned(), view, clock),
-            connections=len(self.server.connections),
+        return Offer(
+            self.state.export_state(self.program.config.discovery).encode(),
+            os.dup(self.program.port.fileno()),
         )
 
-    def import_state(self, state: ProcessState) -> None:
-        """Go on from where the process that runs is; what it has learned comes after the endpoint list."""
-        view, clock = self.engine.view, state.clock
-        view.banned.update((worker, clock.read(since)) for worker, since in state.banned.items())
-        view.put_back.update(
-            (worker, (clock.read(since), clock.read(until)))
-            for worker, (since, until) in state.bans_ended.items()
-        )
-        self.discovery.starts.inherit(state.starts, clock)
-        for request_id in state.request_ids:
-            self.engine.jobs.taken_elsewhere.add(request_id)
-        self.server.inherit(list(state.streamed))
-        self.server.elsewhere = state.connections
-
-    def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
-        """Read what the process that runs has learned, of the listed endpoints; changes it in place."""
-        if state.learned is not None:
-            read_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
-
     def listener_opened(self, *, taken_over: bool) -> None:
         """Be there for the next process, or say to the one that runs that this one serves."""
         if self.handover is None:
@@ -214,33 +170,7 @@
 
     def connection_returned(self, descriptor: int, transfer: ConnectionTransfer) -> None:
         """Serve on with a connection that the other process has not taken."""
-        self.adopt(descriptor, transfer)
-
-    def adopt(self, descriptor: int, transfer: ConnectionTransfer, tries: int = ADOPT_TRIES) -> None:
-        """Go on with a connection that another process had, from a descriptor that is this one's to close.
-
-        A lack of descriptors for its copy is waited for: its client is still owed an answer.
-        """
-        job = transfer.fields.get("job")
-        try:
-            transport = self.reactor.adoptStreamConnection(descriptor, socket.AF_INET, self.server)
-        except OSError as error:
-            if error.errno in RESOURCE_ERRORS and tries:
-                self.log.write_seldom("adopt", f"a connection handed over waits: {error}")
-                self.adopting += tries == ADOPT_TRIES
-                if job is not None:
-                    self.server.moving.add(job["cid"])
-                self.deadlines.after(ADOPT_RETRY, self.adopt, descriptor, transfer, tries - 1)
-                return
-            transport = None  # its client is gone
-        self.adopting -= tries < ADOPT_TRIES
-        close_descriptor(descriptor)
-        if job is not None:
-            self.server.moving.discard(job["cid"])
-        if transport is not None:
-            self.server.adopted(transport.protocol, transfer.fields)
-        elif job is not None:
-            self.engine.abandon_transfer(self.engine.decode_transfer(job))
+        self.adoption.adopt(descriptor, transfer)
 
     # ---- messages and questions ----
 
@@ -249,7 +179,7 @@
         match message:
             case ConnectionTransfer():
                 assert descriptor is not None
-                self.adopt(descriptor, message)
+                self.adoption.adopt(descriptor, message)
             case ConnectionsHeld(count):
                 self.server.elsewhere = count
                 self.server.crowded()
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -40,7 +40,7 @@
     Started,
     TimerFired,
 )
-from elderstall.upgrade import OLD_PART
+from elderstall.upgrade.upgrade import OLD_PART
 
 COLD = "w0"
 MEAN_WORK = 300.0  # ms of a standard core
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -32,7 +32,7 @@
 from elderstall.log import LINE_MOST, Log, StandardError
 from elderstall.net import http, peer
 from elderstall.net.accepting import RESOURCE_ERRORS
-from elderstall.upgrade import ADOPT_TRIES
+from elderstall.upgrade.adoption import ADOPT_TRIES
 from tests import loopback
 from tests.loopback import Loop, Loopback, with_console
 from tests.scenario import platform
@@ -220,9 +220,9 @@
                 client, accepted = self.connection()
                 self.adopt_connection_fails(*[system_error(number)] * 3)
                 self.send_connection(accepted)
-                self.assertEqual(1, self.app.upgrade.adopting)
+                self.assertEqual(1, self.app.upgrade.adoption.waiting)
                 self.wait(100)
-                self.assertEqual(0, self.app.upgrade.adopting)
+                self.assertEqual(0, self.app.upgrade.adoption.waiting)
                 client.sendall(http.request("GET", "/up", "x"))
                 self.turn()
                 self.assertIn(b" 200 ", client.recv(1_000))
@@ -254,7 +254,7 @@
         self.adopt_connection_fails(*[system_error(errno.ENFILE)] * (ADOPT_TRIES + 1))
         self.send_connection(accepted, **self.job_fields("a1"))
         self.wait(3_000)
-        self.assertEqual(0, self.app.upgrade.adopting)
+        self.assertEqual(0, self.app.upgrade.adoption.waiting)
         self.assertLessEqual(len([line for line in self.lines if line.startswith("adopt ")]), 4)
         self.assertEqual(b"", client.recv(1_000))  # so no copy of the other end is left
 
@@ -266,7 +266,7 @@
                 client, accepted = self.connection()
                 self.adopt_connection_fails(system_error(number))
                 self.send_connection(accepted)
-                self.assertEqual(0, self.app.upgrade.adopting)
+                self.assertEqual(0, self.app.upgrade.adoption.waiting)
                 client.close()
                 self.assertEqual(descriptors, open_descriptors())
 
@@ -279,7 +279,7 @@
             close(fd)
             raise system_error(errno.EIO)
 
-        with mock.patch("elderstall.upgrade.os.close", close_and_fail):
+        with mock.patch("elderstall.upgrade.adoption.os.close", close_and_fail):
             self.send_connection(accepted)
         assert self.app.upgrade.handover is not None
         self.assertEqual([self.app.upgrade.handover.older], self.app.upgrade.handover.links)
@@ -309,7 +309,7 @@
         for number in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EBADF):
             with self.subTest(errno.errorcode[number]):
                 descriptors = open_descriptors()
-                with mock.patch("elderstall.upgrade.os.dup", failing(os.dup, system_error(number))):
+                with mock.patch("elderstall.upgrade.upgrade.os.dup", failing(os.dup, system_error(number))):
                     link = self.new_process()
                     self.turn()
                     link.setblocking(False)
