--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -111,7 +111,7 @@
         job: int
         worker: str
 
-    with pytest.raises(UnmappedNameError, match="Send has the fields"):
+    with pytest.raises(UnmappedNameError, match="SendAttempt has the fields"):
         canonical_action(SendAttempt(1, "w"))
     with pytest.raises(UnmappedNameError, match="ACTIONS has no int"):
         canonical_action(1)
