--- a/benchmarks/random_events.py
+++ b/benchmarks/random_events.py
@@ -13,6 +13,7 @@
 from elderstall.interface import (
     AttemptEnded,
     AttemptProgressed,
+    DeduplicationScope,
     Effect,
     Ending,
     Endpoint,
@@ -26,7 +27,6 @@
     LoadPolled,
     PollLoad,
     RejectJob,
-    Scope,
     SendAttempt,
     SetTimer,
     Settings,
@@ -41,8 +41,10 @@
 WORKERS, KINDS, ZONES, CELL = 30, ("large", "small"), ("a", "b"), 3
 CLASSES = (
     JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0),
-    JobClass("keyed", 3.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.CELL, 1_500.0, 2.0, 0.3),
-    JobClass("keyed-all", 2.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.ALL, 1_500.0, 2.0),
+    JobClass(
+        "keyed", 3.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 1_500.0, 2.0, 0.3
+    ),
+    JobClass("keyed-all", 2.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 1_500.0, 2.0),
     JobClass("unsafe", 5.0, 500.0, 4_000.0, Effect.NOT_IDEMPOTENT, late_share=0.2),
 )
 COMMON: dict[str, Any] = {
@@ -61,14 +63,19 @@
 SETTINGS: dict[str, dict[str, Any]] = {
     "events-starts": {"notifies_start": True},
     "events-polled": {"dispatchers": 40, "probes": True, "report_free_slots": 0},
-    "events-pulled": {"pulled": True, "probes": True, "report_free_slots": 0},
+    "events-pulled": {"reports_only_when_polled": True, "probes": True, "report_free_slots": 0},
     "events-keys": {
         "fetch_price": 1.0,
         "cross_zone_price": 1.0,
         "report_free_slots": 0,
         "weight_by_work": True,
     },
-    "events-subset": {"dispatchers": 40, "sharing": 12.0, "probes": True, "report_free_slots": 0},
+    "events-subset": {
+        "dispatchers": 40,
+        "subset_dispatchers_per_worker": 12.0,
+        "probes": True,
+        "report_free_slots": 0,
+    },
 }
 ENDINGS = [Ending.SERVED] * 12 + list(Ending)
 
@@ -92,7 +99,7 @@
     def entry(self, name: str, state: WorkerState = WorkerState.UP) -> Endpoint:
         """Write a worker's entry of the list."""
         n = int(name[1:])
-        place = n / WORKERS if self.settings.sharing else None
+        place = n / WORKERS if self.settings.subset_dispatchers_per_worker else None
         return Endpoint(
             name,
             KINDS[n % 2],
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -101,7 +101,7 @@
         self.deadlines.after(1.0, done.callback, Outcome(Ending.SERVED, report=(2.0,)))
         return done
 
-    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
         """Confirm that a job is given up."""
         done: Deferred[bool] = Deferred()
         self.deadlines.after(1.0, done.callback, True)
@@ -120,7 +120,7 @@
     def progressed(self, share: float, text: str) -> None:
         """Take news."""
 
-    def here(self) -> bool:
+    def is_connected(self) -> bool:
         """Stay."""
         return True
 
--- a/benchmarks/scale/measures.py
+++ b/benchmarks/scale/measures.py
@@ -39,7 +39,7 @@
 
 def know_all_workers() -> None:
     """Have every dispatcher of this process know all workers, whatever the fleet's size."""
-    subset.SUBSET_LEAST = 10**9
+    subset.MIN_SUBSET_SIZE = 10**9
 
 
 def dispatcher_of(size: Size) -> HollowDispatcher:
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -49,7 +49,7 @@
         self.read = read or (lambda: config)  # reads the configuration again
         self.deadlines = Deadlines(reactor)
         self.log = Log(self.deadlines.now)
-        self.deadlines.failed = lambda error: self.log.failure("deadline", error)
+        self.deadlines.on_error = lambda error: self.log.failure("deadline", error)
         carrier, listener = (
             (StreamTransport, ProgressServer) if config.progress.enabled else (WorkerTransport, Server)
         )
@@ -58,9 +58,9 @@
             self.connect_worker,
             self.log,
             config.report_fields,
-            config.idle_ms,
+            config.idle_timeout_ms,
             config.worker_connections,
-            config.connect_ms,
+            config.connect_timeout_ms,
         )
         self.engine = Engine(
             config.settings,
@@ -68,9 +68,9 @@
             self.deadlines,
             self.workers,
             self.log,
-            config.slack_ms,
+            config.answer_slack_ms,
             config.max_open,
-            config.entries_most,
+            config.max_list_entries,
         )
         self.discovery = Discovery(
             self.deadlines,
@@ -88,9 +88,9 @@
             self.deadlines,
             self.log,
             self.workers.read_report,
-            config.client_hard,
-            config.client_soft,
-            config.reading_bytes,
+            config.max_client_connections,
+            config.client_shedding_threshold,
+            config.kept_bytes_limit,
         )
         if isinstance(self.server, ProgressServer):
             self.server.setup = config.progress
@@ -125,7 +125,9 @@
     def connect_worker(self, address: str, factory: Factory) -> Deferred[WorkerConnection]:
         """Open a connection to a worker within the settings' time."""
         host, port = address_of(address, "address")
-        endpoint: Any = TCP4ClientEndpoint(self.reactor, host, port, timeout=self.config.connect_ms / 1000)
+        endpoint: Any = TCP4ClientEndpoint(
+            self.reactor, host, port, timeout=self.config.connect_timeout_ms / 1000
+        )
         return cast("Deferred[WorkerConnection]", endpoint.connect(factory))
 
     def connect_discovery(self, factory: Factory) -> Deferred[WatchConnection]:
@@ -173,7 +175,7 @@
         except (CannotListenError, OSError) as error:
             cause = error.socketError if isinstance(error, CannotListenError) else error
             if tries and getattr(cause, "errno", None) in RESOURCE_ERRORS:
-                self.log.write_seldom("listen", f"tried again: {error}")
+                self.log.write_rate_limited("listen", f"tried again: {error}")
                 self.deadlines.after(LISTEN_RETRY, self.listen, open_port, opened, tries - 1)
             else:
                 self.release_inherited()
@@ -207,10 +209,10 @@
         if offer is None:
             self.engine.start(self.take_list(self.config.known), None)
         else:
-            self.begin_after(ProcessState.decode(offer.state, self.deadlines.offset))
+            self.begin_as_successor(ProcessState.decode(offer.state, self.deadlines.offset))
         self.listen(self.open_port, self.serve)
 
-    def begin_after(self, state: ProcessState) -> None:
+    def begin_as_successor(self, state: ProcessState) -> None:
         """Go on from where the process that runs is."""
         self.upgrade.state.import_state(state)
         entries = self.take_list(self.config.known if state.endpoints is None else state.endpoints)
@@ -240,7 +242,7 @@
         taken_over = self.inherited is not None
         self.release_inherited()
         self.port = port
-        self.acceptor = Acceptor(port, self.deadlines, self.log, lambda: self.server.room)
+        self.acceptor = Acceptor(port, self.deadlines, self.log, lambda: self.server.capacity_left)
         self.server.accept = self.accept
         host = port.getHost()
         self.log.write("start", f"{self.config.name} listens on {host.host}:{host.port}")
@@ -249,7 +251,7 @@
     def accept(self, on: bool) -> None:
         """Read the listening port or not; while another process serves, it does."""
         if self.acceptor is not None:
-            self.acceptor.enable(on and not self.upgrade.successor_serves)
+            self.acceptor.enable(on and not self.upgrade.has_serving_successor)
 
     def update_accepting(self) -> None:
         """Read the listening port or not, as the server has it and as it is now."""
@@ -289,20 +291,24 @@
 
     def reload_failed(self, error: ConfigError) -> None:
         """Note that the configuration in use stays."""
-        self.engine.counters.load_errors += 1
+        self.engine.counters.settings_load_errors += 1
         self.log.write("reload", f"nothing changed: {error}")
 
     def change_configuration(self, read: Config, new: Config) -> None:
         """Take on ``new``: the configuration that was read, but for what only a restart changes."""
-        self.engine.counters.loads += 1
+        self.engine.counters.settings_loads += 1
         if keys := fixed_keys(self.config, read):
             self.log.write("reload", f"only a restart changes {', '.join(keys)}")
         old, self.config = self.config, replace(new, known=None)
         moved = read.discovery != old.discovery
         self.apply_limits()
-        if (new.settings, new.slack_ms, new.max_open) != (old.settings, old.slack_ms, old.max_open):
-            self.engine.change_settings(new.settings, new.slack_ms, new.max_open)
-            self.server.retuned()
+        if (new.settings, new.answer_slack_ms, new.max_open) != (
+            old.settings,
+            old.answer_slack_ms,
+            old.max_open,
+        ):
+            self.engine.change_settings(new.settings, new.answer_slack_ms, new.max_open)
+            self.server.recheck_heads()
             self.log.write(
                 "reload",
                 f"classes are {', '.join(self.engine.classes)}; {new.settings.max_attempts} attempts",
@@ -315,14 +321,17 @@
         """Give each part its limits as they are configured now."""
         self.workers.connections.limit = self.upgrade.worker_connections
         self.workers.report_fields = self.config.report_fields
-        self.workers.keep_alive.idle_limit = self.config.idle_ms
-        self.workers.connect_timeout = self.config.connect_ms
+        self.workers.keep_alive.idle_limit = self.config.idle_timeout_ms
+        self.workers.connect_timeout = self.config.connect_timeout_ms
         self.discovery.live = self.config.live_weights
-        self.server.most, self.server.soft = self.config.client_hard, self.config.client_soft
-        self.server.weight_most = self.config.reading_bytes
+        self.server.max_connections, self.server.shedding_threshold = (
+            self.config.max_client_connections,
+            self.config.client_shedding_threshold,
+        )
+        self.server.kept_bytes_limit = self.config.kept_bytes_limit
         if isinstance(self.server, ProgressServer):
             self.server.setup = self.config.progress
-        self.server.crowded()
+        self.server.enforce_limits()
 
     def drain(self) -> None:
         """Begin the planned end."""
--- a/elderstall/cli/group.py
+++ b/elderstall/cli/group.py
@@ -7,7 +7,7 @@
 
 import click
 
-from elderstall.cli.output import BAD, FAILED, GOOD, complain
+from elderstall.cli.output import BAD, FAILED, GOOD, print_error
 
 
 class Lazy(click.Group):
@@ -37,7 +37,7 @@
     group = simulate()
 
     def notice() -> None:
-        complain("'rehearse' is now 'simulate'; the old name works for this version only")
+        print_error("'rehearse' is now 'simulate'; the old name works for this version only")
 
     return click.Group("rehearse", group.commands, callback=notice, help=group.help, hidden=True)
 
@@ -57,12 +57,12 @@
     except click.exceptions.Exit as done:
         return done.exit_code
     except click.Abort:
-        complain("stopped")
+        print_error("stopped")
         return FAILED
     except click.ClickException as error:
         error.show(sys.stderr)
         return BAD
     except OSError as error:
-        complain(f"{error.filename}: {error.strerror}" if error.filename else str(error))
+        print_error(f"{error.filename}: {error.strerror}" if error.filename else str(error))
         return FAILED
     return result if isinstance(result, int) else GOOD
--- a/elderstall/cli/output.py
+++ b/elderstall/cli/output.py
@@ -12,7 +12,7 @@
 GOOD, FAILED, BAD = 0, 1, 2
 
 
-def complain(message: str) -> None:
+def print_error(message: str) -> None:
     """Say on standard error what is wrong."""
     click.echo(f"elderstall: {message}", err=True)
 
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -11,7 +11,7 @@
 
 from elderstall.app import App
 from elderstall.config import ConfigError, load
-from elderstall.log import complain
+from elderstall.log import print_error
 from elderstall.net import monotonic_reactor
 
 
@@ -41,7 +41,7 @@
     try:
         config = load(args.config, os.environ, args.front)
     except ConfigError as error:
-        complain(str(error))
+        print_error(str(error))
         return 2
     if args.command == "check":
         print(
--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -13,7 +13,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from elderstall.cli.output import BAD, FAILED, GOOD, complain, write_json
+from elderstall.cli.output import BAD, FAILED, GOOD, print_error, write_json
 from elderstall.simulation.audit import lines_of
 from elderstall.simulation.reading import ENDING, SHIPPED, ScriptError, find, read
 from elderstall.simulation.scenario import Scenario
@@ -34,10 +34,10 @@
     try:
         scenario, warnings = read(find(name), changes)
     except ScriptError as error:
-        complain(str(error))
+        print_error(str(error))
         raise click.exceptions.Exit(BAD) from None
     for warning in warnings:
-        complain(f"warning: {warning}")
+        print_error(f"warning: {warning}")
     return scenario
 
 
@@ -137,10 +137,10 @@
     """Print the rules that were broken, each with its request's whole history."""
     rules = figures["rules"]
     for b in rules["first"]:
-        complain(f"rule {b['rule']} broken at {b['at_s']:g} s: {b['what']}")
+        print_error(f"rule {b['rule']} broken at {b['at_s']:g} s: {b['what']}")
         for line in b["history"]:
             click.echo(f"    {line}", err=True)
-    complain(
+    print_error(
         f"{rules['broken']} times a rule was broken"
         + (f", of which {len(rules['first'])} are shown" if rules["broken"] > len(rules["first"]) else "")
     )
@@ -230,7 +230,7 @@
         try:
             rows.append({**summary_of(read(path)[0]), "name": path.stem})
         except ScriptError as error:
-            complain(str(error))
+            print_error(str(error))
             good = False
     if as_json:
         write_json(rows, "-")
@@ -329,7 +329,7 @@
         shown().print(out)
         shown().print(f"{len(seeds)} pairs; * where the interval leaves out zero")
     if broken:
-        complain(f"{broken} times a rule was broken")
+        print_error(f"{broken} times a rule was broken")
     return FAILED if broken else GOOD
 
 
@@ -388,7 +388,7 @@
     for path in stage.write(folder):
         click.echo(f"elderstall --config {path}", err=True)
     for kind in stage.left_out:
-        complain(f"warning: {kind} strikes what is real here, and is left out")
+        print_error(f"warning: {kind} strikes what is real here, and is left out")
     if seconds is not None:
         loop.callLater(seconds, loop.stop)
     loop.run()
@@ -408,7 +408,7 @@
     figures, world, _ = played(opened(script, changes), seed, job)
     request = world.explained
     if request is None:
-        complain(f"there is no request {job}; the night had {figures['requests']}")
+        print_error(f"there is no request {job}; the night had {figures['requests']}")
         return FAILED
     lines = lines_of(request)
     summary = {
--- a/elderstall/clocks.py
+++ b/elderstall/clocks.py
@@ -41,33 +41,33 @@
     """
 
     offset_ms: float | None  # None: the sender is of an earlier version and does not say
-    own_ms: float  # what this process adds
+    local_offset_ms: float  # what this process adds
 
     @property
-    def told(self) -> bool:
+    def has_sender_offset(self) -> bool:
         """Whether the sender's offset is known, so that its readings are valid here."""
         return self.offset_ms is not None
 
     @property
     def shift(self) -> float:
         """What is added to this process's readings to give those that are sent."""
-        return 0.0 if self.offset_ms is None else self.offset_ms - self.own_ms
+        return 0.0 if self.offset_ms is None else self.offset_ms - self.local_offset_ms
 
-    def written(self, reading: float) -> float:
+    def encode_reading(self, reading: float) -> float:
         """Give a reading of this process's clock as it is sent."""
         return reading + self.shift
 
-    def read(self, reading: float) -> float:
+    def decode_reading(self, reading: float) -> float:
         """Give a reading that was sent as one of this process's clock."""
         return reading - self.shift
 
-    def plain(self) -> dict[str, float]:
+    def encode(self) -> dict[str, float]:
         """Write the offset for a message."""
         return {"version": SHARED_VERSION, "offset_ms": self.offset_ms or 0.0}
 
     @classmethod
-    def of_message(cls, message: dict[str, Any], own_ms: float) -> SharedClock:
+    def of_message(cls, message: dict[str, Any], local_offset_ms: float) -> SharedClock:
         """Take the offset from a message; none where it comes from a process that does not send it."""
         clock = message.get("clock") or {}
         told = clock.get("version") == SHARED_VERSION
-        return cls(float(clock["offset_ms"]) if told else None, own_ms)
+        return cls(float(clock["offset_ms"]) if told else None, local_offset_ms)
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -25,7 +25,7 @@
 READING_PART = 0.125  # of the memory beyond it may go to requests not whole yet; jobs may hold as much
 LIST_PART = 0.5  # of the memory beyond it may go to the list of workers, also while a new one is read
 ENTRY_BYTES = 1_700  # an entry: 1,360 after a start, 1,800 after a later whole list (docs/CAPACITY.md)
-ENTRIES_LEAST = 1_024  # of a list are held whatever the limit
+MIN_LIST_ENTRIES = 1_024  # of a list are held whatever the limit
 READING_LEAST = 1.0  # MiB for them, however little there is
 
 
@@ -60,18 +60,18 @@
     known: Any
     live_weights: bool
     report_fields: tuple[str, ...]
-    slack_ms: float
-    idle_ms: float
-    connect_ms: float
+    answer_slack_ms: float
+    idle_timeout_ms: float
+    connect_timeout_ms: float
     max_open: int
     worker_connections: int
-    client_soft: int
-    client_hard: int
-    reading_bytes: int
+    client_shedding_threshold: int
+    max_client_connections: int
+    kept_bytes_limit: int
     progress: Progress = Progress()
     console: tuple[str, int] | None = None  # the second address to listen on
     folder: str | None = None  # where this dispatcher's processes find each other
-    entries_most: int = 1_000_000  # of one list of workers, by the memory limit
+    max_list_entries: int = 1_000_000  # of one list of workers, by the memory limit
     raw: Any = field(default=None, compare=False, repr=False)  # the file, as it was read
 
 
@@ -124,10 +124,10 @@
     return Progress(enabled, **figures)
 
 
-def entries_most(memory: float) -> int:
+def max_list_entries(memory: float) -> int:
     """Give how many entries of the list of workers a memory limit of so many MiB can hold."""
     room = max(0.0, memory - FOOTPRINT) * LIST_PART * 1024 * 1024
-    return max(ENTRIES_LEAST, int(room / ENTRY_BYTES))
+    return max(MIN_LIST_ENTRIES, int(room / ENTRY_BYTES))
 
 
 def config_of(raw: Any, env: Mapping[str, str], front: str | None = None) -> Config:
@@ -186,18 +186,18 @@
         known=known,
         live_weights=live,
         report_fields=tuple(fields),
-        slack_ms=number(rules, "answer_slack", 0.0, "settings.rules"),
-        idle_ms=number(limits, "conn_idle", 10_000.0, "settings.limits", 1) * IDLE_PART,
-        connect_ms=number(limits, "connect_timeout", 250.0, "settings.limits") or 250.0,
+        answer_slack_ms=number(rules, "answer_slack", 0.0, "settings.rules"),
+        idle_timeout_ms=number(limits, "conn_idle", 10_000.0, "settings.limits", 1) * IDLE_PART,
+        connect_timeout_ms=number(limits, "connect_timeout", 250.0, "settings.limits") or 250.0,
         max_open=int(number(limits, "max_open", 20_000, "settings.limits", 1)),
         worker_connections=workers,
-        client_soft=int((usable - workers) * SOFT_PART),
-        client_hard=usable - workers,
-        reading_bytes=int(max(READING_LEAST, (memory - FOOTPRINT) * READING_PART) * 1024 * 1024),
+        client_shedding_threshold=int((usable - workers) * SOFT_PART),
+        max_client_connections=usable - workers,
+        kept_bytes_limit=int(max(READING_LEAST, (memory - FOOTPRINT) * READING_PART) * 1024 * 1024),
         progress=progress_of(front),
         console=address_of(console, "console") if console else None,
         folder=env.get("TMPDIR") or None,
-        entries_most=entries_most(memory),
+        max_list_entries=max_list_entries(memory),
         raw={**raw, "known": None} if "known" in raw else raw,
     )  # the list is not kept a second time
 
--- a/elderstall/deadlines.py
+++ b/elderstall/deadlines.py
@@ -9,7 +9,7 @@
 
 from elderstall.clocks import SharedClock, wall_offset
 
-COMPACT_AT = 1024  # entries from which a heap of mostly cancelled ones is cleared
+MIN_HEAP_SIZE_TO_COMPACT = 1024  # entries from which a heap of mostly cancelled ones is cleared
 
 
 def unix_now() -> float:
@@ -31,7 +31,7 @@
         """Forget the call, and what it would hold alive."""
         if self.call is not None:
             self.call, self.args = None, ()
-            self.owner.live -= 1
+            self.owner.active_count -= 1
 
 
 class Deadlines:
@@ -46,11 +46,11 @@
         if unix_ms is not None:
             self.unix = self.now
         self.heap: list[tuple[float, int, Deadline]] = []
-        self.count = self.live = 0
-        self.wake: Any = None  # IDelayedCall
-        self.wake_at = 0.0
+        self.last_number = self.active_count = 0
+        self.reactor_call: Any = None  # IDelayedCall
+        self.reactor_call_at = 0.0
         self.running = False
-        self.failed: Callable[[BaseException], None] | None = None  # told of a call that raised
+        self.on_error: Callable[[BaseException], None] | None = None  # told of a call that raised
 
     def now(self) -> float:
         """Read the clock."""
@@ -71,34 +71,34 @@
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Deadline:
         """Call at a reading of the clock; deadlines of one reading in the order they were set."""
         deadline = Deadline(self, call, args)
-        self.count += 1
-        self.live += 1
-        heapq.heappush(self.heap, (when, self.count, deadline))
-        if len(self.heap) > max(COMPACT_AT, 4 * self.live) and not self.running:
+        self.last_number += 1
+        self.active_count += 1
+        heapq.heappush(self.heap, (when, self.last_number, deadline))
+        if len(self.heap) > max(MIN_HEAP_SIZE_TO_COMPACT, 4 * self.active_count) and not self.running:
             # Guards memory: a connection's idle timer is set anew with each request, and cancelled.
             self.heap = [entry for entry in self.heap if entry[2].call is not None]
             heapq.heapify(self.heap)
-        self.rouse()
+        self.reschedule()
         return deadline
 
-    def rouse(self) -> None:
+    def reschedule(self) -> None:
         """Keep the one reactor call at the earliest deadline that still counts."""
         while self.heap and self.heap[0][2].call is None:
             heapq.heappop(self.heap)
         if self.running or not self.heap:
             return
         first = self.heap[0][0]
-        if self.wake is not None:
-            if self.wake_at <= first:
+        if self.reactor_call is not None:
+            if self.reactor_call_at <= first:
                 return
-            self.wake.cancel()
-        self.wake_at = first
-        self.wake = self.reactor.callLater(max(0.0, first - self.now()) / 1000, self.run)
+            self.reactor_call.cancel()
+        self.reactor_call_at = first
+        self.reactor_call = self.reactor.callLater(max(0.0, first - self.now()) / 1000, self.run)
 
     def run(self) -> None:
         """Make the calls that are due; what they set for now waits for the next round."""
-        self.wake, self.running = None, True
-        now, last = self.now() + 0.001, self.count  # a reactor may wake a hair early
+        self.reactor_call, self.running = None, True
+        now, last = self.now() + 0.001, self.last_number  # a reactor may wake a hair early
         later: list[tuple[float, int, Deadline]] = []
         try:
             while self.heap and self.heap[0][0] <= now:
@@ -113,11 +113,11 @@
                         call(*args)
                     except Exception as error:
                         # Guards the other deadlines against one call that fails.
-                        if self.failed is None:
+                        if self.on_error is None:
                             raise
-                        self.failed(error)
+                        self.on_error(error)
         finally:
             for entry in later:
                 heapq.heappush(self.heap, entry)
             self.running = False
-            self.rouse()
+            self.reschedule()
--- a/elderstall/decisions/answers.py
+++ b/elderstall/decisions/answers.py
@@ -7,7 +7,7 @@
 from elderstall.decisions.endpoints import Endpoints
 from elderstall.decisions.load_shedding import LoadShedding
 from elderstall.decisions.records import Job
-from elderstall.interface import Effect, FailJob, RejectJob, Scope
+from elderstall.interface import DeduplicationScope, Effect, FailJob, RejectJob
 
 RETRY_AFTER_LEAST = 200.0  # ms: less only adds to what is overloaded
 RETRY_AFTER_MOST = 2_000.0  # ms: more is not heeded
@@ -32,9 +32,9 @@
         """Give the final answer: a rejection where trying again is harmless, else a failure."""
         self.close(job)
         if self._harmless(job):
-            self.context.act(RejectJob(job.id, self.retry_after(), why))
+            self.context.add_action(RejectJob(job.id, self.retry_after(), why))
         else:
-            self.context.act(FailJob(job.id))
+            self.context.add_action(FailJob(job.id))
 
     def close(self, job: Job) -> None:
         """Mark a job as answered; its attempts may still be in flight."""
@@ -55,7 +55,7 @@
             return True
         if job.ran_on is None and job.in_flight == 0:
             return True
-        return job_class.effect is Effect.IDEMPOTENCY_KEY and job_class.scope is Scope.ALL
+        return job_class.effect is Effect.IDEMPOTENCY_KEY and job_class.scope is DeduplicationScope.ALL
 
     def retry_after(self) -> float:
         """Give the time, ms, in which our part of the fleet works off what we owe.
@@ -66,6 +66,6 @@
             # All dispatchers see the same fleet, of which our own jobs tell too little.
             span = RETRY_AFTER_MOST - RETRY_AFTER_LEAST
             return RETRY_AFTER_LEAST + span * min(1.0, self.shedding.level)
-        own_capacity = self.endpoints.total_capacity * self.capacity.claim
+        own_capacity = self.endpoints.total_capacity * self.capacity.fleet_fraction
         owed = sum(job.work * job.slots for job in self.open.values())
         return min(max(owed / max(own_capacity, 1e-9), RETRY_AFTER_LEAST), RETRY_AFTER_MOST)
--- a/elderstall/decisions/capacity.py
+++ b/elderstall/decisions/capacity.py
@@ -7,20 +7,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from elderstall.decisions.context import ASSUMED_SLOTS, WHOLE_SLOTS_BELOW, DecisionContext
+from elderstall.decisions.context import ASSUMED_SLOTS, WHOLE_SLOTS_THRESHOLD, DecisionContext
 from elderstall.decisions.estimates import WorkEstimates
 from elderstall.decisions.records import Attempt, Worker
-from elderstall.routing.subset import LARGE
+from elderstall.routing.subset import MIN_LARGE_FLEET
 
 PRIOR_JOBS = 5.0  # a worker's own speed weighs as its kind's until it has completed about so many jobs
 MEMORY_JOBS = 30.0  # completed jobs over which speeds are forgotten, to follow a worker that slows
 SEEN_TIMES = 2.0  # times the slots ever seen: what a cold worker's are believed to be at most
 FREE_LEAST = 0.9  # slots that a report must show free for more than one job of ours: it is a second old
-OWN_JOBS_MOST = 3  # jobs of ours on one worker, where starts are not notified: our part of it is a guess
-OWN_WORKERS = 16  # workers of our own, where workers are polled: few, so that connections to them are kept
+MAX_ATTEMPTS_PER_WORKER = 3  # where starts are not notified: the share of its slots is a guess
+OWNED_WORKERS = 16  # of one dispatcher, where workers are polled: few, so that connections are kept
 PREFERRED_WORKERS = 200  # of a large fleet, that jobs go to first, so that connections to them are kept
 PREFERRED_TIMES = 4.0  # times the workers that our traffic fills, if that is more
-CLAIM_MARGIN = 1.25  # our part of the fleet, of the work that comes to us: some capacity beyond the mean
+FLEET_FRACTION_MARGIN = 1.25  # times the mean work that arrives here: some capacity beyond it
 
 
 @dataclass(slots=True)
@@ -39,25 +39,27 @@
     def __init__(self, context: DecisionContext, estimates: WorkEstimates) -> None:
         self.context, self.estimates = context, estimates
         self.kinds: defaultdict[str, KindStatistics] = defaultdict(KindStatistics)
-        self.claim = 1 / context.settings.dispatchers  # our part of the fleet, 0 to 1
-        self.near_part = 1.0  # part of the workers that are our own, where workers are polled, 0 to 1
-        self.preferred_part = math.inf  # part of the workers, by line position, that jobs go to first
+        self.fleet_fraction = 1 / context.settings.dispatchers  # of the fleet's capacity, 0 to 1
+        self.owned_fraction = 1.0  # of the workers, owned by this dispatcher where workers are polled, 0 to 1
+        self.preferred_fraction = math.inf  # of the workers, by preference position, that jobs go to first
         self._workers = 0  # that are up
         self._need = 0.0  # part of the fleet that the work which comes to us fills
-        self.own_slots = 0.0  # slots of the whole fleet that are ours
+        self.total_slot_share = 0.0  # slots of the whole fleet that this dispatcher may use
         self.ms_per_unit = 1.0  # mean running time of a ms of work
 
     def count_workers(self, workers: int) -> None:
         """Take how many workers are up: of many, few are our own."""
-        self.near_part = min(1.0, max(self.context.settings.least_own_part, OWN_WORKERS / max(1, workers)))
+        self.owned_fraction = min(
+            1.0, max(self.context.settings.min_owned_fraction, OWNED_WORKERS / max(1, workers))
+        )
         self._workers = workers
         self._size_preferred()
 
-    def claim_for(self, work: float, interval: float, fleet_capacity: float) -> None:
+    def update_fleet_fraction(self, work: float, interval: float, fleet_capacity: float) -> None:
         """Size our part of the fleet by the work, ms, that came to us in an interval, ms."""
-        wanted = CLAIM_MARGIN * work / interval
+        wanted = FLEET_FRACTION_MARGIN * work / interval
         self._need = wanted / fleet_capacity
-        self.claim = max(1 / self.context.settings.dispatchers, self._need)
+        self.fleet_fraction = max(1 / self.context.settings.dispatchers, self._need)
         self._size_preferred()
 
     def _size_preferred(self) -> None:
@@ -66,22 +68,22 @@
         Guards against a connection for nearly every job: what does not fit on our own workers would go round
         all that are known, and no connection would be kept long enough to be used again.
         """
-        large = self.context.settings.sharing or self._workers > LARGE
+        large = self.context.settings.subset_dispatchers_per_worker or self._workers > MIN_LARGE_FLEET
         if self._workers and large:
-            self.preferred_part = max(PREFERRED_WORKERS / self._workers, PREFERRED_TIMES * self._need)
+            self.preferred_fraction = max(PREFERRED_WORKERS / self._workers, PREFERRED_TIMES * self._need)
         else:
-            self.preferred_part = math.inf
+            self.preferred_fraction = math.inf
 
-    def share_of(self, fleet: Iterable[Worker], fleet_capacity: float) -> None:
+    def update_totals(self, fleet: Iterable[Worker], fleet_capacity: float) -> None:
         """Sum up what is ours of a fleet, and its pace."""
         fleet = list(fleet)
-        self.own_slots = sum(worker.slot_share for worker in fleet)
+        self.total_slot_share = sum(worker.slot_share for worker in fleet)
         self.ms_per_unit = sum(worker.slots for worker in fleet) / fleet_capacity
 
     def refresh(self, workers: Iterable[Worker]) -> None:
         """Work out workers' speed, slots, capacity and our part; kinds stand in for what is not seen yet."""
         settings, now = self.context.settings, self.context.now
-        prior, sharers = PRIOR_JOBS * self.estimates.typical, settings.sharers
+        prior, dispatchers_per_worker = PRIOR_JOBS * self.estimates.typical, settings.dispatchers_per_worker
         slow_start = settings.slow_start_duration + settings.slow_start_window
         by_kind: dict[str, tuple[float, float]] = {}
         for worker in workers:
@@ -92,28 +94,34 @@
             shown, slots = by_kind[worker.kind]
             # Hardly any worker is in slow start: no calls for the others.
             cold = worker.started is not None and now - worker.started <= slow_start
-            warmth = worker.warmth(now, settings) if cold else 1.0
+            warm_up_fraction = worker.warm_up_fraction(now, settings) if cold else 1.0
             worker.speed = (worker.work_done + shown) / (worker.run_time + prior)
             worker.slots = slots if slots > worker.peak_slots else worker.peak_slots
-            worker.capacity = worker.slots * worker.speed * warmth
-            worker.slot_share = self._slot_share(worker, warmth, sharers, cold=cold)
+            worker.capacity = worker.slots * worker.speed * warm_up_fraction
+            worker.slot_share = self._slot_share(worker, warm_up_fraction, dispatchers_per_worker, cold=cold)
 
-    def _slot_share(self, worker: Worker, warmth: float, sharers: float, *, cold: bool) -> float:
+    def _slot_share(
+        self, worker: Worker, warm_up_fraction: float, dispatchers_per_worker: float, *, cold: bool
+    ) -> float:
         """Give our part of a worker's slots."""
         if self.context.mode.polls_before_placing:
             # Of cold ones no more are ours, so that all dispatchers together keep to the slow-start rule.
-            near = worker.line_position < self.near_part
-            return float(near or (not cold and worker.line_position < 2 * worker.slots * self.claim))
-        if worker.slots < WHOLE_SLOTS_BELOW * sharers:
+            near = worker.preference_position < self.owned_fraction
+            return float(
+                near or (not cold and worker.preference_position < 2 * worker.slots * self.fleet_fraction)
+            )
+        if worker.slots < WHOLE_SLOTS_THRESHOLD * dispatchers_per_worker:
             # Guards against queues filled unseen: of a part under a slot, whole slots of few are ours.
-            return float(worker.line_position < worker.slots * warmth * self.claim)
-        return worker.slots * warmth / sharers
+            return float(worker.preference_position < worker.slots * warm_up_fraction * self.fleet_fraction)
+        return worker.slots * warm_up_fraction / dispatchers_per_worker
 
     def open_slots(self, worker: Worker) -> int:
         """Give the slots open to us: where starts are not notified, by our part of it if one is free."""
         if self.context.settings.notifies_start or worker.free_slots < FREE_LEAST:
             return worker.slot_limit
-        return max(worker.slot_limit, min(OWN_JOBS_MOST, int(1 + 2 * worker.slots * self.claim)))
+        return max(
+            worker.slot_limit, min(MAX_ATTEMPTS_PER_WORKER, int(1 + 2 * worker.slots * self.fleet_fraction))
+        )
 
     def saw_slots(self, worker: Worker, slots: int) -> None:
         """Take a number of slots that a worker was seen to have."""
@@ -139,14 +147,14 @@
         worker.stale_slots = min(worker.stale_slots, worker.slots_running - attempt.job.slots)
 
     def cold_capacity(self, worker: Worker) -> float:
-        """Give what a cold worker does now: speed x slots x warmth, in ms of work a ms.
+        """Give what a cold worker does now: speed x slots x warm-up fraction, in ms of work a ms.
 
         Guards the slow-start rule: until a report tells, the slots of a kind are a guess, and thirty light
         dispatchers that each take a worker of one slot for one of four overload it together.
         """
         seen = max(worker.peak_slots, self.kinds[worker.kind].peak_slots)
-        warmth = worker.warmth(self.context.now, self.context.settings)
-        return min(worker.slots, SEEN_TIMES * seen) * worker.speed * warmth
+        warm_up_fraction = worker.warm_up_fraction(self.context.now, self.context.settings)
+        return min(worker.slots, SEEN_TIMES * seen) * worker.speed * warm_up_fraction
 
     def record_run(self, attempt: Attempt, run_time: float) -> None:
         """Take the running time, ms, of a served job into its worker's speed and its class's mean work."""
--- a/elderstall/decisions/context.py
+++ b/elderstall/decisions/context.py
@@ -10,10 +10,12 @@
 from elderstall.interface import Action, JobClass, SetTimer, Settings
 
 ASSUMED_SLOTS = 4.0  # of a worker, until a report tells: a light dispatcher never fills one to see
-WHOLE_SLOTS_BELOW = 0.25  # slots: a lesser share of a worker says too little of it; whole slots are ours then
-PROMPT_SLACK = 10.0  # ms beyond the least delay within which a start shows that a slot was free
-REVIEW_EVERY = 20.0  # ms between reviews of the queue
-REVIEW_EVERY_IN_LARGE_FLEETS = 100.0  # ms: for CPU, and as backoffs of workers last long there
+WHOLE_SLOTS_THRESHOLD = (
+    0.25  # slots: a lesser share of a worker says too little of it; whole slots are ours then
+)
+PROMPT_SLACK_MS = 10.0  # ms beyond the least delay within which a start shows that a slot was free
+REVIEW_INTERVAL_MS = 20.0  # ms between reviews of the queue
+LARGE_FLEET_REVIEW_INTERVAL_MS = 100.0  # ms: for CPU, and as backoffs of workers last long there
 
 TIMER_SOLVE = 1  # tokens of SetTimer and TimerFired
 TIMER_REVIEW_QUEUE = 2
@@ -43,14 +45,14 @@
         return next((tier for tier, edge in enumerate(self.tier_edges) if weight >= edge), self.tiers - 1)
 
     @classmethod
-    def of(cls, settings: Settings) -> OperatingMode:
+    def from_settings(cls, settings: Settings) -> OperatingMode:
         """Derive the mode from settings."""
         shares = (1.0, settings.over_quota_weight) if settings.tenants else (1.0,)
-        large_fleet = settings.dispatchers * WHOLE_SLOTS_BELOW > ASSUMED_SLOTS
+        large_fleet = settings.dispatchers * WHOLE_SLOTS_THRESHOLD > ASSUMED_SLOTS
         reports_free = settings.report_free_slots is not None
         polls_before = large_fleet and reports_free and not settings.notifies_start and settings.probes
         polls_for_queued = (
-            settings.pulled
+            settings.reports_only_when_polled
             and reports_free
             and not settings.notifies_start
             and settings.probes
@@ -66,8 +68,8 @@
             large_fleet=large_fleet,
             polls_before_placing=polls_before,
             polls_for_queued=polls_for_queued,
-            review_interval=REVIEW_EVERY_IN_LARGE_FLEETS if large_fleet else REVIEW_EVERY,
-            prompt_slack=PROMPT_SLACK + 2 * settings.tick,
+            review_interval=LARGE_FLEET_REVIEW_INTERVAL_MS if large_fleet else REVIEW_INTERVAL_MS,
+            prompt_slack=PROMPT_SLACK_MS + 2 * settings.tick,
         )
 
 
@@ -80,19 +82,19 @@
         self.rng = random.Random(seed)
         self.now = 0.0  # ms
         self.actions: list[Action] = []
-        self.adopt(settings)
+        self.change_settings(settings)
 
-    def adopt(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """Take settings, and derive the mode from them."""
         self.settings = settings
-        self.mode = OperatingMode.of(settings)
+        self.mode = OperatingMode.from_settings(settings)
 
-    def begin(self, now: float) -> None:
+    def begin_event(self, now: float) -> None:
         """Begin an event: nothing is decided yet."""
         self.now = now
         self.actions = []
 
-    def act(self, action: Action) -> None:
+    def add_action(self, action: Action) -> None:
         """Add an action, after those decided before it."""
         self.actions.append(action)
 
--- a/elderstall/decisions/dispatcher.py
+++ b/elderstall/decisions/dispatcher.py
@@ -57,7 +57,7 @@
     TimerFired,
     WorkersForgotten,
 )
-from elderstall.limits.shares import Shares
+from elderstall.limits.shares import QuotaTracker
 
 
 class Dispatcher:
@@ -66,7 +66,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = DecisionContext(settings, seed)
         self.estimates = WorkEstimates()
-        self.quotas = Shares()
+        self.quotas = QuotaTracker()
         self.shedding = LoadShedding()
         self.capacity = CapacityModel(context, self.estimates)
         self.endpoints = Endpoints(context, self.capacity, ReservedWorkers())
@@ -159,7 +159,7 @@
 
     def handle(self, now: float, event: Event) -> Actions:
         """Take one event at a time, ms, and return what to do, in order."""
-        self.context.begin(now)
+        self.context.begin_event(now)
         if (handler := self._handlers.get(type(event))) is not None:
             handler(event)
         return self.context.actions
@@ -206,9 +206,9 @@
         if summary is None:
             return
         running, queued = self.in_flight.slots_running, len(self.queue)
-        self.context.act(
+        self.context.add_action(
             LogLine(
-                f"{summary.policy}, our part {summary.own_slots:.0f} slots, {running} run, "
+                f"{summary.policy}, our part {summary.total_slot_share:.0f} slots, {running} run, "
                 f"pace {summary.pace:.2f}, {queued} jobs held"
             )
         )
@@ -238,7 +238,7 @@
     def _settings_changed(self, event: SettingsChanged) -> None:
         """Take new settings and keep what was learned; a job keeps its class, and its place in the order."""
         queued, tiers = self.queue.queued_jobs(), self.context.mode.tiers
-        self.context.adopt(event.settings)
+        self.context.change_settings(event.settings)
         self._adopt()
         if self.context.mode.tiers != tiers:
             self.pools.reset()
--- a/elderstall/decisions/eligibility.py
+++ b/elderstall/decisions/eligibility.py
@@ -9,7 +9,7 @@
 from elderstall.decisions.records import Job, Worker
 from elderstall.decisions.slow_start import SlowStart
 from elderstall.decisions.urgency import Urgency
-from elderstall.interface import Effect, Scope
+from elderstall.interface import DeduplicationScope, Effect
 
 FAULTY_MOST = 0.6  # of the workers may be held faulty; were it more, the jobs are at fault
 DEDUPLICATION_PART = 0.95  # of a class's memory span: after it a repeat may not be dropped any more
@@ -57,9 +57,9 @@
         in_time = DEDUPLICATION_PART * job_class.deduplication_window
         if job.ran_at is None or self.context.now - job.ran_at >= in_time:
             return False
-        if job_class.scope is not Scope.ALL and worker.zone != first.zone:
+        if job_class.scope is not DeduplicationScope.ALL and worker.zone != first.zone:
             return False
-        return job_class.scope is not Scope.CELL or worker.cell == first.cell
+        return job_class.scope is not DeduplicationScope.CELL or worker.cell == first.cell
 
     def _probation_allows(self, worker: Worker, job: Job) -> bool:
         """Guard jobs that may not be repeated against a worker that fails them; late, it is a chance."""
--- a/elderstall/decisions/endpoints.py
+++ b/elderstall/decisions/endpoints.py
@@ -41,7 +41,7 @@
         self.total_capacity = 0.0  # of those that are up, ms of work a ms
         self.up_count = 0
         self.mean_jobs_per_core = 0.0  # by the endpoint list's weights
-        self.turn = 0.0  # virtual ms of the rotation
+        self.virtual_time = 0.0  # virtual ms of the rotation
         self._hash_ordered: list[Worker] = []  # all that are known, by hash but for the newest
         self._largest_weight: defaultdict[str, float] = defaultdict(float)  # by kind
         self._to_forget: set[str] = set()
@@ -80,14 +80,14 @@
         up = entry.state is WorkerState.UP
         worker = self.workers.get(entry.worker)
         if worker is None:
-            worker = Worker.of(entry)
+            worker = Worker.from_endpoint(entry)
             self._hash_ordered.append(worker)
             if self.context.mode.large_fleet:  # or all dispatchers would start with the same workers
                 spread = self.capacity.estimates.typical / ASSUMED_SLOTS
-                worker.turn = self.turn + self.context.rng.random() * spread
+                worker.virtual_time = self.virtual_time + self.context.rng.random() * spread
         elif up and entry.started not in (None, worker.started):
             worker.restart(entry.started, self.context.now)
-        worker.up, worker.given_position = up, entry.place
+        worker.up, worker.listed_preference_position = up, entry.preference_position
         self.workers[entry.worker] = worker
         largest = max(self._largest_weight[entry.kind], entry.weight)
         self._largest_weight[entry.kind] = largest
@@ -102,7 +102,9 @@
         self.capacity.count_workers(len(self.pooled) + len(self.shared))
         for n, worker in enumerate(self.fleet):
             evenly = (self.context.settings.rank - n) * GOLDEN_RATIO % 1
-            worker.line_position = evenly if worker.given_position is None else worker.given_position
+            worker.preference_position = (
+                evenly if worker.listed_preference_position is None else worker.listed_preference_position
+            )
             worker.fleet_index = n
         self.refresh()
 
--- a/elderstall/decisions/forwarding.py
+++ b/elderstall/decisions/forwarding.py
@@ -29,7 +29,7 @@
         job.in_flight += 1
         job.queued = False
         if not job.poll_rounds:  # else it took its turn when it was polled
-            self.pools.take_turn(worker, job.work * job.slots)
+            self.pools.advance_virtual_time(worker, job.work * job.slots)
         worker.slots_in_flight += job.slots
         if self.context.mode.polls_for_queued:
             worker.free_slots -= job.slots
@@ -39,7 +39,7 @@
         self.in_flight.add(attempt)
         self.slow_start.record(worker, job)
         time_out = max(settings.tick, self._ends(job) - self.context.now)
-        self.context.act(SendAttempt(job.id, worker.name, time_out))
+        self.context.add_action(SendAttempt(job.id, worker.name, time_out))
 
     def _ends(self, job: Job) -> float:
         """Say when an attempt is given up, ms."""
--- a/elderstall/decisions/hill_climb.py
+++ b/elderstall/decisions/hill_climb.py
@@ -5,17 +5,17 @@
 import random
 from collections.abc import Callable, Iterator
 
-from elderstall.decisions.records import Policy, legal
+from elderstall.decisions.records import Policy, is_feasible
 
 STEPS = (100, 10, 1)  # thousandths: the design's 0.1 cut tenfold to 0.001
 
 
 def neighbours(policy: Policy, step: int, tiers: int, *, resize: bool) -> Iterator[Policy]:
     """Yield the legal policies one step away."""
-    for n in range(len(policy.f)):
+    for n in range(len(policy.fractions)):
         for d in (step, -step):
-            f = (*policy.f[:n], policy.f[n] + d, *policy.f[n + 1 :])
-            if legal(near := Policy(f, policy.sizes), tiers) and not (resize and f[n] < 0):
+            f = (*policy.fractions[:n], policy.fractions[n] + d, *policy.fractions[n + 1 :])
+            if is_feasible(near := Policy(f, policy.sizes), tiers) and not (resize and f[n] < 0):
                 yield near
     if resize:
         move = sum(policy.sizes) * step // 2000 + 1
@@ -23,19 +23,19 @@
             for b in range(tiers):
                 if a != b:
                     sizes = tuple(s + move * ((k == a) - (k == b)) for k, s in enumerate(policy.sizes))
-                    if legal(near := Policy(policy.f, sizes), tiers):
+                    if is_feasible(near := Policy(policy.fractions, sizes), tiers):
                         yield near
 
 
 def random_policy(rng: random.Random, like: Policy, tiers: int, *, resize: bool) -> Policy:
     """Draw a legal policy."""
     while True:
-        f = tuple(rng.randrange(0 if resize else -10, 11) * 100 for _ in like.f)
+        f = tuple(rng.randrange(0 if resize else -10, 11) * 100 for _ in like.fractions)
         sizes = like.sizes
         if resize and (spare := sum(sizes) - tiers) > 0:
             marks = sorted(rng.randrange(spare + 1) for _ in range(tiers - 1))
             sizes = tuple(b - a + 1 for a, b in zip([0, *marks], [*marks, spare], strict=True))
-        if legal(policy := Policy(f, sizes), tiers):
+        if is_feasible(policy := Policy(f, sizes), tiers):
             return policy
 
 
@@ -60,7 +60,7 @@
         return seen[policy]
 
     if resize:
-        start = Policy(tuple(max(0, f) for f in start.f), start.sizes)
+        start = Policy(tuple(max(0, f) for f in start.fractions), start.sizes)
     here, step, looks = start, 0, 0
     score(start)
     while len(seen) < budget and looks < 4 * budget:  # a small space can be known before the budget is spent
--- a/elderstall/decisions/in_flight.py
+++ b/elderstall/decisions/in_flight.py
@@ -85,9 +85,9 @@
         overdue = self.context.now - self.least_delay[worker.zone] - self.context.mode.prompt_slack
         return any(attempt.sent_at < overdue for attempt in worker.unstarted.values())
 
-    def crowded(self, *, late: bool = False) -> bool:
+    def is_saturated(self, *, late: bool = False) -> bool:
         """Guard against queues that a burst fills: bound overdue starts, to one for late jobs."""
-        allowed = 1 if late else QUEUED_PART * (self.capacity.own_slots + self.slots_running) + 1
+        allowed = 1 if late else QUEUED_PART * (self.capacity.total_slot_share + self.slots_running) + 1
         stuck = STUCK_MOST * self.endpoints.up_count
         for attempt in self.unstarted.values():  # oldest first
             age = self.context.now - attempt.sent_at
--- a/elderstall/decisions/inheritance.py
+++ b/elderstall/decisions/inheritance.py
@@ -17,7 +17,7 @@
 
 # The keys under which a worker's learned values are handed over: fixed, as two versions meet there.
 WORKER_KEYS = {
-    "turn": "turn",
+    "turn": "virtual_time",
     "peak": "peak_slots",
     "limit": "slot_limit",
     "work": "work_done",
@@ -74,10 +74,10 @@
             "kinds": kinds,
             "mean": self.estimates.mean,
             "ended": self.estimates.completed,
-            "claim": self.capacity.claim,
-            "turn": self.endpoints.turn,
+            "claim": self.capacity.fleet_fraction,
+            "turn": self.endpoints.virtual_time,
             "load": self.solver.load,
-            "policy": (policy.f, policy.sizes),
+            "policy": (policy.fractions, policy.sizes),
         }
 
     def take_learned(self, data: dict[str, Any]) -> None:
@@ -88,13 +88,13 @@
         self.capacity.kinds.update({name: KindStatistics(*values) for name, values in data["kinds"].items()})
         self.estimates.mean |= data["mean"]
         self.estimates.completed |= data["ended"]
-        self.capacity.claim = data["claim"]
-        self.endpoints.turn = data["turn"]
+        self.capacity.fleet_fraction = data["claim"]
+        self.endpoints.virtual_time = data["turn"]
         self.solver.update_typical_work()
         self._take_policy(data)
         self.endpoints.rebuild()
         self.pools.rescale()
-        self.capacity.own_slots = sum(worker.slot_share for worker in self.endpoints.fleet)
+        self.capacity.total_slot_share = sum(worker.slot_share for worker in self.endpoints.fleet)
 
     def _take_policy(self, data: dict[str, Any]) -> None:
         """Take the former policy where the number of tiers is the same."""
@@ -112,7 +112,7 @@
             self.intake.place(job)
             return
         worker = self.endpoints.workers.get(event.worker) or Worker.unlisted(event.worker)
-        self.in_flight.adopt(Attempt(job, event.sent - 1, worker, event.sent_at))
+        self.in_flight.adopt(Attempt(job, event.attempts - 1, worker, event.sent_at))
         job.in_flight = 1
         worker.slots_in_flight += job.slots
         self.pools.moved(worker)
@@ -130,7 +130,7 @@
             event.key,
             event.arrived,
             event.deadline,
-            event.sent,
+            event.attempts,
         )
         if event.ran_on is not None:
             job.ran_on = self.endpoints.workers.get(event.ran_on) or Worker.unlisted(event.ran_on)
--- a/elderstall/decisions/intake.py
+++ b/elderstall/decisions/intake.py
@@ -14,7 +14,7 @@
 from elderstall.decisions.solver import Solver
 from elderstall.decisions.urgency import Urgency
 from elderstall.interface import JobArrived
-from elderstall.limits.shares import Shares
+from elderstall.limits.shares import QuotaTracker
 
 FULL_FLEET = "full fleet"  # why a job was rejected, for the figures
 
@@ -26,7 +26,7 @@
         self,
         context: DecisionContext,
         estimates: WorkEstimates,
-        quotas: Shares,
+        quotas: QuotaTracker,
         shedding: LoadShedding,
         solver: Solver,
         answers: Answers,
--- a/elderstall/decisions/list_polling.py
+++ b/elderstall/decisions/list_polling.py
@@ -21,7 +21,7 @@
 
     def adopt(self) -> None:
         """Take the settings in force."""
-        self.calls.dispatchers = self.context.settings.callers
+        self.calls.dispatchers = self.context.settings.list_callers
         self.calls.poll_interval = self.context.settings.poll_interval
 
     def begin(self) -> None:
@@ -41,14 +41,14 @@
 
     def call(self) -> None:
         """Ask for the list and its changes, and again should no answer come at all."""
-        self.context.act(WatchEndpoints())
+        self.context.add_action(WatchEndpoints())
         self.calls.call(self.context.now)
         self._call_in(self.context.settings.poll_interval * RENEW_PART)
 
     def failed(self, scope: ListScope) -> None:
         """Plan the next call after one, or a watch, has failed or fallen silent."""
         self._call_in(self.calls.fail(self.context.rng, self.context.now, scope is ListScope.SILENT))
-        self.context.act(LogLine(f"list out of reach; asked again within {self.calls.waited:.0f} ms"))
+        self.context.add_action(LogLine(f"list out of reach; asked again within {self.calls.waited:.0f} ms"))
 
     def answered(self) -> None:
         """Take a list; the one known at the start answers no call."""
--- a/elderstall/decisions/outcomes.py
+++ b/elderstall/decisions/outcomes.py
@@ -10,7 +10,7 @@
 from elderstall.decisions.intake import Intake
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.queue import JobQueue
-from elderstall.decisions.records import BACKOFF_LEAST, Attempt, Job
+from elderstall.decisions.records import MIN_BACKOFF_MS, Attempt, Job
 from elderstall.interface import NEVER_RAN, AttemptEnded, AttemptProgressed, Effect, Ending
 
 PROBATION_JOBS = 4  # served in a row: one that fails half of its jobs would pass by chance in one of 16 rows
@@ -107,7 +107,7 @@
         """Put a worker on probation: one that fails jobs fast looks idle and would draw those that follow."""
         worker = attempt.worker
         worker.probation = PROBATION_JOBS
-        worker.grow_backoff(BACKOFF_LEAST)
+        worker.grow_backoff(MIN_BACKOFF_MS)
         self.endpoints.on_probation[worker.name] = worker
         worker.backoff_until = max(worker.backoff_until, self.context.now + worker.backoff)
 
@@ -115,7 +115,7 @@
         """Leave a worker alone that is full, out of reach or too slow."""
         worker, now = attempt.worker, self.context.now
         timed_out = ending is Ending.TIMED_OUT
-        least = TIMED_OUT_TIMES * (now - attempt.sent_at) if timed_out else BACKOFF_LEAST
+        least = TIMED_OUT_TIMES * (now - attempt.sent_at) if timed_out else MIN_BACKOFF_MS
         if self.context.mode.polls_before_placing:
             least = min(least, GIVEN_UP_BACKOFF)
         if timed_out and now - attempt.sent_at < BRIEF:
--- a/elderstall/decisions/placement.py
+++ b/elderstall/decisions/placement.py
@@ -44,7 +44,7 @@
         """Follow the ordinary path; if the job's pool has none of the best rank, look in the others too."""
         if job.ran_on is not None:
             return self._for_repeat(job)
-        if self.in_flight.crowded():
+        if self.in_flight.is_saturated():
             return None
         if (worker := self._on_probation(job)) is not None:
             return worker
@@ -62,7 +62,7 @@
                 least, best = found
         # Guards against blind sends to a full fleet: past own whole slots, jobs wait at one overdue start.
         blind = best is not None and least > 1 and best.slot_share in (0.0, 1.0)
-        return None if blind and self.in_flight.crowded(late=True) else best
+        return None if blind and self.in_flight.is_saturated(late=True) else best
 
     def _on_probation(self, job: Job) -> Worker | None:
         """Guard against a worker kept out which no job asks for its probation: a harmless one does."""
@@ -81,14 +81,14 @@
         for floor, entries in zip(GROUP_RANKS, rotation, strict=True):
             if least[0] < floor:
                 break
-            for turn, place, _, worker in entries:
+            for virtual_time, place, _, worker in entries:
                 if worker.backoff_until > self.context.now:
                     continue
                 slow = run > wanted * worker.speed
                 rank = (
-                    (floor + slow, False, turn, place)
+                    (floor + slow, False, virtual_time, place)
                     if floor == REST_RANK
-                    else (self._rank(worker, job, turn, place, slow=slow))
+                    else (self._rank(worker, job, virtual_time, place, slow=slow))
                 )
                 if rank < least and self.eligibility.accepts(worker, job):
                     best, least = worker, rank
@@ -96,7 +96,7 @@
                         break  # the others of the group come later in the rotation
         return least[0], best
 
-    def _rank(self, worker: Worker, job: Job, turn: float, place: int, *, slow: bool) -> Rank:
+    def _rank(self, worker: Worker, job: Job, virtual_time: float, place: int, *, slow: bool) -> Rank:
         """Rank a worker for a job; the least is best."""
         settings = self.context.settings
         # Where slots are whole, a cold worker in whose window we have a turn is as good as our own.
@@ -106,7 +106,7 @@
         )
         rank = 2 * past_share + slow
         crossing = rank < 2 and worker.zone != settings.zone and settings.cross_zone_price > 0
-        return rank, crossing, turn, place
+        return rank, crossing, virtual_time, place
 
     def _by_key(self, order: list[int], job: Job) -> Worker | None:
         """Give an accepting worker of those that every dispatcher's hash names for the job's key."""
@@ -124,4 +124,4 @@
         """Give the next accepting worker of those at which a job that may have run may run again."""
         workers = self.endpoints.workers.values()
         accepting = (worker for worker in workers if self.eligibility.accepts_repeat(worker, job))
-        return min(accepting, key=lambda worker: worker.turn, default=None)
+        return min(accepting, key=lambda worker: worker.virtual_time, default=None)
--- a/elderstall/decisions/polling.py
+++ b/elderstall/decisions/polling.py
@@ -16,7 +16,7 @@
 from elderstall.decisions.placement import Placement, long_run
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.queue import JobQueue
-from elderstall.decisions.records import BACKOFF_LEAST, Job, Worker
+from elderstall.decisions.records import MIN_BACKOFF_MS, Job, Worker
 from elderstall.decisions.urgency import Urgency
 from elderstall.interface import Ending, LoadPolled, PollLoad
 
@@ -45,16 +45,16 @@
     def poll(self, workers: Iterable[Worker]) -> None:
         """Poll workers that have not reported just now; a poll is a turn, or full ones would stay first."""
         for worker in workers:
-            self.pools.take_turn(worker, self.estimates.typical / POLLED_AT_ONCE)
+            self.pools.advance_virtual_time(worker, self.estimates.typical / POLLED_AT_ONCE)
             self.pools.moved(worker)
             if not worker.poll_pending and self.context.now - worker.reported_at > REPORT_FRESH_FOR:
                 worker.poll_pending = True
-                self.context.act(PollLoad(worker.name))
+                self.context.add_action(PollLoad(worker.name))
 
     def poll_next_own(self) -> None:
         """Poll the next of our own workers, to learn how full the fleet is."""
         now = self.context.now
-        ready = (worker for worker in self.pools.own_turns(0) if worker.backoff_until < now)
+        ready = (worker for worker in self.pools.owned_in_rotation_order(0) if worker.backoff_until < now)
         self.poll(list(islice(ready, 1)))
 
     def poll_for_queued(self) -> None:
@@ -78,7 +78,7 @@
             worker.reported_at, worker.free_slots = now, event.report[field]
             self.shedding.record(now, full=worker.free_slots < FREE_LEAST)
         elif event.ending not in (Ending.SERVED, Ending.FULL, Ending.NEVER_SENT):
-            worker.grow_backoff(BACKOFF_LEAST)
+            worker.grow_backoff(MIN_BACKOFF_MS)
             worker.backoff_until = max(worker.backoff_until, now + worker.backoff)
         self.pools.moved(worker)
         return worker
@@ -110,7 +110,7 @@
         job.polled_before, job.polled = job.polled_before + job.polled, []
         job.poll_rounds += 1
         reserved = self.endpoints.reserved.candidates(job, self.context.rng)
-        for worker in chain(reserved, self.pools.own_turns(pool)):
+        for worker in chain(reserved, self.pools.owned_in_rotation_order(pool)):
             if self._worth_polling(worker, job):
                 job.polled.append(worker)
                 if len(job.polled) == POLLED_AT_ONCE:
--- a/elderstall/decisions/pools.py
+++ b/elderstall/decisions/pools.py
@@ -7,11 +7,19 @@
 from elderstall.decisions.capacity import CapacityModel
 from elderstall.decisions.context import DecisionContext
 from elderstall.decisions.endpoints import Endpoints
-from elderstall.decisions.records import Job, Policy, Worker, flows, pairs, portions, ranked
+from elderstall.decisions.records import (
+    Job,
+    Policy,
+    Worker,
+    divide_proportionally,
+    pool_fractions,
+    rendezvous_order,
+    tier_pairs,
+)
 from elderstall.decisions.rotation import FAR, NEAR, REST, Rotation, Rotations
 
 KEY_CANDIDATES = 8  # workers of a pool, in order, that a key's jobs try: a key asked for a lot needs several
-TURN_DEBT_MOST = 1_000.0  # virtual ms of turns that a passed-over worker may catch up
+MAX_VIRTUAL_TIME_DEBT_MS = 1_000.0  # virtual ms of turns that a passed-over worker may catch up
 EQUAL_SIZE = 1000  # of each pool at first; sizes are rescaled to the workers that there are
 
 
@@ -33,16 +41,18 @@
             mode.tier_of(job_class.priority_weight) for job_class in mode.classes.values() if mode.large_fleet
         }
         sizes = tuple(1 if used and tier not in used else EQUAL_SIZE for tier in range(mode.tiers))
-        self.adopt_policy(Policy((0,) * len(pairs(mode.tiers)), sizes))
+        self.adopt_policy(Policy((0,) * len(tier_pairs(mode.tiers)), sizes))
 
     def adopt_policy(self, policy: Policy) -> None:
         """Take a policy; ``rescale`` hands the workers out by its sizes."""
         self.policy = policy
-        self.flows = flows(policy, self.context.mode.tiers)
+        self.pool_fractions = pool_fractions(policy, self.context.mode.tiers)
 
     def resize(self, weights: Sequence[float]) -> None:
         """Size the pools by weights."""
-        self.policy = Policy(self.policy.f, portions(len(self.endpoints.pooled), weights))
+        self.policy = Policy(
+            self.policy.fractions, divide_proportionally(len(self.endpoints.pooled), weights)
+        )
         self.rescale()
 
     def rescale(self) -> None:
@@ -50,7 +60,7 @@
         pooled, shared = self.endpoints.pooled, self.endpoints.shared
         total = len(pooled)
         if total and total != sum(self.policy.sizes):
-            self.policy = Policy(self.policy.f, portions(total, self.policy.sizes))
+            self.policy = Policy(self.policy.fractions, divide_proportionally(total, self.policy.sizes))
         self._key_candidates.clear()
         at = 0
         for pool, size in zip(self.pools, self.policy.sizes, strict=True):
@@ -64,13 +74,13 @@
 
     def draw_pool(self, job: Job) -> int:
         """Draw the pool that a job goes to: its tier's own, or another by the solved fractions."""
-        return self.context.rng.choices(range(self.context.mode.tiers), self.flows[job.tier])[0]
+        return self.context.rng.choices(range(self.context.mode.tiers), self.pool_fractions[job.tier])[0]
 
     def rotation(self, pool: int) -> Rotation:
         """Give the rotation of a pool."""
         return self.rotations[pool]
 
-    def own_turns(self, first_of: int) -> Iterator[Worker]:
+    def owned_in_rotation_order(self, first_of: int) -> Iterator[Worker]:
         """Give our own workers of all pools in the order of their turns, but the next of one pool first."""
         return self.rotations.turns(NEAR, first_of)
 
@@ -79,7 +89,7 @@
         used = worker.slots_in_flight
         if used and used >= self.capacity.open_slots(worker):
             return None
-        if worker.line_position >= self.capacity.preferred_part:
+        if worker.preference_position >= self.capacity.preferred_fraction:
             return REST
         if used:
             return NEAR if used + 1 <= worker.slot_share else FAR
@@ -87,11 +97,14 @@
         ours = worker.slot_share or (cold and not self.context.mode.polls_before_placing)
         return NEAR if ours else FAR
 
-    def take_turn(self, worker: Worker, work: float) -> None:
+    def advance_virtual_time(self, worker: Worker, work: float) -> None:
         """Charge a worker its turn: the time that the work, ms, takes it."""
         endpoints = self.endpoints
-        endpoints.turn = max(endpoints.turn, worker.turn)
-        worker.turn = max(worker.turn, endpoints.turn - TURN_DEBT_MOST) + work / worker.capacity
+        endpoints.virtual_time = max(endpoints.virtual_time, worker.virtual_time)
+        worker.virtual_time = (
+            max(worker.virtual_time, endpoints.virtual_time - MAX_VIRTUAL_TIME_DEBT_MS)
+            + work / worker.capacity
+        )
 
     def moved(self, worker: Worker) -> None:
         """Take that a worker's turn, or what it has of ours, has changed."""
@@ -100,6 +113,6 @@
     def key_candidates(self, pool: int, key: str) -> list[Worker]:
         """Give the workers of a pool that every dispatcher's hash names for a key."""
         if (pool, key) not in self._key_candidates:
-            workers = ranked(key, self.pools[pool], self.endpoints.largest_weight)
+            workers = rendezvous_order(key, self.pools[pool], self.endpoints.largest_weight)
             self._key_candidates[pool, key] = workers[:KEY_CANDIDATES]
         return self._key_candidates[pool, key]
--- a/elderstall/decisions/queue.py
+++ b/elderstall/decisions/queue.py
@@ -83,7 +83,7 @@
     def _review_bucket(self, jobs: list[Job], no_capacity: set[Need]) -> list[Job]:
         """Review one bucket; gives the jobs that stay in it."""
         late = self.buckets[-1]
-        crowded = self.in_flight.crowded(late=jobs is late)
+        saturated = self.in_flight.is_saturated(late=jobs is late)
         staying: list[Job] = []
         for job in jobs:
             if not job.queued:
@@ -92,7 +92,7 @@
             if self.urgency.out_of_time(job):
                 self.answers.finish(job)
             elif (
-                not crowded
+                not saturated
                 and (need not in no_capacity or job.ran_on is not None)
                 and (worker := self.placement.choose(job)) is not None
             ):
@@ -108,7 +108,7 @@
         """Offer the slots that have come free on a worker to queued jobs, more weight first."""
         late = self.buckets[-1]
         for jobs in self.buckets:
-            if jobs and not self.in_flight.crowded(late=jobs is late):
+            if jobs and not self.in_flight.is_saturated(late=jobs is late):
                 self._offer_to(jobs[:OFFER_DEPTH], worker)
             while jobs and not jobs[0].queued:
                 jobs.pop(0)
--- a/elderstall/decisions/queue_model.py
+++ b/elderstall/decisions/queue_model.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from itertools import accumulate
 
-from elderstall.decisions.records import Load, Policy, flows
+from elderstall.decisions.records import Load, Policy, pool_fractions
 
 TIER_WEIGHTS = (0.45, 0.35, 0.20)  # the design's w of gold, silver and bronze: the paper's pools
 INTERVAL = 2_000.0  # ms between f-solves: troubles last seconds, so the design's 30 s would miss them
@@ -21,7 +21,7 @@
 def utility(policy: Policy, load: Load) -> float:
     """Throughput within aim x sum of w * sigmoid(aim - response): the design's U_g."""
     tiers = len(load.rate)
-    share = flows(policy, tiers)
+    share = pool_fractions(policy, tiers)
     pools = range(tiers)
     jobs = [sum(load.rate[t] * share[t][p] for t in pools) for p in pools]
     work = [sum(load.rate[t] * share[t][p] * load.work[t] for t in pools) for p in pools]
@@ -30,7 +30,7 @@
     for p, end in enumerate(accumulate(policy.sizes)):
         at = end - policy.sizes[p]
         part = work[p] / total
-        power = max(load.power[end] - load.power[at] + load.shared_power * part, 1e-9)
+        power = max(load.capacity[end] - load.capacity[at] + load.shared_capacity * part, 1e-9)
         slots = max(1.0, load.slots[end] - load.slots[at] + load.shared_slots * part)
         rho = work[p] / power
         calm = min(rho, SATURATED)
--- a/elderstall/decisions/records.py
+++ b/elderstall/decisions/records.py
@@ -12,7 +12,7 @@
 from elderstall.interface import Endpoint, JobClass, Settings
 
 
-def portions(total: int, weights: Sequence[float]) -> tuple[int, ...]:
+def divide_proportionally(total: int, weights: Sequence[float]) -> tuple[int, ...]:
     """Cut a whole number by weights, each part at least 1; the largest takes what rounding leaves."""
     parts = [max(1, round(total * x / sum(weights))) for x in weights]
     while sum(parts) != total:
@@ -21,8 +21,8 @@
 
 
 CACHED_KEYS = 8  # of a worker are remembered
-BACKOFF_LEAST = 100.0  # ms a worker is left alone after 'full' or a failed connection; doubles
-BACKOFF_MOST = 4_000.0  # ms that no backoff exceeds: faults end, and a worker must get its way back
+MIN_BACKOFF_MS = 100.0  # ms a worker is left alone after 'full' or a failed connection; doubles
+MAX_BACKOFF_MS = 4_000.0  # ms that no backoff exceeds: faults end, and a worker must get its way back
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,9 +33,9 @@
     work: tuple[float, ...]  # slot-ms a job on a standard core
     run: tuple[float, ...]  # ms a job runs on a standard core
     latency_objective: tuple[float, ...]  # ms from arrival
-    power: tuple[float, ...]  # cumulative speed x slots of the cut order
+    capacity: tuple[float, ...]  # cumulative speed x slots of the cut order
     slots: tuple[float, ...]  # cumulative slots of the cut order
-    shared_power: float = 0.0  # of workers that serve every tier
+    shared_capacity: float = 0.0  # of workers that serve every tier
     shared_slots: float = 0.0
 
 
@@ -43,29 +43,33 @@
 class Policy:
     """Fractions in thousandths, in the order of ``pairs``, and pool sizes, gold first."""
 
-    f: tuple[int, ...]
+    fractions: tuple[int, ...]
     sizes: tuple[int, ...]
 
 
-def pairs(tiers: int) -> tuple[tuple[int, int], ...]:
+def tier_pairs(tiers: int) -> tuple[tuple[int, int], ...]:
     """(from, to) of each fraction: S to G, B to S, B to G; the one pair with two tiers."""
     return ((), (), ((1, 0),), ((1, 0), (2, 1), (2, 0)))[tiers]
 
 
-def legal(policy: Policy, tiers: int) -> bool:
+def is_feasible(policy: Policy, tiers: int) -> bool:
     """Check the design's constraints."""
     out = [0] * tiers
-    for (low, high), f in zip(pairs(tiers), policy.f, strict=True):
+    for (low, high), f in zip(tier_pairs(tiers), policy.fractions, strict=True):
         if abs(f) > 1000:
             return False
         out[low if f > 0 else high] += abs(f)
-    return max(out) <= 1000 and min(policy.sizes) >= 1 and (tiers < 3 or policy.f[0] * policy.f[2] >= 0)
+    return (
+        max(out) <= 1000
+        and min(policy.sizes) >= 1
+        and (tiers < 3 or policy.fractions[0] * policy.fractions[2] >= 0)
+    )
 
 
-def flows(policy: Policy, tiers: int) -> list[list[float]]:
+def pool_fractions(policy: Policy, tiers: int) -> list[list[float]]:
     """Share of each tier's jobs that goes to each pool."""
     share = [[1.0 if p == t else 0.0 for p in range(tiers)] for t in range(tiers)]
-    for (low, high), f in zip(pairs(tiers), policy.f, strict=True):
+    for (low, high), f in zip(tier_pairs(tiers), policy.fractions, strict=True):
         src, dst = (low, high) if f > 0 else (high, low)
         share[src][src] = max(0.0, share[src][src] - abs(f) / 1000)
         share[src][dst] += abs(f) / 1000
@@ -83,7 +87,7 @@
     started: float | None
     hash_order: tuple[int, str] = (0, "")  # by hash of the name, alike at every dispatcher
     up: bool = True  # listed as in service
-    turn: float = 0.0  # when it is next in the rotation, in virtual time
+    virtual_time: float = 0.0  # when it is next in the rotation, in virtual time
     slots_in_flight: int = 0  # of our attempts
     slots_running: int = 0  # of our attempts that have started
     stale_slots: int = 0  # at most so many of these started before its process was restarted
@@ -101,8 +105,10 @@
     capacity: float = 1.0  # speed x slots, as warm as it is
     slot_share: float = 1.0  # our part of its slots
     jobs_per_core: float = 0.0  # as the endpoint list's weights show
-    line_position: float = 0.0  # ours among the dispatchers in line for its slots, 0 to 1
-    given_position: float | None = None  # the same as the list gives it, where dispatchers hold subsets
+    preference_position: float = 0.0  # ours among the dispatchers in line for its slots, 0 to 1
+    listed_preference_position: float | None = (
+        None  # the same as the list gives it, where dispatchers hold subsets
+    )
     fleet_index: int = 0  # its place among all that are up
     poll_pending: bool = False  # it was asked for a load report, which is still to come
     reported_at: float = -math.inf  # when its latest load report came
@@ -112,7 +118,7 @@
     warm_up_sends: deque[tuple[float, float]] = field(default_factory=deque)  # time and work, while cold
 
     @classmethod
-    def of(cls, entry: Endpoint) -> Worker:
+    def from_endpoint(cls, entry: Endpoint) -> Worker:
         """Make one of an entry of the endpoint list."""
         order = (stable_hash(entry.worker), entry.worker)
         return cls(entry.worker, entry.kind, entry.zone, entry.cell, entry.started, order)
@@ -122,7 +128,7 @@
         """Make one that the endpoint list does not name: it gets no jobs."""
         return cls(name, "", None, 0, None, up=False)
 
-    def warmth(self, now: float, settings: Settings) -> float:
+    def warm_up_fraction(self, now: float, settings: Settings) -> float:
         """Share of its capacity that it surely has by its age."""
         if self.started is None or settings.slow_start_duration <= 0:
             return 1.0
@@ -138,7 +144,7 @@
 
     def grow_backoff(self, least: float) -> None:
         """Double the time, ms, that it is left alone after a failure."""
-        self.backoff = max(least, min(self.backoff * 2, BACKOFF_MOST))
+        self.backoff = max(least, min(self.backoff * 2, MAX_BACKOFF_MS))
 
     def restart(self, started: float | None, now: float) -> None:
         """Take a new start: a new, cold worker; what was learned of the old process is void."""
@@ -185,7 +191,7 @@
     started_at: float | None = None
 
 
-def load_of(
+def build_load(
     seen: Sequence[Sequence[float]], scale: float, pooled: Sequence[Worker], shared: Sequence[Worker]
 ) -> Load:
     """Feed the solver: jobs, slot-work, work and objective by tier, and the workers' capacity and slots."""
@@ -195,14 +201,14 @@
         work,
         run,
         objective,
-        power=tuple(accumulate((worker.capacity for worker in pooled), initial=0.0)),
+        capacity=tuple(accumulate((worker.capacity for worker in pooled), initial=0.0)),
         slots=tuple(accumulate((worker.slots for worker in pooled), initial=0.0)),
-        shared_power=sum(worker.capacity for worker in shared),
+        shared_capacity=sum(worker.capacity for worker in shared),
         shared_slots=sum(worker.slots for worker in shared),
     )
 
 
-def ranked(key: str, workers: Sequence[Worker], sizes: Mapping[str, float]) -> list[Worker]:
+def rendezvous_order(key: str, workers: Sequence[Worker], sizes: Mapping[str, float]) -> list[Worker]:
     """Order workers for a key by weighted rendezvous hash, alike at every dispatcher; sizes are by kind."""
     mark = stable_hash(key)
     chances = [
--- a/elderstall/decisions/reserved_workers.py
+++ b/elderstall/decisions/reserved_workers.py
@@ -44,7 +44,7 @@
         """Take the workers that are up, their places in line known; of none, none is reserved."""
         self.hash_limit = min(SHARE_MOST, self.urgent_work / self.work / TARGET_LOAD) * HASH_SPACE
         reserved = (worker for worker in workers if worker.hash_order[0] < self.hash_limit)
-        self.workers = sorted(reserved, key=lambda worker: worker.line_position)[:POLLED_MOST]
+        self.workers = sorted(reserved, key=lambda worker: worker.preference_position)[:POLLED_MOST]
 
     def is_urgent(self, job: Job) -> bool:
         """Say whether a job's wanted time leaves little beyond its work."""
@@ -63,4 +63,4 @@
         most = TARGET_LOAD * SHARE_MOST * self.work
         if not urgent or rng.random() * self.urgent_work > most:
             return []
-        return sorted(self.workers, key=lambda worker: worker.turn)
+        return sorted(self.workers, key=lambda worker: worker.virtual_time)
--- a/elderstall/decisions/rotation.py
+++ b/elderstall/decisions/rotation.py
@@ -38,7 +38,7 @@
             group.clear()
         for place, w in enumerate(workers):
             if (group_of := grouped[w.name]) is not None:
-                self.groups[group_of].append((w.turn, place, w.name, w))
+                self.groups[group_of].append((w.virtual_time, place, w.name, w))
         for group in self.groups:
             group.sort()
 
@@ -77,7 +77,7 @@
 
     def move(self, w: Worker) -> None:
         """Note that a worker's turn, or what it has of ours, has changed."""
-        old, new = w.rotation_key, (self.group(w), w.turn)
+        old, new = w.rotation_key, (self.group(w), w.virtual_time)
         if old != new:
             w.rotation_key = new
             for rotation in self.of:
--- a/elderstall/decisions/slow_start.py
+++ b/elderstall/decisions/slow_start.py
@@ -35,7 +35,7 @@
             return True
         sent = self._sent_in_window(worker)
         need, budget = job.work * job.slots, self._budget(worker)
-        if sent + need <= budget / self.context.settings.sharers:
+        if sent + need <= budget / self.context.settings.dispatchers_per_worker:
             return True
         if sent:
             return False
@@ -43,7 +43,7 @@
         # window. So what all send comes to the budget on average, whatever the jobs' lengths.
         jobs = int(budget / need)
         if self.context.mode.polls_before_placing:
-            return bool(worker.slot_share) and self._turn_among_owners(worker) < jobs
+            return bool(worker.slot_share) and self._position_among_owners(worker) < jobs
         return self._turn_among_all(worker) < jobs
 
     def _sent_in_window(self, worker: Worker) -> float:
@@ -63,14 +63,14 @@
         window = self.context.now // self.context.settings.slow_start_window
         return stable_hash(f"{worker.name} {window}")
 
-    def _turn_among_owners(self, worker: Worker) -> float:
+    def _position_among_owners(self, worker: Worker) -> float:
         """Give our turn in this window among the dispatchers whose own it is."""
-        near_part = self.capacity.near_part
-        owners = max(1.0, near_part * self.context.settings.sharers)
-        position = (worker.line_position / near_part + self._window_hash(worker) / HASH_SPACE) % 1
+        owned_fraction = self.capacity.owned_fraction
+        owners = max(1.0, owned_fraction * self.context.settings.dispatchers_per_worker)
+        position = (worker.preference_position / owned_fraction + self._window_hash(worker) / HASH_SPACE) % 1
         return position * owners
 
     def _turn_among_all(self, worker: Worker) -> float:
         """Give our turn in this window among all dispatchers that know it."""
         settings = self.context.settings
-        return (settings.rank + self._window_hash(worker)) % settings.sharers
+        return (settings.rank + self._window_hash(worker)) % settings.dispatchers_per_worker
--- a/elderstall/decisions/solver.py
+++ b/elderstall/decisions/solver.py
@@ -12,7 +12,7 @@
 from elderstall.decisions.hill_climb import climb
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.queue_model import INTERVAL, utility
-from elderstall.decisions.records import Job, Policy, load_of
+from elderstall.decisions.records import Job, Policy, build_load
 from elderstall.decisions.reserved_workers import spare_time
 
 RESIZE_EVERY = 10  # the design's 1:10 between the two cadences
@@ -31,7 +31,7 @@
     """What a solve of the sizes went out from."""
 
     policy: Policy
-    own_slots: float  # of the fleet
+    total_slot_share: float  # of the fleet
     pace: float  # ms that a ms of work takes
 
 
@@ -83,13 +83,13 @@
         fleet = self.endpoints.fleet
         capacity = sum(worker.capacity for worker in fleet) or 1.0
         work = sum(tier[1] for tier in self.load)
-        self.capacity.claim_for(work, INTERVAL, capacity)
+        self.capacity.update_fleet_fraction(work, INTERVAL, capacity)
         self.endpoints.refresh()
         if not (self.context.mode.polls_before_placing and self._size_by_work()):
             self.pools.settle()
-        self.capacity.share_of(fleet, capacity)
-        own_slots, pace = self.capacity.own_slots, self.capacity.ms_per_unit
-        summary = SolverSummary(self.pools.policy, own_slots, pace) if resize else None
+        self.capacity.update_totals(fleet, capacity)
+        total_slot_share, pace = self.capacity.total_slot_share, self.capacity.ms_per_unit
+        summary = SolverSummary(self.pools.policy, total_slot_share, pace) if resize else None
         self._climb(resize=resize)
         return summary
 
@@ -117,8 +117,8 @@
         tiers, budget = self.context.mode.tiers, self._budget(resize=resize)
         if tiers == 1 or not self.endpoints.pooled or budget < 2:
             return
-        scale = self.context.settings.sharers / INTERVAL
-        load = load_of(self.load, scale, self.endpoints.pooled, self.endpoints.shared)
+        scale = self.context.settings.dispatchers_per_worker / INTERVAL
+        load = build_load(self.load, scale, self.endpoints.pooled, self.endpoints.shared)
         policy = climb(
             self.pools.policy,
             lambda candidate: utility(candidate, load),
--- a/elderstall/engine/answers.py
+++ b/elderstall/engine/answers.py
@@ -46,7 +46,7 @@
         self.decisions.feed(JobReleased(job.number))
         if not job.closed:
             harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Rejected() if harmless else Failed(late=True))
+            self.close(job, Rejected() if harmless else Failed(timed_out=True))
 
     def reject(self, action: RejectJob) -> None:
         """Carry out Refuse; what may have run fails instead."""
@@ -59,7 +59,7 @@
         """Carry out Fail."""
         job = self.jobs.get(action.job)
         if job is not None:
-            self.close(job, Failed(late=self.deadlines.now() >= job.deadline))
+            self.close(job, Failed(timed_out=self.deadlines.now() >= job.deadline))
 
     def cannot_cancel(self, job: Job) -> None:
         """Answer a job that a worker may still have, which could not be told to give it up."""
@@ -92,7 +92,7 @@
             job.client.answered(answer)
         if job.attempt is not None:
             self.abort_attempt(job.attempt)
-        if not self.jobs.by_id:
+        if not self.jobs.by_request_id:
             self.on_idle()
 
     def _count(self, job: Job, answer: Answer, why: str) -> None:
@@ -103,7 +103,7 @@
             return
         self.figures.reasons[name, why or job.last_ending] += 1
         if isinstance(answer, Rejected):
-            self.figures.refused[name] += 1
+            self.figures.rejected[name] += 1
             return
         self.figures.failed[name] += 1
         after = self.deadlines.now() - job.arrived
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -12,7 +12,7 @@
 from elderstall.messages import Outcome
 from elderstall.routing.view import FleetView
 
-SHARERS_CHANGED = 1 / 8  # the decisions are told anew how many dispatchers share their workers
+DISPATCHERS_PER_WORKER_TOLERANCE = 1 / 8  # of a change in how many share a worker, before decisions get it
 
 
 class EndpointFeed:
@@ -31,8 +31,8 @@
         self.decisions, self.figures, self.drop_idle = decisions, figures, drop_idle
         self.follow: Callable[[], None] = lambda: None  # asks for the list's changes
         self.started = False  # the list known at the start has been taken
-        self.budget_part = 1.0  # of the dispatcher's slow-start budget, of this process
-        self._sharers = 0.0  # dispatchers that share our subset, as last told; 0: all know all workers
+        self.budget_fraction = 1.0  # of the dispatcher's slow-start budget, of this process
+        self._dispatchers_per_worker = 0.0  # as last sent to the decisions; 0: all know all workers
         self._calling = False  # a call for the list is out, of whose answer the decisions have not heard
         self._settling: Deadline | None = None  # when workers may enter the view again
 
@@ -46,10 +46,10 @@
         """Take a watch event, or that a call or a watch has failed."""
         now = self.deadlines.now()
         if scope in (ListScope.FAILED, ListScope.SILENT):
-            self.figures.list_failed += 1
+            self.figures.list_calls_failed += 1
         elif self.started:  # the list known at the start is not from discovery
-            self.figures.heard_at = now
-        events: Sequence[Event] = self.view.take(now, scope, entries)
+            self.figures.list_updated_at = now
+        events: Sequence[Event] = self.view.update(now, scope, entries)
         if not events and self._calling:
             events = [
                 EndpointListUpdate(ListScope.CHANGES)
@@ -61,10 +61,10 @@
         """Tell of changes; before that, by how many dispatchers the view is shared, where that changed."""
         if not events:
             return
-        old, new = self._sharers, self.view.sharing
-        if bool(old) != bool(new) or abs(new - old) > SHARERS_CHANGED * old:
-            self._sharers = new
-            self.share_budget(self.budget_part)
+        old, new = self._dispatchers_per_worker, self.view.subset_dispatchers_per_worker
+        if bool(old) != bool(new) or abs(new - old) > DISPATCHERS_PER_WORKER_TOLERANCE * old:
+            self._dispatchers_per_worker = new
+            self.set_budget_fraction(self.budget_fraction)
         for event in events:
             self.decisions.feed(event)
         due = self.view.due
@@ -74,38 +74,42 @@
     def _settle(self) -> None:
         """Let workers into the view that wait for it."""
         self._settling = None
-        self.notify(self.view.settle(self.deadlines.now()))
+        self.notify(self.view.admit_waiting(self.deadlines.now()))
 
     def change_settings(self, settings: Settings) -> None:
         """Take new settings."""
         self.settings = settings
-        changes = self.view.retune(settings, self.deadlines.now())
-        self._sharers = self.view.sharing
-        self.share_budget(self.budget_part)
+        changes = self.view.change_settings(settings, self.deadlines.now())
+        self._dispatchers_per_worker = self.view.subset_dispatchers_per_worker
+        self.set_budget_fraction(self.budget_fraction)
         self.notify(changes)
 
-    def share_budget(self, part: float) -> None:
+    def set_budget_fraction(self, part: float) -> None:
         """Keep to a part of what cold workers may be sent: the other process of an upgrade has the rest."""
-        self.budget_part = part
+        self.budget_fraction = part
         multiple = self.settings.slow_start_multiple * part
-        settings = replace(self.settings, slow_start_multiple=multiple, sharing=self._sharers)
+        settings = replace(
+            self.settings,
+            slow_start_multiple=multiple,
+            subset_dispatchers_per_worker=self._dispatchers_per_worker,
+        )
         self.decisions.feed(SettingsChanged(settings))
 
     def ban(self, worker: str) -> bool:
         """Send nothing new to a worker until its ban ends; says no if it was never listed."""
-        if not self.view.knows(worker):
+        if not self.view.is_known(worker):
             return False
         now = self.deadlines.now()
-        if self.view.exclude(worker, now):
+        if self.view.ban(worker, now):
             self.notify(self.view.refresh(worker, now))
         return True
 
     def end_ban(self, worker: str) -> bool:
         """End a ban: the worker is a new process, with nothing held against it."""
-        if not self.view.knows(worker):
+        if not self.view.is_known(worker):
             return False
         now = self.deadlines.now()
-        if self.view.include(worker, now):
+        if self.view.end_ban(worker, now):
             self.drop_idle(worker)
             self.notify(self.view.refresh(worker, now))
         return True
@@ -113,4 +117,4 @@
     def learn_reach(self, worker: str, outcome: Outcome) -> None:
         """Learn whether a worker's zone is in reach."""
         now = self.deadlines.now()
-        self.notify(self.view.ended(worker, outcome.ending, outcome.unreached, now))
+        self.notify(self.view.record_ending(worker, outcome.ending, outcome.worker_unreachable, now))
--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -41,7 +41,7 @@
 )
 from elderstall.log import Log
 from elderstall.messages import AttemptTransport, Client, Failed, JobRequest, Outcome, Rejected
-from elderstall.routing.view import ENTRIES_MOST, FleetView
+from elderstall.routing.view import MAX_LIST_ENTRIES, FleetView
 
 NO_CAPACITY = "no room"  # why a front rejected a job, for the figures
 
@@ -58,13 +58,13 @@
         log: Log,
         slack: float = 8.0,
         max_open: int = 20_000,
-        entries_most: int = ENTRIES_MOST,
+        max_list_entries: int = MAX_LIST_ENTRIES,
     ) -> None:
         self.settings, self.deadlines, self.transport, self.log = settings, deadlines, transport, log
         self.decisions = Dispatcher(settings, seed)
         self.feed = DecisionFeed(self.decisions, deadlines, log)
         self.counters = Figures([job_class.name for job_class in settings.classes])
-        self.view = FleetView(settings, entries_most, log.write)
+        self.view = FleetView(settings, max_list_entries, log.write)
         self.jobs = JobTable(max_open)
         self.rules = Rules(settings, deadlines, self.view)
         self.endpoints = EndpointFeed(
@@ -140,24 +140,24 @@
     def figures(self) -> Figures:
         """Give the figures as they stand."""
         figures, view, now = self.counters, self.view, self.deadlines.now()
-        figures.jobs, figures.listed = len(self.jobs), len(view.entries)
-        figures.avoided = sum(name in view.entries for name in self.decisions.unavailable(now))
-        figures.in_view = len(view.entries) if view.subset is None else len(view.members)
-        figures.widened = 0 if view.subset is None else view.subset.widened
-        figures.zones_lost = len(view.lost_zones)
+        figures.jobs, figures.workers_listed = len(self.jobs), len(view.entries)
+        figures.workers_skipped = sum(name in view.entries for name in self.decisions.unavailable(now))
+        figures.workers_in_view = len(view.entries) if view.subset is None else len(view.members)
+        figures.workers_widened = 0 if view.subset is None else view.subset.widened
+        figures.zones_out_of_reach = len(view.lost_zones)
         figures.lists_refused = view.counts.lists_refused
         figures.odd_entries = view.counts.odd_entries.total()
-        figures.forgotten = view.counts.forgotten
-        figures.list_age = now - figures.heard_at if figures.heard_at >= 0 else -1.0
+        figures.workers_forgotten = view.counts.forgotten
+        figures.list_age = now - figures.list_updated_at if figures.list_updated_at >= 0 else -1.0
         return figures
 
     def count_written(self) -> None:
         """Count an attempt whose last byte the transport has written."""
-        self.counters.tries += 1
+        self.counters.attempts_written += 1
 
     def count_rejected(self, job_class: str) -> None:
         """Count a job that a front has rejected for want of capacity."""
-        self.counters.refused[job_class] += 1
+        self.counters.rejected[job_class] += 1
         self.counters.reasons[job_class, NO_CAPACITY] += 1
 
     # ---- jobs ----
@@ -264,7 +264,7 @@
     def reject_transfer(self, transfer: JobTransfer, client: Client) -> None:
         """Answer a job that has come from another process where no more are taken, and end its attempt."""
         name, harmless = transfer.cls.name, transfer.harmless_to_reject
-        (self.counters.refused if harmless else self.counters.failed)[name] += 1
+        (self.counters.rejected if harmless else self.counters.failed)[name] += 1
         self.counters.reasons[name, NO_CAPACITY] += 1
         client.answered(Rejected() if harmless else Failed())
         self.abandon_transfer(transfer)
@@ -276,7 +276,7 @@
         if self.view.state(action.worker) is not WorkerState.UP:
             self.feed.feed(LoadPolled(action.worker, Ending.NEVER_SENT))
             return
-        self.counters.probes += 1
+        self.counters.polls += 1
         polling = self.transport.probe(action.worker)
         polling.addCallback(self._polled, action.worker).addErrback(self._not_polled, action.worker)
 
--- a/elderstall/engine/job_transfer.py
+++ b/elderstall/engine/job_transfer.py
@@ -11,7 +11,7 @@
 
 from elderstall.clocks import SharedClock
 from elderstall.engine.jobs import Attempt, Job
-from elderstall.interface import Effect, JobClass, Scope
+from elderstall.interface import DeduplicationScope, Effect, JobClass
 from elderstall.messages import Client, JobRequest
 
 CLOCK_SLACK = 500.0  # ms by which readings of a process of an earlier version may be off with no step
@@ -77,7 +77,7 @@
         """Whether its client may be promised that trying again does no harm."""
         if self.cls.effect is Effect.IDEMPOTENT:
             return True
-        if self.cls.effect is Effect.IDEMPOTENCY_KEY and self.cls.scope is Scope.ALL:
+        if self.cls.effect is Effect.IDEMPOTENCY_KEY and self.cls.scope is DeduplicationScope.ALL:
             return True
         return not self.may_have_run and self.attempt is None
 
@@ -120,31 +120,38 @@
             "hint": self.work_hint,
             "slots": self.slots,
             "sent": self.attempts,
-            "clock": clock.plain(),
-            "arrived": clock.written(self.arrived),
-            "deadline": clock.written(self.deadline),
+            "clock": clock.encode(),
+            "arrived": clock.encode_reading(self.arrived),
+            "deadline": clock.encode_reading(self.deadline),
             "ran": self.may_have_run,
-            "ran_at": None if self.ran_at is None else clock.written(self.ran_at),
+            "ran_at": None if self.ran_at is None else clock.encode_reading(self.ran_at),
             "unsure": list(self.may_still_speak),
             "back": list(self.handed_back),
             "to_tell": self.cancel_first,
             "attempt": None
             if attempt is None
-            else [attempt.worker, clock.written(attempt.sent_at), clock.written(attempt.ends_at)],
+            else [
+                attempt.worker,
+                clock.encode_reading(attempt.sent_at),
+                clock.encode_reading(attempt.ends_at),
+            ],
         }
 
     @classmethod
-    def decode(cls, message: dict[str, Any], own_offset: float, now: float) -> JobTransfer:
+    def decode(cls, message: dict[str, Any], local_offset: float, now: float) -> JobTransfer:
         """Read it from a message; raises KeyError, TypeError or ValueError where that is malformed."""
-        clock = SharedClock.of_message(message, own_offset)
-        arrived, deadline = clock.read(message["arrived"]), clock.read(message["deadline"])
-        ran_at = None if message.get("ran_at") is None else clock.read(message["ran_at"])
+        clock = SharedClock.of_message(message, local_offset)
+        arrived, deadline = (
+            clock.decode_reading(message["arrived"]),
+            clock.decode_reading(message["deadline"]),
+        )
+        ran_at = None if message.get("ran_at") is None else clock.decode_reading(message["ran_at"])
         attempt = None
         if message["attempt"] is not None:
             worker, sent_at, ends_at = message["attempt"]
-            attempt = AttemptTransfer(worker, clock.read(sent_at), clock.read(ends_at))
+            attempt = AttemptTransfer(worker, clock.decode_reading(sent_at), clock.decode_reading(ends_at))
         in_step = arrived <= now + CLOCK_SLACK and now <= deadline + CLOCK_SLACK
-        if not clock.told and not in_step:
+        if not clock.has_sender_offset and not in_step:
             # Guards its one answer where a process of an earlier version has run through a step of the wall
             # clock: its readings say nothing here, and its client may wait for only a moment longer.
             arrived, deadline = now + LEFT_UNKNOWN - (deadline - arrived), now + LEFT_UNKNOWN
@@ -194,5 +201,5 @@
 def decode_class(message: dict[str, Any]) -> JobClass:
     """Read a class."""
     values = {CLASS_KEYS[key]: value for key, value in message.items()}
-    values["effect"], values["scope"] = Effect(message["effect"]), Scope(message["scope"])
+    values["effect"], values["scope"] = Effect(message["effect"]), DeduplicationScope(message["scope"])
     return JobClass(**values)
--- a/elderstall/engine/jobs.py
+++ b/elderstall/engine/jobs.py
@@ -143,9 +143,9 @@
 
     def __init__(self, max_open: int) -> None:
         self.live: Slots[Job] = Slots(max_open)
-        self.by_id: dict[str, Job] = {}
+        self.by_request_id: dict[str, Job] = {}
         self.answered = RecentIds()
-        self.taken_elsewhere = RecentIds()  # by the other process of an upgrade
+        self.taken_by_other_process = RecentIds()  # by the other process of an upgrade
         self.on_taken: Callable[[str], None] = lambda request_id: None
 
     def __len__(self) -> int:
@@ -153,7 +153,7 @@
 
     def limit(self, max_open: int) -> None:
         """Take no more than so many jobs at once."""
-        self.live.most = min(max_open, SLOT_MASK)
+        self.live.max_items = min(max_open, SLOT_MASK)
 
     def get(self, number: int) -> Job | None:
         """Find a live job by its number."""
@@ -161,11 +161,11 @@
 
     def knows(self, request_id: str) -> bool:
         """Say whether this process took an id."""
-        return request_id in self.by_id or request_id in self.answered
+        return request_id in self.by_request_id or request_id in self.answered
 
     def check_new(self, request_id: str) -> None:
         """Raise RepeatedIdError or TooManyJobsError where a new job cannot be taken."""
-        if self.knows(request_id) or request_id in self.taken_elsewhere:
+        if self.knows(request_id) or request_id in self.taken_by_other_process:
             # Guards against a second run under another client's id: every request, a retry too, has its own.
             raise RepeatedIdError(request_id)
         if self.live.full:
@@ -179,11 +179,11 @@
     def import_job(self, job: Job) -> None:
         """Add a job that another process took, and number it."""
         self._insert(job)
-        self.taken_elsewhere.discard(job.request.request_id)
+        self.taken_by_other_process.discard(job.request.request_id)
 
     def _insert(self, job: Job) -> None:
         job.number = self.live.add(job)
-        self.by_id[job.request.request_id] = job
+        self.by_request_id[job.request.request_id] = job
 
     def remove(self, job: Job) -> None:
         """Take a job off that has had its answer."""
@@ -193,15 +193,15 @@
     def export_job(self, job: Job) -> None:
         """Take a job off that another process goes on with."""
         self._take_off(job)
-        self.taken_elsewhere.add(job.request.request_id)
+        self.taken_by_other_process.add(job.request.request_id)
 
     def _take_off(self, job: Job) -> None:
         self.live.remove(job.number)
-        del self.by_id[job.request.request_id]
+        del self.by_request_id[job.request.request_id]
 
     def live_attempt(self, request_id: str, worker: str) -> Attempt | None:
         """Find the attempt in flight of a client's id at a worker, for what the worker calls back."""
-        job = self.by_id.get(request_id)
+        job = self.by_request_id.get(request_id)
         if job is None or job.attempt is None or job.attempt.worker != worker:
             return None
         return job.attempt
--- a/elderstall/engine/learned_transfer.py
+++ b/elderstall/engine/learned_transfer.py
@@ -22,9 +22,9 @@
         if entry is not None and started == entry.started:
             worker["started"] = entry.since_ms
         elif started is not None:
-            worker["started"] = clock.written(started)  # its ban was ended then
-        worker["skip_until"] = clock.written(worker["skip_until"])
-        worker["pushed"] = [(clock.written(at), work) for at, work in worker["pushed"]]
+            worker["started"] = clock.encode_reading(started)  # its ban was ended then
+        worker["skip_until"] = clock.encode_reading(worker["skip_until"])
+        worker["pushed"] = [(clock.encode_reading(at), work) for at, work in worker["pushed"]]
     return data
 
 
@@ -44,9 +44,9 @@
     for entry in entries:
         if (worker := workers.get(entry.worker)) is None:
             continue
-        shown = view.shown(entry)
+        shown = view.effective_entry(entry)
         listed = shown.started == entry.started
         same = worker["started"] == (entry.since_ms if listed else bans_ended[entry.worker][1])
         worker["started"] = shown.started if same else math.nan
-        worker["skip_until"] = clock.read(worker["skip_until"])
-        worker["pushed"] = [(clock.read(at), work) for at, work in worker["pushed"]]
+        worker["skip_until"] = clock.decode_reading(worker["skip_until"])
+        worker["pushed"] = [(clock.decode_reading(at), work) for at, work in worker["pushed"]]
--- a/elderstall/engine/rules.py
+++ b/elderstall/engine/rules.py
@@ -6,7 +6,7 @@
 
 from elderstall.deadlines import Deadlines
 from elderstall.engine.jobs import Job
-from elderstall.interface import Effect, Scope, SendAttempt, Settings
+from elderstall.interface import DeduplicationScope, Effect, SendAttempt, Settings
 from elderstall.routing.view import FleetView
 
 DRAIN_PART = 0.75  # of the time that the rule on draining workers allows; after that nothing is sent
@@ -38,7 +38,7 @@
             return Violation.ATTEMPT_IN_FLIGHT
         if job.attempts > self.settings.max_attempts:  # this one is counted
             return Violation.TOO_MANY_ATTEMPTS
-        if not self.view.knows(send.worker):
+        if not self.view.is_known(send.worker):
             return Violation.UNKNOWN_WORKER
         if job.may_have_run and job.cls.effect is Effect.NOT_IDEMPOTENT:
             return Violation.MAY_HAVE_RUN
@@ -54,7 +54,7 @@
             and now - job.ran_at >= job.cls.deduplication_window - HELD_UP
         ):
             return Violation.NOT_DEDUPLICATED
-        if not job.client.here():
+        if not job.client.is_connected():
             return Violation.CLIENT_LEFT
         return None if now < job.deadline else Violation.NO_TIME
 
@@ -69,6 +69,6 @@
         """Say whether a client may be promised that trying again does no harm."""
         if job.cls.effect is Effect.IDEMPOTENT:
             return True
-        if job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is Scope.ALL:
+        if job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is DeduplicationScope.ALL:
             return True
         return not job.may_have_run and job.attempt is None
--- a/elderstall/interface.py
+++ b/elderstall/interface.py
@@ -22,11 +22,11 @@
     """What running a job twice would do; the values are the configuration's words."""
 
     IDEMPOTENT = "safe"  # no harm
-    IDEMPOTENCY_KEY = "keyed"  # workers drop a repeat for a while, see Scope
+    IDEMPOTENCY_KEY = "keyed"  # workers drop a repeat for a while, see DeduplicationScope
     NOT_IDEMPOTENT = "unsafe"  # harm
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which workers drop a repeat of a keyed job: all, those of one zone, or those of one cell."""
 
     ALL = "all"
@@ -83,7 +83,7 @@
     latency_objective: float  # ms
     deadline: float  # ms
     effect: Effect = Effect.IDEMPOTENT
-    scope: Scope = Scope.ALL
+    scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0  # ms in which workers drop a repeat
     stretch: float = 0.0
     late_share: float = 0.0  # of its weight, that a late answer earns
@@ -123,7 +123,7 @@
     "cross_zone_price": "crossing_price",
     "fetch_price": "fetch_price",
 }
-OWNERS_LEAST = 2.0  # dispatchers that count a worker as their own, where each holds a subset of the fleet
+MIN_OWNERS = 2.0  # dispatchers that count a worker as their own, where each holds a subset of the fleet
 
 
 @dataclass(slots=True, frozen=True)
@@ -158,21 +158,23 @@
     fetch_price: float = 0.0
     probes: bool = False  # whether workers may be asked how they stand
     cancels: bool = True  # whether workers may be told to give a job up
-    pulled: bool = False  # whether they tell it only then, not with their answers
-    sharing: float = 0.0  # dispatchers that share each worker of ours, where that is not all; see sharers
+    reports_only_when_polled: bool = False  # whether they tell it only then, not with their answers
+    subset_dispatchers_per_worker: float = (
+        0.0  # dispatchers that share each worker of ours, where that is not all; see dispatchers_per_worker
+    )
 
     @property
-    def sharers(self) -> float:
+    def dispatchers_per_worker(self) -> float:
         """How many dispatchers share each worker that we know: all, or those that hold it in their subset."""
-        return self.sharing or self.dispatchers
+        return self.subset_dispatchers_per_worker or self.dispatchers
 
     @property
-    def least_own_part(self) -> float:
+    def min_owned_fraction(self) -> float:
         """Least part of its workers that a dispatcher counts as its own: each has so many owners then."""
-        return OWNERS_LEAST / self.sharing if self.sharing else 0.0
+        return MIN_OWNERS / self.subset_dispatchers_per_worker if self.subset_dispatchers_per_worker else 0.0
 
     @property
-    def callers(self) -> int:
+    def list_callers(self) -> int:
         """How many dispatchers call for the list where we do."""
         return 1 if self.list_is_pushed else self.dispatchers
 
@@ -181,7 +183,7 @@
         require(len({c.name for c in self.classes}) == len(self.classes), "classes", "names repeat")
         for c in self.classes:
             require(isinstance(c.effect, Effect), "effect", f"unknown: {c.effect!r}")
-            require(isinstance(c.scope, Scope), "scope", f"unknown: {c.scope!r}")
+            require(isinstance(c.scope, DeduplicationScope), "scope", f"unknown: {c.scope!r}")
             require(0 < c.deadline < math.inf, "deadline", "must be above zero")
             for name, key in CLASS_NOT_NEGATIVE.items():
                 require(getattr(c, name) >= 0, key, "must not be negative")
@@ -211,7 +213,9 @@
     started: float | None = None
     state: WorkerState = WorkerState.UP
     weight: float = 1.0
-    place: float | None = None  # our position in line for it, 0 to 1, where dispatchers hold subsets
+    preference_position: float | None = (
+        None  # our position in line for it, 0 to 1, where dispatchers hold subsets
+    )
     since_ms: float | None = None
 
 
@@ -248,7 +252,7 @@
     key: str | None = None
     work_hint: float | None = None
     slots: int = 1
-    sent: int = 0
+    attempts: int = 0
     ran_on: str | None = None  # a worker on which it may have run
     worker: str | None = None
     sent_at: float = 0.0
--- a/elderstall/limits/shares.py
+++ b/elderstall/limits/shares.py
@@ -41,7 +41,7 @@
         return True
 
 
-class Shares:
+class QuotaTracker:
     """What was seen of each tenant, against its share."""
 
     def __init__(self) -> None:
--- a/elderstall/log.py
+++ b/elderstall/log.py
@@ -12,8 +12,10 @@
 from collections.abc import Callable
 from typing import TextIO
 
-LINE_MOST = 1_900  # bytes: a pipe that takes anything takes 4 KiB, which are two lines
-SELDOM_EVERY = 1_000.0  # ms between lines of a code of which one failing call could make any number
+MAX_LINE_BYTES = 1_900  # bytes: a pipe that takes anything takes 4 KiB, which are two lines
+RATE_LIMITED_INTERVAL_MS = (
+    1_000.0  # ms between lines of a code of which one failing call could make any number
+)
 
 
 class StandardError:
@@ -24,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self.cut = False  # only a part of the last line was written
+        self.line_incomplete = False  # only a part of the last line was written
 
     def fileno(self) -> int:
         """Give the descriptor; fails where the process was started without one."""
@@ -34,13 +36,13 @@
 
     def write(self, text: str) -> int:
         """Write one line at once."""
-        data = ("\n" * self.cut + text).encode("utf-8", "backslashreplace")
+        data = ("\n" * self.line_incomplete + text).encode("utf-8", "backslashreplace")
         try:
             descriptor = self.fileno()
         except ValueError:  # a stand-in without a descriptor, as in tests
             return sys.stderr.write(text)
         written = os.write(descriptor, data)
-        self.cut = written < len(data) if written else self.cut
+        self.line_incomplete = written < len(data) if written else self.line_incomplete
         if written < len(data):
             raise BlockingIOError("only a part of the line was written")
         return len(text)
@@ -49,7 +51,7 @@
         """Nothing is held back."""
 
 
-def complain(message: str) -> None:
+def print_error(message: str) -> None:
     """Write the one line with which a program ends that cannot begin; its exit status tells as much."""
     with contextlib.suppress(OSError, ValueError):
         StandardError().write(f"elderstall: {message}\n")
@@ -67,25 +69,27 @@
     ) -> None:
         self.clock, self.out = clock, out or StandardError()
         self.rate, self.burst = lines_per_s / 1000, burst
-        self.tokens, self.at = burst, clock()
+        self.tokens, self.refilled_at = burst, clock()
         self.suppressed: Counter[str] = Counter()
-        self.seldom: dict[str, float] = {}  # when a code was last written, of the few in write_seldom
+        self.last_written: dict[
+            str, float
+        ] = {}  # when a code was last written, of the few in write_rate_limited
 
-    def write_seldom(self, code: str, text: str) -> None:
+    def write_rate_limited(self, code: str, text: str) -> None:
         """Print at most one line a second under a code, and count the others."""
         now = self.clock()
-        if now - self.seldom.get(code, -math.inf) < SELDOM_EVERY:
+        if now - self.last_written.get(code, -math.inf) < RATE_LIMITED_INTERVAL_MS:
             self.suppressed[code] += 1
             return
-        self.seldom[code] = now
+        self.last_written[code] = now
         self.write(code, text)
 
     def write(self, code: str, text: str) -> None:
         """Print one line under a code, or count it."""
         now = self.clock()
-        self.tokens = min(self.burst, self.tokens + (now - self.at) * self.rate)
-        self.at = now
-        if self.tokens < 1 or not self.room():
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
+        if self.tokens < 1 or not self.is_writable():
             self.suppressed[code] += 1
             return
         if self.suppressed:
@@ -95,7 +99,7 @@
         self.tokens -= 1
         self.print(now, code, text)
 
-    def room(self) -> bool:
+    def is_writable(self) -> bool:
         """Say whether two lines can be written without waiting.
 
         Guards the program against whoever reads its log and stands still: once a pipe is full, writing waits.
@@ -109,8 +113,8 @@
 
     def print(self, now: float, code: str, text: str) -> None:
         """Write the line; a log that cannot be written must not stop the program."""
-        clean = text[:LINE_MOST].replace("\n", " | ").replace("\r", " ")
-        clean = clean.encode("utf-8", "backslashreplace")[:LINE_MOST].decode("utf-8", "ignore")
+        clean = text[:MAX_LINE_BYTES].replace("\n", " | ").replace("\r", " ")
+        clean = clean.encode("utf-8", "backslashreplace")[:MAX_LINE_BYTES].decode("utf-8", "ignore")
         try:
             self.out.write(f"{now / 1000:.3f} {code} {clean}\n")
             self.out.flush()
@@ -130,7 +134,7 @@
             return
         frames = traceback.extract_tb(error.__traceback__)[-3:]
         places = " < ".join(f"{f.filename.rsplit('/', 1)[-1]}:{f.lineno}" for f in reversed(frames))
-        write = self.write_seldom if isinstance(error, OSError) else self.write
+        write = self.write_rate_limited if isinstance(error, OSError) else self.write
         write(
             "system" if isinstance(error, OSError) else "bug",
             f"{where}: {type(error).__name__}: {error} at {places}",
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -48,7 +48,7 @@
 class Failed:
     """Final answer: failed, with no promise about what has run."""
 
-    late: bool = False  # whether time ran out
+    timed_out: bool = False  # whether time ran out
 
 
 Answer = Served | Rejected | Failed
@@ -62,7 +62,9 @@
     result: bytes = b""
     report: tuple[float, ...] = ()  # the worker's load report, in the order of the settings' fields
     maybe_accepted: bool = False  # the worker may have accepted the job, unseen: it is told to give it up
-    unreached: bool = False  # no connection came up, or a poll was not answered: see routing/reach.py
+    worker_unreachable: bool = (
+        False  # no connection came up, or a poll was not answered: see routing/reach.py
+    )
     answer_begun: bool = False  # its answer had begun: without its word the job goes nowhere else
 
 
@@ -75,7 +77,7 @@
     def progressed(self, share: float, text: str) -> None:
         """Take the progress of an attempt: the share of its work that is done, 0 to 1, and a text."""
 
-    def here(self) -> bool:
+    def is_connected(self) -> bool:
         """Say whether the client is still there, as far as that can be seen without waiting."""
 
 
@@ -99,10 +101,10 @@
         forbids it by now: asked where writing had to wait, before the first byte.
         """
 
-    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
         """Have a worker give up a job that it may have accepted; fires with whether it confirmed that.
 
-        Where the job can go on without its word, the wait is short (``patient`` is false).
+        Where the job can go on without its word, the wait is short (``confirmation_required`` is false).
         """
 
     def probe(self, worker: str) -> Deferred[Outcome]:
--- a/elderstall/net/accepting.py
+++ b/elderstall/net/accepting.py
@@ -64,9 +64,9 @@
 class Acceptor:
     """Decides when a port is read, and how many connections it takes in one turn."""
 
-    def __init__(self, port: Any, deadlines: Deadlines, log: Log, room: Callable[[], int]) -> None:
+    def __init__(self, port: Any, deadlines: Deadlines, log: Log, capacity_left: Callable[[], int]) -> None:
         self.port, self.deadlines, self.log = port, deadlines, log  # port: a twisted.internet.tcp.Port
-        self.room = room
+        self.capacity_left = capacity_left
         self.errors: Counter[str] = Counter()  # by name, since the start
         self.errors_in_a_row = self.pauses_in_a_row = 0
         self.enabled, self.closed = True, False
@@ -81,7 +81,7 @@
         Twisted's port takes up to a hundred and more in one go: idle clients that come in a burst would have
         the descriptors that workers and discovery need. Those left in the queue come in the next turn.
         """
-        self.port.numberAccepts = max(1, min(self.port.numberAccepts, self.room()))
+        self.port.numberAccepts = max(1, min(self.port.numberAccepts, self.capacity_left()))
         self.read_port()
 
     def transport(self, sock: socket.socket, *args: Any) -> Any:
@@ -102,7 +102,9 @@
         name = error_name(error)
         self.errors[name] += 1
         self.errors_in_a_row += 1
-        self.log.write_seldom("accept", f"failed with {name}, {self.errors[name]} times since the start")
+        self.log.write_rate_limited(
+            "accept", f"failed with {name}, {self.errors[name]} times since the start"
+        )
         if error.errno in CONNECTION_ERRORS and self.errors_in_a_row < ERRORS_AT_ONCE:
             return True
         self.rest()
--- a/elderstall/net/console.py
+++ b/elderstall/net/console.py
@@ -29,27 +29,27 @@
     lines = [
         f"handled.{name}.{what}={counts[name]}"
         for name in f.classes
-        for what, counts in (("passed", f.served), ("dropped", f.refused), ("bad_gateway", f.failed))
+        for what, counts in (("passed", f.served), ("dropped", f.rejected), ("bad_gateway", f.failed))
     ]
     lines += [
         f"handled.{name}.unserved.{why.replace(' ', '_')}={n}" for (name, why), n in sorted(f.reasons.items())
     ]
     lines += [
-        f"upstream_tries={f.tries}",
+        f"upstream_tries={f.attempts_written}",
         f"in_progress={f.jobs}",
-        f"known_card_workers={f.listed}",
-        f"skipped_card_workers={f.avoided}",
-        f"loads={f.loads}",
-        f"load_errors={f.load_errors}",
-        f"worker_questions={f.probes}",
+        f"known_card_workers={f.workers_listed}",
+        f"skipped_card_workers={f.workers_skipped}",
+        f"loads={f.settings_loads}",
+        f"load_errors={f.settings_load_errors}",
+        f"worker_questions={f.polls}",
         f"list_calls={f.list_calls}",
-        f"list_calls_failed={f.list_failed}",
+        f"list_calls_failed={f.list_calls_failed}",
         f"list_age_ms={f.list_age:.0f}",
-        f"workers_listed={f.listed}",
-        f"workers_in_view={f.in_view}",
-        f"workers_widened={f.widened}",
-        f"zones_out_of_reach={f.zones_lost}",
-        f"workers_forgotten={f.forgotten}",
+        f"workers_listed={f.workers_listed}",
+        f"workers_in_view={f.workers_in_view}",
+        f"workers_widened={f.workers_widened}",
+        f"zones_out_of_reach={f.zones_out_of_reach}",
+        f"workers_forgotten={f.workers_forgotten}",
         f"lists_refused={f.lists_refused}",
         f"list_entries_odd={f.odd_entries}",
     ]
@@ -74,7 +74,7 @@
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.number, self.began = self.console.callers.add(self), self.console.deadlines.now()
         self.timer = self.console.deadlines.after(PATIENCE, self.end, "silent")
-        self.console.crowded()
+        self.console.enforce_limit()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
         if self.called:
@@ -148,7 +148,7 @@
         """Whether an answer is still being taken."""
         return any(c.called and not c.ended for c in self.callers)
 
-    def crowded(self) -> None:
+    def enforce_limit(self) -> None:
         """Keep to the number of callers: who has been there longest goes first.
 
         Guards the next call against those that say nothing, or half a call, and stay.
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -26,7 +26,7 @@
     "terminated": WorkerState.GONE,
 }
 MOST = 1e15  # of any number in a list
-LINE_MOST = 4 * 1024 * 1024  # bytes of one list: 1,024 workers take 160 KB, indented 300 KB
+MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of one list: 1,024 workers take 160 KB, indented 300 KB
 LIFE_BYTES = 4 * 1024  # of a long list, as a sign of life while it still comes: fewer may drip for ever
 SILENT_FOR = 2_500.0  # ms without a line on a watch: an empty one comes every 2 s
 ANSWER_IN = 4_000.0  # ms for the first line of a call, which may wait in discovery's queue
@@ -51,7 +51,7 @@
         """Forget a worker."""
 
 
-Told = Callable[[ListScope, tuple[Endpoint, ...]], None]
+ListUpdateHandler = Callable[[ListScope, tuple[Endpoint, ...]], None]
 Connect = Callable[[Factory], Deferred["WatchConnection"]]
 
 
@@ -91,7 +91,7 @@
     return value["index"], scope, [entry_of(e, live) for e in value["endpoints"]]
 
 
-def told_as(index: int, entries: Iterable[Endpoint], addresses: Mapping[str, str]) -> dict[str, Any]:
+def encode_list(index: int, entries: Iterable[Endpoint], addresses: Mapping[str, str]) -> dict[str, Any]:
     """Write a whole list in discovery's form."""
     states = {state: name for name, state in STATES.items()}
 
@@ -126,7 +126,7 @@
     def __init__(self, watch: Discovery) -> None:
         self.watch = watch
         self.parser = http.Parser(responses=True, max_body=0)
-        self.values = JsonLines(LINE_MOST)
+        self.values = JsonLines(MAX_LIST_BYTES)
         self.good = False
         self.index: int | None = None  # of the latest list told here
         self.came = 0  # bytes since the last sign of life
@@ -212,7 +212,7 @@
         log: Log,
         connect: Connect,
         pools: Pools,
-        told: Told,
+        told: ListUpdateHandler,
         address: str = "",
         live: bool = False,
     ) -> None:
--- a/elderstall/net/handover/link.py
+++ b/elderstall/net/handover/link.py
@@ -70,7 +70,7 @@
         self.reader = MessageReader()
         self.questions = OpenQuestions(owner.deadlines)
         self.unconfirmed: deque[Unconfirmed] = deque()  # the oldest first
-        self.newer = False  # the other is the new one, and has asked
+        self.is_successor = False  # the other is the new one, and has asked
         self.serving = False  # the new one accepts; the old one hands over
         self.given_up = False  # the other process lives, but does not read
         self.read_timer: Deadline | None = None  # runs while the other does not read
--- a/elderstall/net/handover/peers.py
+++ b/elderstall/net/handover/peers.py
@@ -67,7 +67,7 @@
         self.port: Any = None  # where the next process finds this one
         self.closed = False
         self.path_free = True  # nobody else is to be found at the path
-        self.older: Link | None = None  # to the process that hands over to this one
+        self.predecessor: Link | None = None  # to the process that hands over to this one
         self.search = PredecessorSearch(deadlines, log, reactor, self, self.predecessor_found)
         self.program: Program  # set as the program is put together
 
@@ -83,7 +83,7 @@
 
     def predecessor_found(self, link: Link) -> None:
         """Note the process that is asked to hand over."""
-        self.older, self.path_free = link, False
+        self.predecessor, self.path_free = link, False
 
     # ---- messages ----
 
@@ -118,10 +118,10 @@
 
     def offer(self, link: Link, version: object) -> None:
         """Hand over to a new process: one at a time."""
-        if version != VERSION or any(other.newer for other in self.links):
+        if version != VERSION or any(other.is_successor for other in self.links):
             link.send(Busy())
             return
-        link.newer = True
+        link.is_successor = True
         offer = self.program.make_offer()
         link.send_descriptor(State(offer.state), offer.listener)
         self.log.write("handover", "a new process asks for the listener")
@@ -167,7 +167,7 @@
 
     def established(self, link: Link) -> bool:
         """Say whether one of the two processes has handed its state over to the other."""
-        return link.newer or (link is self.older and not self.search.under_way)
+        return link.is_successor or (link is self.predecessor and not self.search.under_way)
 
     @property
     def others(self) -> list[Link]:
@@ -221,15 +221,15 @@
         """Note that the other process is gone."""
         if self.closed:
             return
-        if link is self.older:
-            self.older, self.path_free = None, True
+        if link is self.predecessor:
+            self.predecessor, self.path_free = None, True
             if self.search.under_way:
                 self.search.retry()
                 return
             self.listen()
-        elif not link.newer:
+        elif not link.is_successor:
             return
-        self.log.write("handover", f"the {'new' if link.newer else 'former'} process is gone")
+        self.log.write("handover", f"the {'new' if link.is_successor else 'former'} process is gone")
         self.program.links_changed()
 
     def descriptor_confirmed(self) -> None:
--- a/elderstall/net/handover/process_state.py
+++ b/elderstall/net/handover/process_state.py
@@ -31,7 +31,7 @@
     def encode(self) -> dict[str, Any]:
         """Write it as plain data for a message."""
         return {
-            "clock": self.clock.plain(),
+            "clock": self.clock.encode(),
             "starts": self.starts,
             "known": self.endpoints,
             "discovery": self.discovery,
@@ -44,10 +44,10 @@
         }
 
     @classmethod
-    def decode(cls, message: dict[str, Any], own_offset: float) -> ProcessState:
+    def decode(cls, message: dict[str, Any], local_offset: float) -> ProcessState:
         """Read it from a message; raises KeyError where a key is missing that every version sends."""
         return cls(
-            clock=SharedClock.of_message(message, own_offset),
+            clock=SharedClock.of_message(message, local_offset),
             starts=message.get("starts", {}),
             endpoints=message.get("known"),
             discovery=message.get("discovery"),
--- a/elderstall/net/jsonlines.py
+++ b/elderstall/net/jsonlines.py
@@ -14,8 +14,8 @@
 class JsonLines:
     """Takes bytes split anywhere; what it keeps back is bounded."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes of one value
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes  # bytes of one value
         self.text = bytearray()  # whole lines of a value that is not yet whole
         self.rest = bytearray()  # the line that is still coming
         self.depth = 0  # braces open in the text, those in strings too: it only spares parsing in vain
@@ -29,7 +29,7 @@
             self.rest.clear()
             yield from self.take(line)
         self.rest += rest
-        if len(self.text) + len(self.rest) > self.most:
+        if len(self.text) + len(self.rest) > self.max_bytes:
             raise BrokenOffError("value too long")
 
     def take(self, line: bytes) -> Iterator[Any]:
--- a/elderstall/net/server/admission.py
+++ b/elderstall/net/server/admission.py
@@ -48,12 +48,12 @@
 class ConnectionTable(Generic[C]):
     """The connections that are open, by their numbers and by what they are doing."""
 
-    def __init__(self, deadlines: Deadlines, most: int, soft: int) -> None:
+    def __init__(self, deadlines: Deadlines, max_connections: int, shedding_threshold: int) -> None:
         self.deadlines = deadlines
         # Accepting stops one step before the table is full; the reactor may hand over a few in one go.
         self.connections: Slots[C] = Slots()
-        self.most, self.soft = most, soft
-        self.elsewhere = 0  # connections of the other process of an upgrade, which count against our limits
+        self.max_connections, self.shedding_threshold = max_connections, shedding_threshold
+        self.peer_process_connections = 0  # of an upgrade; they count against the limits here
         # Those that may be shed, in the order of shedding; in each the longest there first.
         self.by_activity: tuple[dict[int, C], ...] = tuple({} for _ in Activity)
         self.closing_count = 0  # connections whose descriptor is free soon
@@ -88,12 +88,12 @@
     @property
     def soft_limit(self) -> int:
         """How many connections are kept before some are shed."""
-        return self.soft - self.elsewhere
+        return self.shedding_threshold - self.peer_process_connections
 
     @property
     def capacity_left(self) -> int:
         """How many more connections may come in."""
-        return self.most - self.elsewhere - len(self.connections)
+        return self.max_connections - self.peer_process_connections - len(self.connections)
 
     @property
     def open_count(self) -> int:
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -85,7 +85,7 @@
         table.set_activity(self, None)
         table.closing_count -= self.stage is Stage.ENDING
         table.connections.remove(self.number)
-        if self.passing is not None:
+        if self.handed_descriptor is not None:
             self.server.passed(self, whole=isinstance(reason.value, ConnectionDone))  # else it broke first
         else:
             kind = "client" if self.client else "peer"
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -22,7 +22,7 @@
     """
     transport = connection.transport
     try:
-        connection.passing = os.dup(transport.fileno())
+        connection.handed_descriptor = os.dup(transport.fileno())
     except OSError:
         return False
     connection.stage, connection.reason = Stage.CLOSING, CloseReason.PASSED
@@ -42,48 +42,48 @@
         self, engine: Engine, deadlines: Deadlines, table: ConnectionTable[ServerConnection]
     ) -> None:
         self.engine, self.deadlines, self.table = engine, deadlines, table
-        self.may_pass: Callable[[], bool] = lambda: False  # whether another process takes connections over
-        self.hand: Callable[..., bool] = lambda fd, **fields: False  # gives it one
+        self.can_hand_over: Callable[[], bool] = lambda: False  # another process takes connections
+        self.send_connection: Callable[..., bool] = lambda fd, **fields: False  # gives it one
         # Serves on with one that the other process could not be given.
-        self.keep: Callable[[int, dict[str, Any]], None] = lambda fd, fields: os.close(fd)
+        self.take_back_connection: Callable[[int, dict[str, Any]], None] = lambda fd, fields: os.close(fd)
         # Ids of jobs let go of and not yet handed over: a callback that comes meanwhile is to come again.
-        self.moving: set[str] = set()
+        self.ids_in_transfer: set[str] = set()
 
-    def pass_all(self) -> None:
+    def hand_over_all(self) -> None:
         """Hand over the connections between requests and those whose jobs can move, as many as may."""
         for connection in self.table.with_activity(Activity.IDLE, Activity.HEALTH_CHECKED, Activity.NEW):
-            if not self.may_pass():
+            if not self.can_hand_over():
                 return
-            self.pass_on(connection)
+            self.hand_over_idle(connection)
         for connection in self.table.connections:
-            if connection.job is not None and self.may_pass():
-                self.pass_job(connection)
+            if connection.job is not None and self.can_hand_over():
+                self.hand_over_job(connection)
 
-    def pass_on(self, c: RequestConnection) -> bool:
+    def hand_over_idle(self, c: RequestConnection) -> bool:
         """Leave a connection that is between requests to the process that takes over, if there is one."""
         idle = not (c.busy or c.blocked or c.closing or c.message or c.paused) and c.parser.idle
-        return idle and self.may_pass() and release(c)
+        return idle and self.can_hand_over() and release(c)
 
-    def pass_job(self, c: RequestConnection) -> bool:
+    def hand_over_job(self, c: RequestConnection) -> bool:
         """Leave a connection whose job is out to that process, with the job."""
         plain = c.busy and c.job is not None and c.stream is None and c.parser.idle
-        if not plain or c.blocked or c.paused or c.closing or not self.may_pass():
+        if not plain or c.blocked or c.paused or c.closing or not self.can_hand_over():
             return False
         transfer = self.engine.export_job(c.job or 0)
         if transfer is None:
             return False
         c.transfer, c.job = transfer, None
-        self.moving.add(transfer.request_id)
+        self.ids_in_transfer.add(transfer.request_id)
         if not release(c):  # no descriptor is free for its copy: it goes on here
             self.take_back(c)
-        return c.passing is not None
+        return c.handed_descriptor is not None
 
     def take_back(self, connection: RequestConnection) -> None:
         """Go on with a job that could not leave, or that has come over."""
         transfer, connection.transfer = connection.transfer, None
         if transfer is None or connection.original is None:
             return
-        self.moving.discard(transfer.request_id)
+        self.ids_in_transfer.discard(transfer.request_id)
         if self.engine.jobs.live.full:
             self.engine.reject_transfer(transfer, connection)
             return
@@ -93,19 +93,19 @@
 
     def passed(self, connection: RequestConnection, *, whole: bool) -> None:
         """Give a connection that this process has let go of to the other one."""
-        fd, connection.passing = connection.passing, None
+        fd, connection.handed_descriptor = connection.handed_descriptor, None
         if fd is None:
             return
         transfer = connection.transfer
         if transfer is not None:
-            self.moving.discard(transfer.request_id)
+            self.ids_in_transfer.discard(transfer.request_id)
         fields = self.encode(connection)
         if not whole:  # its client is gone
             os.close(fd)
             if transfer is not None:
                 self.engine.abandon_transfer(transfer)
-        elif not self.hand(fd, **fields):  # the other process is gone meanwhile
-            self.keep(fd, fields)
+        elif not self.send_connection(fd, **fields):  # the other process is gone meanwhile
+            self.take_back_connection(fd, fields)
 
     def encode(self, connection: RequestConnection) -> dict[str, Any]:
         """Write a connection, and the job that goes with it, as a message's fields."""
@@ -121,7 +121,7 @@
             fields["last"] = connection.close_after
         return fields
 
-    def adopted(self, connection: RequestConnection, fields: dict[str, Any]) -> None:
+    def adopt_connection(self, connection: RequestConnection, fields: dict[str, Any]) -> None:
         """Go on with a connection that the other process has handed over, and with its job if one is out."""
         connection.client, connection.worker = fields["client"], fields["worker"]
         connection.requests = fields["asked"]
--- a/elderstall/net/server/listener.py
+++ b/elderstall/net/server/listener.py
@@ -36,21 +36,25 @@
 
     # Held by its parts.
     connections = PartAttribute[Slots[ServerConnection]]("table", "connections")
-    most = PartAttribute[int]("table", "most")
-    soft = PartAttribute[int]("table", "soft")
-    elsewhere = PartAttribute[int]("table", "elsewhere")
+    max_connections = PartAttribute[int]("table", "max_connections")
+    shedding_threshold = PartAttribute[int]("table", "shedding_threshold")
+    peer_process_connections = PartAttribute[int]("table", "peer_process_connections")
     accept = PartAttribute[Callable[[bool], None]]("table", "accept")
     accepting = PartAttribute[bool]("table", "accepting")
-    crowded = PartAttribute[Callable[[], None]]("table", "enforce_limits")
-    room = PartAttribute[int]("table", "capacity_left")
-    weight = PartAttribute[int]("kept", "total")
-    weight_most = PartAttribute[int]("kept", "limit")
-    may_pass = PartAttribute[Callable[[], bool]]("handing_over", "may_pass")
-    hand = PartAttribute[Callable[..., bool]]("handing_over", "hand")
-    keep = PartAttribute[Callable[[int, dict[str, Any]], None]]("handing_over", "keep")
-    moving = PartAttribute[set[str]]("handing_over", "moving")
-    pass_all = PartAttribute[Callable[[], None]]("handing_over", "pass_all")
-    adopted = PartAttribute[Callable[[RequestConnection, dict[str, Any]], None]]("handing_over", "adopted")
+    enforce_limits = PartAttribute[Callable[[], None]]("table", "enforce_limits")
+    capacity_left = PartAttribute[int]("table", "capacity_left")
+    kept_bytes = PartAttribute[int]("kept", "total")
+    kept_bytes_limit = PartAttribute[int]("kept", "limit")
+    can_hand_over = PartAttribute[Callable[[], bool]]("handing_over", "can_hand_over")
+    send_connection = PartAttribute[Callable[..., bool]]("handing_over", "send_connection")
+    take_back_connection = PartAttribute[Callable[[int, dict[str, Any]], None]](
+        "handing_over", "take_back_connection"
+    )
+    ids_in_transfer = PartAttribute[set[str]]("handing_over", "ids_in_transfer")
+    hand_over_all = PartAttribute[Callable[[], None]]("handing_over", "hand_over_all")
+    adopt_connection = PartAttribute[Callable[[RequestConnection, dict[str, Any]], None]](
+        "handing_over", "adopt_connection"
+    )
     ask_others = PartAttribute[Callable[[Any], Deferred[bool] | None]]("callbacks", "ask_others")
 
     def __init__(
@@ -59,12 +63,14 @@
         deadlines: Deadlines,
         log: Log,
         parse_report: ReportParser,
-        most: int = 600,
-        soft: int = 500,
+        max_connections: int = 600,
+        shedding_threshold: int = 500,
         kept_limit: int = 8 * 1024 * 1024,
     ) -> None:
         self.engine, self.deadlines, self.log = engine, deadlines, log
-        self.table: ConnectionTable[ServerConnection] = ConnectionTable(deadlines, most, soft)
+        self.table: ConnectionTable[ServerConnection] = ConnectionTable(
+            deadlines, max_connections, shedding_threshold
+        )
         self.timeouts = Timeouts()
         self.kept = KeptBytes(kept_limit)
         self.callbacks = CallbackReceiver(engine, log, parse_report)
@@ -94,7 +100,7 @@
         else:
             connection.reply(200, b"up\n")
 
-    def retuned(self) -> None:
+    def recheck_heads(self) -> None:
         """Check the heads anew that were checked under other settings, and whose bodies still come."""
         for connection in self.table.connections:
             message = connection.message
@@ -111,7 +117,7 @@
         """Take a client's job."""
         connection.client = True
         request = replace(request, budget=max(0.0, request.budget - connection.time_since_first_byte()))
-        if not self.handing_over.may_pass():  # else it moves on with the job
+        if not self.handing_over.can_hand_over():  # else it moves on with the job
             request = self.bound_by_shutdown(request)
         if self.table.busy_count > self.table.soft_limit:
             # Guards the descriptors that workers' callbacks need.
@@ -178,7 +184,9 @@
         """Answer a callback that the other process was asked about; its job may have come over by now."""
         self.callbacks.apply(callback)
         # Without the other's word, or while its job is still on the way, the worker is to try again.
-        connection.reply(204 if confirmed and callback.request_id not in self.handing_over.moving else 503)
+        connection.reply(
+            204 if confirmed and callback.request_id not in self.handing_over.ids_in_transfer else 503
+        )
 
     def called(self, call: Any) -> bool:
         """Act on a callback that the other process forwards; say whether its attempt is live."""
@@ -193,9 +201,9 @@
     def inherit(self, streamed: list[str]) -> None:
         """Take those of the process that hands over."""
 
-    def pass_on(self, connection: RequestConnection) -> bool:
+    def hand_over_idle(self, connection: RequestConnection) -> bool:
         """Leave a connection that is between requests to the other process, if there is one."""
-        return self.handing_over.pass_on(connection)
+        return self.handing_over.hand_over_idle(connection)
 
     def passed(self, connection: RequestConnection, *, whole: bool) -> None:
         """Give a connection that this process has let go of to the other one."""
@@ -209,26 +217,26 @@
         # Nor where another process serves: it gets the connection.
         # Nor before what has come behind that request is answered too.
         leaves = (self.leaving or connection.rejected_in_shutdown) and connection.client
-        return leaves and not self.handing_over.may_pass() and not connection.more_came
+        return leaves and not self.handing_over.can_hand_over() and not connection.more_came
 
     def close_reason(self) -> CloseReason:
         """Name the reason of such an end."""
         return CloseReason.DRAIN if self.draining else CloseReason.CLOSED_AFTER
 
     def drain(self) -> None:
-        """Say at ``/up`` that the program ends; clients are served on until ``let_go``."""
+        """Say at ``/up`` that the program ends; clients are served on until ``close_idle_clients``."""
         self.draining = True
 
-    def let_go(self) -> None:
+    def close_idle_clients(self) -> None:
         """End clients' connections between requests; the others end with their answer."""
         self.leaving = True
         for c in self.table.connections:
             idle = not (c.busy or c.closing or c.message) and c.parser.idle
             # What has come and is not read yet is answered first; its connection ends with that.
-            if c.client and idle and not self.pass_on(c) and not unread(c.transport):
+            if c.client and idle and not self.hand_over_idle(c) and not unread(c.transport):
                 c.linger(CloseReason.DRAIN, discard=False)
 
-    def last_look(self) -> bool:
+    def close_if_drained(self) -> bool:
         """Close what is left between requests; say that nothing has come that is not read yet."""
         left = [connection for connection in self.table.connections if not connection.closing]
         for connection in [connection for connection in left if not unread(connection.transport)]:
@@ -236,7 +244,7 @@
         return all(connection.closing for connection in left)
 
     @property
-    def quiet(self) -> bool:
+    def is_quiescent(self) -> bool:
         """Whether no request is in hand or still being written."""
         return not any(
             connection.in_hand or unwritten(connection.transport) for connection in self.table.connections
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -34,7 +34,7 @@
     def close_reason(self) -> CloseReason:
         """Name the reason of such an end."""
 
-    def pass_on(self, connection: RequestConnection) -> bool:
+    def hand_over_idle(self, connection: RequestConnection) -> bool:
         """Leave a connection that is between requests to the other process of an upgrade."""
 
     def passed(self, connection: RequestConnection, *, whole: bool) -> None:
@@ -170,7 +170,7 @@
 
     def await_request(self) -> None:
         """Wait for the next request, or go on with one that has come already."""
-        if self.server.pass_on(self):
+        if self.server.hand_over_idle(self):
             return
         self.grace_used = False
         between = Activity.IDLE if self.client or self.worker else Activity.HEALTH_CHECKED
@@ -191,11 +191,11 @@
             self.rejected_in_shutdown = self.server.shortened
             self.reply(503, b"refused\n", retry_after(answer.retry_after))
         else:
-            self.reply(504 if answer.late else 502, b"failed\n")
+            self.reply(504 if answer.timed_out else 502, b"failed\n")
 
     def progressed(self, share: float, text: str) -> None:
         """Plain answers carry no progress."""
 
-    def here(self) -> bool:
+    def is_connected(self) -> bool:
         """Say whether the client is still there: its end may wait to be read."""
         return not left(self.transport)
--- a/elderstall/net/server/state.py
+++ b/elderstall/net/server/state.py
@@ -133,7 +133,7 @@
         self.worker = False  # has called back about a live attempt
         self.requests = 0
         # An upgrade.
-        self.passing: int | None = None  # a copy of its descriptor, for the process that takes it over
+        self.handed_descriptor: int | None = None  # a copy, for the process that takes it over
         self.transfer: JobTransfer | None = None  # the job that goes with it
 
     @property
--- a/elderstall/net/server/streams.py
+++ b/elderstall/net/server/streams.py
@@ -66,9 +66,9 @@
             data, self.pending = self.pending, None
             self.write_event("progress", data)
 
-    def here(self) -> bool:
+    def is_connected(self) -> bool:
         """Say whether the client is still there."""
-        return self.connection.here()
+        return self.connection.is_connected()
 
     def answered(self, answer: Answer) -> None:
         """Give the one final answer: plain where no event has gone out and none must, else an event."""
@@ -91,7 +91,7 @@
         elif isinstance(answer, Rejected):
             self.write_event("error", json.dumps({"status": 503, "retry_after_ms": answer.retry_after}))
         else:
-            late = isinstance(answer, Failed) and answer.late
+            late = isinstance(answer, Failed) and answer.timed_out
             self.write_event("error", json.dumps({"status": 504 if late else 502}))
 
 
--- a/elderstall/net/upstream/cancel_exchange.py
+++ b/elderstall/net/upstream/cancel_exchange.py
@@ -36,7 +36,7 @@
         """Take the answer's end: the worker knows."""
         self.finish(confirmed=True)
 
-    def failed(self, ending: Ending, *, answer_begun: bool = False, unreached: bool = False) -> None:
+    def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
         """Take the connection's end."""
         self.finish(confirmed=False)
 
--- a/elderstall/net/upstream/exchange.py
+++ b/elderstall/net/upstream/exchange.py
@@ -42,11 +42,11 @@
         behind it.
         """
 
-    def failed(self, ending: Ending, *, answer_begun: bool = False, unreached: bool = False) -> None:
+    def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
         """Take the connection's end before the answer's.
 
         The ending is unreachable if the request's last byte was not written. ``answer_begun``: the worker
-        had begun to answer. ``unreached``: see ``messages.Outcome``.
+        had begun to answer. ``worker_unreachable``: see ``messages.Outcome``.
         """
 
 
--- a/elderstall/net/upstream/job_exchange.py
+++ b/elderstall/net/upstream/job_exchange.py
@@ -132,14 +132,19 @@
         elif self.timer is not None:
             self.timer.cancel()
 
-    def failed(self, ending: Ending, *, answer_begun: bool = False, unreached: bool = False) -> None:
+    def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
         """Take the connection's end; after the 202 it says nothing of the job."""
         if self.timer is not None:
             self.timer.cancel()
         if self.message.status != ACCEPTED:
             # A reset says nothing of a 202 that it met on its way.
             self.finish(
-                Outcome(ending, maybe_accepted=self.written, answer_begun=answer_begun, unreached=unreached)
+                Outcome(
+                    ending,
+                    maybe_accepted=self.written,
+                    answer_begun=answer_begun,
+                    worker_unreachable=worker_unreachable,
+                )
             )
 
     # ---- the end ----
--- a/elderstall/net/upstream/load_exchange.py
+++ b/elderstall/net/upstream/load_exchange.py
@@ -52,9 +52,9 @@
                 self.log.write("bad-answer", "a load report that cannot be read")
         self.finish(Outcome(Ending.SERVED if self.status == 200 else Ending.FULL, report=report))
 
-    def failed(self, ending: Ending, *, answer_begun: bool = False, unreached: bool = False) -> None:
+    def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
         """Take the connection's end."""
-        self.finish(Outcome(ending, unreached=unreached))
+        self.finish(Outcome(ending, worker_unreachable=worker_unreachable))
 
     def finish(self, outcome: Outcome) -> None:
         """Give the outcome, once."""
--- a/elderstall/net/upstream/pool.py
+++ b/elderstall/net/upstream/pool.py
@@ -148,7 +148,7 @@
         self.services.connections.opening -= 1
         if not isinstance(failure.value, CancelledError):
             self.services.log.write("connect", f"{self.name}: {type(failure.value).__name__}")
-            handle.exchange.failed(Ending.UNREACHABLE, unreached=not is_local(failure.value))
+            handle.exchange.failed(Ending.UNREACHABLE, worker_unreachable=not is_local(failure.value))
 
     def _log_error(self, failure: Failure) -> None:
         """Log an error in the program; whoever waits has time-outs of its own."""
--- a/elderstall/net/upstream/streams.py
+++ b/elderstall/net/upstream/streams.py
@@ -64,12 +64,12 @@
         else:
             super().completed(maybe_accepted=maybe_accepted, answer_begun=answer_begun)
 
-    def failed(self, ending: Ending, *, answer_begun: bool = False, unreached: bool = False) -> None:
+    def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
         """Take the connection's end: once a stream has begun, its job may have run."""
         if self.events is not None:
             self.finish(Outcome(Ending.BROKEN))
         else:
-            super().failed(ending, answer_begun=answer_begun, unreached=unreached)
+            super().failed(ending, answer_begun=answer_begun, worker_unreachable=worker_unreachable)
 
     def finish(self, outcome: Outcome | None) -> None:
         """Give the attempt's outcome, once; the connection has a little time to finish the answer."""
--- a/elderstall/net/upstream/transport.py
+++ b/elderstall/net/upstream/transport.py
@@ -146,7 +146,7 @@
         exchange.wait_for_answer(handle, within)
         return handle
 
-    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
         """Have a worker give up a job that it may have accepted; see ``messages.AttemptTransport``."""
         result: Deferred[bool] = Deferred()
         pool = self._pool_of(worker)
@@ -160,7 +160,7 @@
             handle.abort()
             exchange.finish(confirmed=False)
 
-        timeout = CANCEL_WAIT if patient else self.connect_timeout * SHORT_CANCEL_WAIT
+        timeout = CANCEL_WAIT if confirmation_required else self.connect_timeout * SHORT_CANCEL_WAIT
         return self._with_timeout(result, timeout, overdue)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
@@ -176,7 +176,7 @@
         def overdue() -> None:
             handle.abort()
             pool.drop_idle()  # what is idle there may be as dead
-            exchange.failed(Ending.TIMED_OUT, unreached=True)
+            exchange.failed(Ending.TIMED_OUT, worker_unreachable=True)
 
         return self._with_timeout(result, self.connect_timeout * POLL_WAIT, overdue)
 
--- a/elderstall/routing/reach.py
+++ b/elderstall/routing/reach.py
@@ -11,7 +11,7 @@
 from elderstall.interface import Ending
 
 ANSWERED = frozenset({Ending.SERVED, Ending.FULL, Ending.ERROR})
-WORKERS_LEAST = 3  # different workers of a zone that fail in a row, before it counts as out of reach
+MIN_FAILING_WORKERS = 3  # different workers of a zone that fail in a row, before it counts as out of reach
 SEEN_FOR = 60_000.0  # ms after which a failure says nothing any more
 
 
@@ -26,10 +26,12 @@
         self.lost: Zones = frozenset()
         self.answering: Zones = frozenset()  # have answered since the first of them was lost
 
-    def ended(self, worker: str, zone: str | None, ending: Ending, unreached: bool, now: float) -> bool:
+    def record_ending(
+        self, worker: str, zone: str | None, ending: Ending, worker_unreachable: bool, now: float
+    ) -> bool:
         """Take the end of an attempt or a question; say whether it has changed what is in reach."""
         before = self.lost, self.answering
-        if unreached:
+        if worker_unreachable:
             self.failed(worker, zone, now)
         elif ending in ANSWERED:
             self.answered(zone)
@@ -45,9 +47,9 @@
         """Take a worker that was not reached."""
         failing = self.failing.setdefault(zone, {})
         failing[worker] = now
-        while failing and len(failing) > WORKERS_LEAST:
+        while failing and len(failing) > MIN_FAILING_WORKERS:
             del failing[next(iter(failing))]
         recent = sum(now - at <= SEEN_FOR for at in failing.values())
-        if recent >= WORKERS_LEAST:
+        if recent >= MIN_FAILING_WORKERS:
             self.lost |= {zone}
             self.answering -= {zone}
--- a/elderstall/routing/subset.py
+++ b/elderstall/routing/subset.py
@@ -21,13 +21,13 @@
 
 from elderstall.hashing import stable_hash
 
-SUBSET_LEAST = 1_024  # workers: up to so many a dispatcher knows all, as its standing limits ask
+MIN_SUBSET_SIZE = 1_024  # workers: up to so many a dispatcher knows all, as its standing limits ask
 REPLICAS = 8  # dispatchers that hold each worker at least, so that unequal traffic evens out over them
 SLACK = 1 / 8  # of a size: it changes, and members leave, only beyond it, so that nothing flaps
-LARGE = SUBSET_LEAST * (1 + SLACK)  # workers, from which a fleet is a large one
-KIND_LEAST = 64  # workers of each kind, and of the own zone where that counts: some for each tier's pool
+MIN_LARGE_FLEET = MIN_SUBSET_SIZE * (1 + SLACK)  # workers, from which a fleet is a large one
+MIN_WORKERS_PER_KIND = 64  # and of the own zone where that counts: some for each tier's pool
 KINDS_PART = 4  # one part in so many of a subset, at most, is taken so that no kind is missing
-LAST_PLACE = 0.999  # in line for a worker, of 1
+LAST_PREFERENCE_POSITION = 0.999  # in line for a worker, of 1
 WIDEN_MOST = 2.0  # times its length that an arc has at most while workers in it are out of reach
 RING = 2**32  # positions
 POINT_STEP = math.sqrt(2) - 1  # of the ring, from one rank's point to the next: their multiples lie evenly
@@ -35,7 +35,7 @@
 
 def subset_size(workers: int, dispatchers: int) -> int:
     """Give how many workers each of some dispatchers is to hold: `REPLICAS` holders for each, at least."""
-    return max(SUBSET_LEAST, math.ceil(REPLICAS * workers / dispatchers))
+    return max(MIN_SUBSET_SIZE, math.ceil(REPLICAS * workers / dispatchers))
 
 
 def position(name: str) -> int:
@@ -189,12 +189,12 @@
         """Work out how long each arc is to be, and cut all of them."""
         self.sized_for = len(self.places)
         self.size = subset_size(self.sized_for, self.dispatchers)
-        least = min(KIND_LEAST, self.size // (KINDS_PART * max(1, len(self.kinds))))
+        least = min(MIN_WORKERS_PER_KIND, self.size // (KINDS_PART * max(1, len(self.kinds))))
         for arc in self.kinds.values():
             share = math.ceil(self.size * len(arc.ring) / max(1, self.sized_for))
             arc.length = max(min(len(arc.ring), least), share)
         if self.home is not None:
-            self.home.length = min(len(self.home.ring), KIND_LEAST)
+            self.home.length = min(len(self.home.ring), MIN_WORKERS_PER_KIND)
         self.cut(self.arcs())
 
     def cut(self, arcs: Iterable[Arc]) -> None:
@@ -220,7 +220,7 @@
     def add(self, name: str, kind: str, zone: str | None) -> bool:
         """Take a worker that is up; say whether members may have changed."""
         if kind not in self.kinds:
-            self.kinds[kind] = Arc(Ring(), self.start, KIND_LEAST)
+            self.kinds[kind] = Arc(Ring(), self.start, MIN_WORKERS_PER_KIND)
         arcs = self._arcs_of(self._place(name, kind, zone))
         return self._changed(name, [arc for arc in arcs if arc.ring.add(name)])
 
@@ -246,7 +246,7 @@
         self.lost_zones, self.answering_zones = zones, answering
         self.cut(self.arcs())
 
-    def place(self, name: str) -> float:
+    def preference_position(self, name: str) -> float:
         """Give where the dispatcher stands in line for a worker, from 0 to 1: how far along its arc it lies.
 
         So those that a dispatcher counts as its own, the first part of its arc, are as evenly spread as all.
@@ -255,7 +255,7 @@
         span = RING * max(1, arc.length) / max(1, len(arc.ring))
         along = (position(name) - self.start) % RING / span
         if 1.0 <= along < 1.0 + SLACK:
-            return LAST_PLACE  # the arc's end: stretches of the ring are not equally full
+            return LAST_PREFERENCE_POSITION  # the arc's end: stretches of the ring are not equally full
         return along % 1  # past it are those taken for others, out of reach
 
     def wanted(self) -> set[str]:
--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -4,7 +4,7 @@
 draining or gone; the module decides among workers. ``FleetView`` stands between these. It holds one compact
 entry a listed worker and hands the module what it needs:
 
-* In fleets up to `subset.SUBSET_LEAST` workers, the whole list and each change, as discovery told them.
+* In fleets up to `subset.MIN_SUBSET_SIZE` workers, the whole list and each change, as discovery told them.
 * In larger ones a subset (`routing/subset.py`) and what changes in it. A change elsewhere is a dictionary
   update.
 
@@ -31,17 +31,17 @@
     WorkerState,
 )
 from elderstall.routing.reach import ZoneReach
-from elderstall.routing.subset import LARGE, SLACK, Subset, distance, subset_size
+from elderstall.routing.subset import MIN_LARGE_FLEET, SLACK, Subset, distance, subset_size
 
-GONE_FOR = 300_000.0  # ms for which a worker that is gone is remembered, as it may come back
-GONE_LEAST = 64  # of them are remembered at any size; else one for every GONE_PART listed ones
-GONE_PART = 4
-ENTER_PART = 1 / 8  # of the subset's size may enter it in a second, so that connections come up one by one
-ENTER_EVERY = 1_000.0  # ms between looks at those that wait to enter
-ENTRIES_MOST = 1_000_000  # of one list, where the memory limit is not known
+GONE_RETENTION_MS = 300_000.0  # ms for which a worker that is gone is remembered, as it may come back
+MIN_GONE_RETAINED = 64  # at any size; else one for every GONE_RETAINED_DIVISOR listed workers
+GONE_RETAINED_DIVISOR = 4
+ENTER_FRACTION = 1 / 8  # of the subset's size may enter per second, so that connections come up one by one
+ENTER_INTERVAL_MS = 1_000.0  # ms between looks at those that wait to enter
+MAX_LIST_ENTRIES = 1_000_000  # of one list, where the memory limit is not known
 
 
-class Remembered:
+class ExpiringNames:
     """Names with the time of something, oldest first; bounded in number and age."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         out = []
         while self.since:
             name, since = next(iter(self.since.items()))
-            if len(self.since) <= most and now - since <= GONE_FOR:
+            if len(self.since) <= most and now - since <= GONE_RETENTION_MS:
                 break
             out.append(name)
             del self.since[name]
@@ -87,19 +87,19 @@
     def __init__(
         self,
         settings: Settings,
-        entries_most: int = ENTRIES_MOST,
+        max_list_entries: int = MAX_LIST_ENTRIES,
         log: Callable[[str, str], None] = lambda code, text: None,
     ) -> None:
-        self.settings, self.entries_most, self.log = settings, entries_most, log
+        self.settings, self.max_list_entries, self.log = settings, max_list_entries, log
         self.entries: dict[str, Endpoint] = {}  # as discovery tells them; none that are gone
         self.unavailable: dict[str, float] = {}  # listed, but draining or banned; since when
-        self.gone = Remembered()
+        self.gone = ExpiringNames()
         self.banned: dict[str, float] = {}  # by hand; since when
-        self.put_back: dict[str, tuple[float, float]] = {}  # banned when, and until when
+        self.ended_bans: dict[str, tuple[float, float]] = {}  # banned when, and until when
         self.counts = ViewCounts()
         self.subset: Subset | None = None  # None: the module knows the whole list
         self.members: dict[str, None] = {}  # of the subset, as the module was told
-        self.closed = Remembered()  # workers that the module holds as gone or draining
+        self.closed = ExpiringNames()  # workers that the module holds as gone or draining
         self.waiting: dict[str, None] = {}  # to enter the subset
         self.entered_at = 0.0  # when some last entered
         self.reach = ZoneReach()
@@ -107,14 +107,14 @@
 
     # ---- what is known of a worker ----
 
-    def knows(self, worker: str) -> bool:
+    def is_known(self, worker: str) -> bool:
         """Say whether a worker is listed, or was until not long ago."""
         return worker in self.entries or worker in self.gone.since
 
     def state(self, worker: str) -> WorkerState:
         """Give a worker's state, bans included; one that is not known is gone."""
         entry = self.entries.get(worker)
-        return WorkerState.GONE if entry is None else self.shown(entry).state
+        return WorkerState.GONE if entry is None else self.effective_entry(entry).state
 
     def may_send(self, worker: str, now: float, within: float) -> bool:
         """Say whether a worker is up, or was told draining or gone no longer than ``within`` ms ago."""
@@ -125,13 +125,13 @@
             since = self.gone.since.get(worker)
         return since is not None and now - since <= within
 
-    def shown(self, entry: Endpoint) -> Endpoint:
+    def effective_entry(self, entry: Endpoint) -> Endpoint:
         """Lay what operators have said over an entry: it holds whatever discovery lists in the meantime."""
         worker = entry.worker
         if worker in self.banned and entry.state is WorkerState.UP:
             entry = replace(entry, state=WorkerState.DRAINING)
-        if worker in self.put_back:
-            since, until = self.put_back[worker]
+        if worker in self.ended_bans:
+            since, until = self.ended_bans[worker]
             if (entry.started or 0.0) < since:
                 # Guards rule 4: it was started anew while banned, but discovery's news of that comes late.
                 entry = replace(entry, started=until)
@@ -139,35 +139,35 @@
 
     # ---- operators ----
 
-    def exclude(self, worker: str, now: float) -> bool:
+    def ban(self, worker: str, now: float) -> bool:
         """Ban a worker; say whether that is new."""
         if worker in self.banned:
             return False
         self.banned[worker] = now
         return True
 
-    def include(self, worker: str, now: float) -> bool:
+    def end_ban(self, worker: str, now: float) -> bool:
         """End a ban: the worker counts as started now; say whether there was one."""
         since = self.banned.pop(worker, None)
         if since is not None:
-            self.put_back[worker] = since, now
+            self.ended_bans[worker] = since, now
         return since is not None
 
     def refresh(self, worker: str, now: float) -> list[Event]:
         """Have a worker's entry seen as it counts now; gives what the module is to be told."""
         entry = self.entries.get(worker)
-        return [] if entry is None else self.take(now, ListScope.CHANGES, (entry,))
+        return [] if entry is None else self.update(now, ListScope.CHANGES, (entry,))
 
     # ---- the list ----
 
-    def take(self, now: float, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> list[Event]:
+    def update(self, now: float, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> list[Event]:
         """Take news of the list; gives what the module is to be told."""
         if scope in (ListScope.FAILED, ListScope.SILENT):
             return [EndpointListUpdate(scope)]
         if not self.fits(scope, len(entries)):
             return []  # the last good view goes on
         self.count_odd(entries)
-        shown = tuple(self.shown(entry) for entry in entries)
+        shown = tuple(self.effective_entry(entry) for entry in entries)
         missing = self.missing_from(entries) if scope is ListScope.WHOLE else []
         for worker in missing:
             self.lose(worker, now)
@@ -180,10 +180,10 @@
     def fits(self, scope: ListScope, count: int) -> bool:
         """Say whether a list of so many entries can be held; refuse one that memory has no room for."""
         total = count + (0 if scope is ListScope.WHOLE else len(self.entries))
-        if count <= self.entries_most and total <= 2 * self.entries_most:
+        if count <= self.max_list_entries and total <= 2 * self.max_list_entries:
             return True
         self.counts.lists_refused += 1
-        self.log("list", f"refused: {count} entries, memory holds {self.entries_most} at most")
+        self.log("list", f"refused: {count} entries, memory holds {self.max_list_entries} at most")
         return False
 
     def count_odd(self, entries: tuple[Endpoint, ...]) -> None:
@@ -226,7 +226,7 @@
     # ---- what the module is told ----
 
     @property
-    def sharing(self) -> float:
+    def subset_dispatchers_per_worker(self) -> float:
         """How many dispatchers share each worker of the subset; 0 where all dispatchers know all workers."""
         if self.subset is None or not len(self.subset):
             return 0.0
@@ -241,7 +241,7 @@
     @property
     def is_large(self) -> bool:
         """Whether so many are up that a dispatcher that knows all begins with a part of them."""
-        return self.up > LARGE
+        return self.up > MIN_LARGE_FLEET
 
     def tell(
         self,
@@ -255,7 +255,11 @@
         if self.subset is None and self.up <= size * (1 + SLACK):
             for worker in changed:
                 self.note_closed(worker, now)
-            return [EndpointListUpdate(scope, tuple(map(self.placed, shown)) if self.is_large else shown)]
+            return [
+                EndpointListUpdate(
+                    scope, tuple(map(self.with_preference_position, shown)) if self.is_large else shown
+                )
+            ]
         if self.subset is None or self.up <= size:
             return [self.switch(now, size)]
         return self.tell_subset(now, changed)
@@ -269,17 +273,27 @@
 
     def switch(self, now: float, size: int) -> Event:
         """Go over from the whole list to a subset, or back; gives all that the module is to know."""
-        seen = {worker: self.shown(entry) for worker, entry in self.entries.items()}
+        seen = {worker: self.effective_entry(entry) for worker, entry in self.entries.items()}
         self.waiting.clear()
         if self.up <= size:
-            self.subset, self.members, told = None, {}, [self.placed(entry) for entry in seen.values()]
+            self.subset, self.members, told = (
+                None,
+                {},
+                [self.with_preference_position(entry) for entry in seen.values()],
+            )
             self.log("view", f"all of {len(seen)} workers")
         else:
             self.subset = self.new_subset()
             wanted = self.subset.wanted()
-            told = [self.placed(entry) for worker, entry in seen.items() if worker in wanted]
+            told = [
+                self.with_preference_position(entry) for worker, entry in seen.items() if worker in wanted
+            ]
             self.members = dict.fromkeys(entry.worker for entry in told)
-            self.log("view", f"{len(told)} of {len(seen)} workers, size {size}, {self.sharing:.1f} sharers")
+            self.log(
+                "view",
+                f"{len(told)} of {len(seen)} workers, size {size}, "
+                f"{self.subset_dispatchers_per_worker:.1f} dispatchers per worker",
+            )
         for worker in seen:
             self.closed.add(worker, now)
         for entry in told:
@@ -300,7 +314,7 @@
         told: list[Endpoint] = []
         recut = False
         for worker in dict.fromkeys(changed):
-            recut |= self.place(worker)
+            recut |= self.update_rings(worker)
             if worker in self.members:
                 told.append(self.entry_of(worker))
                 if self.state(worker) is not WorkerState.UP:
@@ -316,18 +330,22 @@
         entry = self.entries.get(worker)
         if entry is None:
             return Endpoint(worker, state=WorkerState.GONE)
-        return self.placed(self.shown(entry))
+        return self.with_preference_position(self.effective_entry(entry))
 
-    def placed(self, entry: Endpoint) -> Endpoint:
+    def with_preference_position(self, entry: Endpoint) -> Endpoint:
         """Say with an entry of a large fleet where this dispatcher stands in line for its worker."""
         if self.subset is None:
-            place = distance(entry.worker, self.settings.rank) if self.is_large else None
-            return entry if place is None else replace(entry, place=place)
+            preference_position = distance(entry.worker, self.settings.rank) if self.is_large else None
+            return (
+                entry
+                if preference_position is None
+                else replace(entry, preference_position=preference_position)
+            )
         if entry.worker not in self.subset.places:
             return entry
-        return replace(entry, place=self.subset.place(entry.worker))
+        return replace(entry, preference_position=self.subset.preference_position(entry.worker))
 
-    def place(self, worker: str) -> bool:
+    def update_rings(self, worker: str) -> bool:
         """Put a worker on the subset's rings, or take it off; say whether the subset may have changed."""
         assert self.subset is not None
         entry = self.entries.get(worker)
@@ -357,8 +375,8 @@
         assert self.subset is not None
         if not self.waiting:
             return []
-        most = max(1.0, ENTER_PART * self.subset.size)
-        allowed = int(min(1.0, (now - self.entered_at) / ENTER_EVERY) * most)
+        most = max(1.0, ENTER_FRACTION * self.subset.size)
+        allowed = int(min(1.0, (now - self.entered_at) / ENTER_INTERVAL_MS) * most)
         entering = list(self.waiting)[:allowed]
         for worker in entering:
             del self.waiting[worker]
@@ -373,16 +391,16 @@
 
     @property
     def due(self) -> float | None:
-        """When ``settle`` is to be called, if it is; ms."""
-        return self.entered_at + ENTER_EVERY if self.waiting else None
+        """When ``admit_waiting`` is to be called, if it is; ms."""
+        return self.entered_at + ENTER_INTERVAL_MS if self.waiting else None
 
-    def settle(self, now: float) -> list[Event]:
+    def admit_waiting(self, now: float) -> list[Event]:
         """Let in who waits; gives what the module is to be told."""
         if self.subset is None or not (told := self.enter(now)):
             return []
         return [EndpointListUpdate(ListScope.CHANGES, tuple(told))]
 
-    def retune(self, settings: Settings, now: float) -> list[Event]:
+    def change_settings(self, settings: Settings, now: float) -> list[Event]:
         """Take new settings; gives what the module is to be told where they make the subset another one."""
         old, self.settings = self.settings, settings
         same = all(
@@ -396,24 +414,24 @@
 
     def forget(self, now: float) -> list[Event]:
         """Forget what has been gone for long, here and in the module."""
-        most = max(GONE_LEAST, len(self.entries) // GONE_PART)
+        most = max(MIN_GONE_RETAINED, len(self.entries) // GONE_RETAINED_DIVISOR)
         forgotten = self.gone.expire(now, most)
         self.counts.forgotten += len(forgotten)
         for worker in forgotten:
             if worker not in self.banned:
-                self.put_back.pop(worker, None)
+                self.ended_bans.pop(worker, None)
         known = len(self.entries) if self.subset is None else len(self.members)
-        closed = self.closed.expire(now, max(GONE_LEAST, known // GONE_PART))
+        closed = self.closed.expire(now, max(MIN_GONE_RETAINED, known // GONE_RETAINED_DIVISOR))
         return [WorkersForgotten(tuple(closed))] if closed else []
 
     # ---- reach ----
 
-    def ended(self, worker: str, ending: Ending, unreached: bool, now: float) -> list[Event]:
+    def record_ending(self, worker: str, ending: Ending, worker_unreachable: bool, now: float) -> list[Event]:
         """Learn which zones are in reach from the end of an attempt or question; gives the module's news."""
         entry = self.entries.get(worker)
         if self.subset is None or entry is None:
             return []
-        if not self.reach.ended(worker, entry.zone, ending, unreached, now):
+        if not self.reach.record_ending(worker, entry.zone, ending, worker_unreachable, now):
             return []
         lost, self.lost_zones = self.lost_zones, self.reach.lost
         if lost != self.lost_zones:
--- a/elderstall/settings.py
+++ b/elderstall/settings.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from elderstall.interface import Effect, JobClass, Scope, Settings, Tenant
+from elderstall.interface import DeduplicationScope, Effect, JobClass, Settings, Tenant
 
 Fields = dict[str, Any]
 
@@ -42,7 +42,7 @@
                 latency_objective=c["aim"],
                 deadline=positive(c["deadline"], "deadline"),
                 effect=Effect(c["effect"]),
-                scope=Scope(c.get("key_scope") or "all"),
+                scope=DeduplicationScope(c.get("key_scope") or "all"),
                 deduplication_window=c.get("memory_span") or 0.0,
                 stretch=stretch,
                 late_share=c.get("late_share") or 0.0,
@@ -77,5 +77,5 @@
         fetch_price=fees.get("origin") or 0.0,
         probes=flag(limits, "probes"),
         cancels=flag(limits, "cancel", True),
-        pulled=(conf.get("load_report") or {}).get("source") == "pull",
+        reports_only_when_polled=(conf.get("load_report") or {}).get("source") == "pull",
     )
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -60,7 +60,7 @@
         self.server.until = self.deadlines.now() + all_answered_after
         self.earliest_end = self.deadlines.now() + SERVE_FOR
         self.deadlines.after(SERVE_FOR, self.shorten_budgets)
-        self.deadlines.after(min(LET_GO_AFTER, all_answered_after), self.server.let_go)
+        self.deadlines.after(min(LET_GO_AFTER, all_answered_after), self.server.close_idle_clients)
         self.check()
 
     def shorten_budgets(self) -> None:
@@ -80,8 +80,8 @@
         handover = self.upgrade.handover
         return bool(
             len(self.engine.jobs)
-            or not self.server.quiet
-            or any(c.client or c.passing is not None for c in self.server.connections)
+            or not self.server.is_quiescent
+            or any(c.client or c.handed_descriptor is not None for c in self.server.connections)
             or (handover is not None and handover.has_unconfirmed)
             or self.upgrade.adoption.waiting
             or self.console.answering
@@ -93,8 +93,8 @@
         New connections keep coming for a while after SIGTERM. What lies in the listener's queue, or unread
         on a connection, would be lost with this process; unless another one goes on with the listener.
         """
-        if self.program.port is None or self.upgrade.successor_serves:
+        if self.program.port is None or self.upgrade.has_serving_successor:
             return True
         if self.deadlines.now() < self.earliest_end or unread(self.program.port):
             return False
-        return self.server.last_look()
+        return self.server.close_if_drained()
--- a/elderstall/simulation/attempt.py
+++ b/elderstall/simulation/attempt.py
@@ -20,7 +20,7 @@
 from elderstall.simulation.loop import Call, VirtualTime
 from elderstall.simulation.requests import Request, Try
 from elderstall.simulation.scenario import Kind, Network, Scenario, Worker
-from elderstall.simulation.worker import CardWorker, Happening, Task
+from elderstall.simulation.worker import CardWorker, Task, WorkerEvent
 
 
 class UpstreamAudit(Protocol):
@@ -89,7 +89,7 @@
     def delay(self) -> float:
         """Draw the time of one way to or from it, ms."""
 
-    def poke(self, happenings: list[Happening]) -> None:
+    def poke(self, happenings: list[WorkerEvent]) -> None:
         """Pass on what has happened."""
 
     def connect(self, attempt: SimulatedAttempt) -> None:
@@ -266,7 +266,7 @@
         """Note that no connection came up."""
         if not self.over and self.link is None:
             self.upstream.opening -= 1
-            self.finish(Outcome(Ending.UNREACHABLE, unreached=True))
+            self.finish(Outcome(Ending.UNREACHABLE, worker_unreachable=True))
 
     def up(self, link: Link) -> None:
         """Take the connection that came up, unless nobody waits for it any more."""
--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -15,12 +15,12 @@
 
 from elderstall.interface import (
     NEVER_RAN,
+    DeduplicationScope,
     Effect,
     Ending,
     Endpoint,
     JobClass,
     ListScope,
-    Scope,
     WorkerState,
 )
 from elderstall.messages import Answer, Rejected, Served
@@ -196,9 +196,11 @@
     def same_group(job_class: JobClass, earlier: Sent, worker_host: TargetHost) -> bool:
         """Say whether a repeat at a worker host is dropped after an earlier attempt."""
         spec = worker_host.spec
-        if job_class.scope is Scope.ALL:
+        if job_class.scope is DeduplicationScope.ALL:
             return True
-        return earlier.zone == spec.zone and (job_class.scope is Scope.ZONE or earlier.cell == spec.cell)
+        return earlier.zone == spec.zone and (
+            job_class.scope is DeduplicationScope.ZONE or earlier.cell == spec.cell
+        )
 
     def started(self, attempt: SimulatedAttempt) -> None:
         """Note that an attempt has begun to run: for what must never run twice, the truth."""
@@ -253,7 +255,8 @@
         if isinstance(answer, Rejected) and request.load.cls.effect is not Effect.IDEMPOTENT:
             unsure = [s.worker for s in watched.sent if s.out or not s.proven]
             if unsure and not (
-                request.load.cls.effect is Effect.IDEMPOTENCY_KEY and request.load.cls.scope is Scope.ALL
+                request.load.cls.effect is Effect.IDEMPOTENCY_KEY
+                and request.load.cls.scope is DeduplicationScope.ALL
             ):
                 self.breaks(
                     2,
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -210,9 +210,9 @@
         elif isinstance(answer, Rejected):
             self.again(request, now, answer.retry_after, "refused")
         elif request.safe:
-            self.again(request, now, 0.0, "timed out" if answer.late else "failed")
+            self.again(request, now, 0.0, "timed out" if answer.timed_out else "failed")
         else:
-            self.close(request, "timed out" if answer.late else "failed", now)
+            self.close(request, "timed out" if answer.timed_out else "failed", now)
 
     def unreachable(self, tried: Try, *, taken: bool) -> None:
         """Find nobody, or lose the dispatcher; what it had taken may have run."""
@@ -293,7 +293,7 @@
             advice = f"{answer.retry_after / 1000:.3f}" if answer.retry_after else None
             result = Reply(503, retry_after=advice)
         else:
-            result = Reply(504 if isinstance(answer, Failed) and answer.late else 502)
+            result = Reply(504 if isinstance(answer, Failed) and answer.timed_out else 502)
         self.follow(request, self.calls[request.number].heard(now, result))
 
     def lost(self, request: Request, unsent: bool) -> None:
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -78,7 +78,7 @@
         self.dispatcher_host, self.world = dispatcher_host, dispatcher_host.world
         world = self.world
         self.deadlines = Deadlines(world.loop, world.loop.seconds, EPOCH + world.loop.now)
-        self.deadlines.failed = lambda error: world.log.failure("deadline", error)
+        self.deadlines.on_error = lambda error: world.log.failure("deadline", error)
         self.alive, self.leaving = True, False
         self.upstream = SimulatedUpstream(self)
         rules = world.scenario.rules
@@ -155,8 +155,8 @@
         heap, self.deadlines.heap = self.deadlines.heap, []
         for _, _, deadline in heap:
             deadline.cancel()
-        if self.deadlines.wake is not None:
-            self.deadlines.wake.stop()
+        if self.deadlines.reactor_call is not None:
+            self.deadlines.reactor_call.stop()
         for request_id in set(self.answered):
             self.tries.pop(request_id, None)
         for tried in list(self.tries.values()):
--- a/elderstall/simulation/requests.py
+++ b/elderstall/simulation/requests.py
@@ -179,7 +179,7 @@
     def progressed(self, share: float, text: str) -> None:
         """Take news of a running attempt; see ``messages.Client``."""
 
-    def here(self) -> bool:
+    def is_connected(self) -> bool:
         """Say whether it waits; leaving is noticed at once here. See ``messages.Client``."""
         return not self.over
 
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -12,7 +12,7 @@
 
 from elderstall.atomic_file import write_text_atomically
 from elderstall.net import http
-from elderstall.net.discovery import told_as
+from elderstall.net.discovery import encode_list
 from elderstall.simulation.draws import Draws
 from elderstall.simulation.faults import Faults
 from elderstall.simulation.listing import ListService
@@ -277,7 +277,7 @@
             "listen": f"{caller.host}:{caller.port}",
             "discovery": f"{HOST}:{port}",
             "seed": f"{self.draws.number('module', str(caller.rank)):x}",
-            "known": told_as(self.listing.version, entries, self.addresses(caller)),
+            "known": encode_list(self.listing.version, entries, self.addresses(caller)),
             "settings": settings,
         }
 
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -20,7 +20,7 @@
 from elderstall.interface import Effect, Ending, Endpoint, ListScope
 from elderstall.messages import Outcome
 from elderstall.net import http
-from elderstall.net.discovery import told_as
+from elderstall.net.discovery import encode_list
 from elderstall.simulation.scenario import ClassLoad
 from elderstall.simulation.worker import Task
 
@@ -407,7 +407,7 @@
                 self.transport.write(http.response(503, close=True))
             self.transport.loseConnection()
             return
-        value = told_as(version, entries, self.stage.addresses(self.caller))
+        value = encode_list(version, entries, self.stage.addresses(self.caller))
         value["snapshot"] = scope is ListScope.WHOLE
         line = json.dumps(value).encode() + b"\n"
         if not self.watch:
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -67,7 +67,7 @@
             attempt.begin()
         return attempt.done
 
-    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
         """Cancel an attempt at its worker."""
         done: Deferred[bool] = Deferred()
         attempt = self.attempts.get(request_id)
@@ -114,7 +114,7 @@
             done.callback(Outcome(Ending.SERVED, report=worker_host.report()))
         else:
             link.close()
-            outcome = Outcome(Ending.TIMED_OUT, unreached=True)
+            outcome = Outcome(Ending.TIMED_OUT, worker_unreachable=True)
             self.loop.after(self.network.connect_timeout, done.callback, outcome)
 
     def drop_idle(self, worker: str) -> None:
--- a/elderstall/simulation/worker.py
+++ b/elderstall/simulation/worker.py
@@ -21,7 +21,7 @@
 NEAR_ENOUGH = 1e-6  # ms of work: rounding in the solved ends
 
 
-class What(Enum):
+class WorkerEventKind(Enum):
     """What has become of a task."""
 
     TAKEN = "taken"  # it waits or runs
@@ -64,10 +64,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Happening:
+class WorkerEvent:
     """Something of which the worker's host hears."""
 
-    what: What
+    what: WorkerEventKind
     task: Task
     at: float
     share: float = 0.0  # of its work that is done
@@ -131,7 +131,7 @@
         self.blame = 0.0  # at its fall: share of the work that came from senders notified of its start
         self.serial = 0
         self.ledger = Ledger()
-        self.out: list[Happening] = []
+        self.out: list[WorkerEvent] = []
 
     # ---- rates ----
 
@@ -267,7 +267,7 @@
             when = min(when, max(self.at, self.noting[0][0]))
         return when
 
-    def advance(self, now: float) -> list[Happening]:
+    def advance(self, now: float) -> list[WorkerEvent]:
         """Bring the model up to a time, and give what has happened, in order."""
         while (when := self.due()) <= now:
             self._move(when)
@@ -281,24 +281,24 @@
         self._move(now)
         return self._said()
 
-    def _said(self) -> list[Happening]:
+    def _said(self) -> list[WorkerEvent]:
         """Give what there is to report; what ends in no time is reported with the next step of time."""
         out, self.out = self.out, []
         return out
 
-    def _tell(self, what: What, task: Task, share: float = 0.0) -> None:
-        self.out.append(Happening(what, task, self.at, share))
+    def _tell(self, what: WorkerEventKind, task: Task, share: float = 0.0) -> None:
+        self.out.append(WorkerEvent(what, task, self.at, share))
 
     def _end(self, task: Task) -> None:
         """End a running task that is done, or where it fails."""
         self._leave(task)
-        self._tell(What.DONE if task.fails_at is None else What.FAILED, task, 1.0)
+        self._tell(WorkerEventKind.DONE if task.fails_at is None else WorkerEventKind.FAILED, task, 1.0)
         self._fill()
 
     def _note(self, task: Task) -> None:
         """Report a task's progress; while it is paused nothing is reported, and afterwards all at once."""
         task.news += 1
-        self._tell(What.PROGRESS, task, self._share(task))
+        self._tell(WorkerEventKind.PROGRESS, task, self._share(task))
         self.serial += 1
         assert task.began is not None
         heapq.heappush(self.noting, (task.began + (task.news + 1) * self.progress_every, self.serial, task))
@@ -326,7 +326,7 @@
             elif self.kind.drops_expired and self.at > task.deadline:
                 self.waiting.popleft()
                 self._leave(task)
-                self._tell(What.DROPPED, task)
+                self._tell(WorkerEventKind.DROPPED, task)
             elif self.used + task.slots <= self.kind.slots:
                 self.waiting.popleft()
                 self._start(task)
@@ -343,11 +343,11 @@
         heapq.heappush(self.running, (task.ends, self.serial, task))
         if self.progress_every > 0:
             heapq.heappush(self.noting, (self.at + self.progress_every, self.serial, task))
-        self._tell(What.STARTED, task)
+        self._tell(WorkerEventKind.STARTED, task)
 
     # ---- what is asked of it ----
 
-    def offer(self, now: float, task: Task) -> list[Happening]:
+    def offer(self, now: float, task: Task) -> list[WorkerEvent]:
         """Take a task, or turn it away; while paused it waits unheard."""
         out = self.advance(now)
         if self.paused:
@@ -367,10 +367,10 @@
         if self._falls(task):
             return
         if full:
-            self._tell(What.FULL, task)
+            self._tell(WorkerEventKind.FULL, task)
             return
         self.tasks[task.key] = task
-        self._tell(What.TAKEN, task)
+        self._tell(WorkerEventKind.TAKEN, task)
         self.waiting.append(task)
         self._fill()
 
@@ -397,11 +397,11 @@
             return False
         self.blame = sum(work for _, work, informed in self.sent if informed) / self.pushed
         self.fallen = True
-        self._tell(What.LOST, task)
+        self._tell(WorkerEventKind.LOST, task)
         self._die()
         return True
 
-    def cancel(self, now: float, key: Hashable) -> list[Happening]:
+    def cancel(self, now: float, key: Hashable) -> list[WorkerEvent]:
         """Give a task up: what of it stops is the kind's to say."""
         out = self.advance(now)
         if self.paused:
@@ -415,10 +415,10 @@
         if task is None or self.kind.cancel == "none" or (task.running and self.kind.cancel != "all"):
             return
         self._leave(task)
-        self._tell(What.STOPPED, task)
+        self._tell(WorkerEventKind.STOPPED, task)
         self._fill()
 
-    def charge(self, now: float, work: float) -> list[Happening]:
+    def charge(self, now: float, work: float) -> list[WorkerEvent]:
         """Charge work that is no task: a new connection, or a probe."""
         out = self.advance(now)
         if self.up:
@@ -429,19 +429,19 @@
         """Time that charged work still takes, ms."""
         return self._burn() if self.up else 0.0
 
-    def slowed(self, now: float, factor: float) -> list[Happening]:
+    def slowed(self, now: float, factor: float) -> list[WorkerEvent]:
         """Run so many times slower from now on."""
         out = self.advance(now)
         self.slow = factor
         return out
 
-    def pause(self, now: float) -> list[Happening]:
+    def pause(self, now: float) -> list[WorkerEvent]:
         """Stand still: nothing runs, is heard or is reported."""
         out = self.advance(now)
         self.paused = True
         return out
 
-    def resume(self, now: float) -> list[Happening]:
+    def resume(self, now: float) -> list[WorkerEvent]:
         """Go on, and hear at once what came meanwhile."""
         self._move(now)
         self.paused = False
@@ -455,18 +455,18 @@
                 self._cancelled(value)
         return self.advance(now)
 
-    def drain(self, now: float) -> list[Happening]:
+    def drain(self, now: float) -> list[WorkerEvent]:
         """Want nothing new; hand back what has not started, where the kind does that."""
         out = self.advance(now)
         self.draining = True
         if self.kind.hands_back:
             for task in [task for task in self.waiting if not task.over]:
                 self._leave(task)
-                self._tell(What.RETURNED, task)
+                self._tell(WorkerEventKind.RETURNED, task)
             self.waiting.clear()
         return out + self._said()
 
-    def die(self, now: float) -> list[Happening]:
+    def die(self, now: float) -> list[WorkerEvent]:
         """Lose the process with all that is in it."""
         out = self.advance(now)
         if self.up:
@@ -482,10 +482,10 @@
                 done = self._share(task)
                 task.saved += (done - task.saved) * (whole / age if age > 0 else 0.0)
             self._leave(task)
-            self._tell(What.LOST, task)
+            self._tell(WorkerEventKind.LOST, task)
         for what, value in self.unheard:
             if what == "offer" and isinstance(value, Task):
-                self._tell(What.LOST, value)
+                self._tell(WorkerEventKind.LOST, value)
         self.unheard.clear()
         self.waiting.clear()
         self.running.clear()
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -10,7 +10,7 @@
 from elderstall.messages import Outcome
 from elderstall.simulation.loop import Call
 from elderstall.simulation.scenario import Kind, Scenario, Worker
-from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
+from elderstall.simulation.worker import CardWorker, Push, Task, WorkerEvent, WorkerEventKind
 
 if TYPE_CHECKING:
     from elderstall.simulation.attempt import AttemptCarrier, Link, SimulatedAttempt, UpstreamOwner
@@ -21,10 +21,10 @@
 CALL_AGAIN = 300.0  # ms between them
 LOST_NOTICE = 50.0  # ms until the worker host's agent reports a process that died
 ENDINGS = {
-    What.DONE: Ending.SERVED,
-    What.FAILED: Ending.ERROR,
-    What.RETURNED: Ending.FULL,
-    What.LOST: Ending.BROKEN,
+    WorkerEventKind.DONE: Ending.SERVED,
+    WorkerEventKind.FAILED: Ending.ERROR,
+    WorkerEventKind.RETURNED: Ending.FULL,
+    WorkerEventKind.LOST: Ending.BROKEN,
 }
 
 
@@ -124,7 +124,7 @@
 
     # ---- the model in time ----
 
-    def poke(self, happenings: list[Happening]) -> None:
+    def poke(self, happenings: list[WorkerEvent]) -> None:
         """Pass on what has happened, and wake when something happens next."""
         for happening in happenings:
             self.happened(happening)
@@ -142,29 +142,29 @@
         self.timer = None
         self.poke(self.model.advance(self.world.loop.now))
 
-    def happened(self, h: Happening) -> None:
+    def happened(self, h: WorkerEvent) -> None:
         """Pass one happening on to whoever it concerns."""
         attempt: SimulatedAttempt = h.task.owner  # type: ignore[assignment]
         world, what = self.world, h.what
-        if what is What.TAKEN:
+        if what is WorkerEventKind.TAKEN:
             self.reply(attempt, None)
-        elif what is What.FULL:
+        elif what is WorkerEventKind.FULL:
             self.reply(attempt, Outcome(Ending.FULL, report=self.report()))
-        elif what is What.STARTED:
+        elif what is WorkerEventKind.STARTED:
             world.audit.started(attempt)
             if world.scenario.reports.starts_told:
                 self.call_back(attempt, lambda e: e.upstream.noted(e, 0.0, started=True))
-        elif what is What.PROGRESS:
+        elif what is WorkerEventKind.PROGRESS:
             self.call_back(attempt, lambda e, share=h.share: e.upstream.noted(e, share))  # type: ignore[misc]
         else:
             world.tally.core_time(h.task)
-            if h.task.began is not None and what is not What.DONE:
+            if h.task.began is not None and what is not WorkerEventKind.DONE:
                 attempt.job.saved = max(attempt.job.saved, h.task.saved)
-            if what is What.LOST:
+            if what is WorkerEventKind.LOST:
                 self.lost(attempt)
             elif (ending := ENDINGS.get(what)) is not None:
                 self.finished += 1
-                outcome = Outcome(ending, b"" if what is not What.DONE else b"done", self.report())
+                outcome = Outcome(ending, b"" if what is not WorkerEventKind.DONE else b"done", self.report())
                 self.call_back(attempt, lambda e: e.upstream.called_back(e, outcome))
 
     def lost(self, attempt: SimulatedAttempt) -> None:
