--- a/elderstall/slots.py
+++ b/elderstall/slots.py
@@ -13,8 +13,8 @@
 class Slots(Generic[T]):
     """Items by number; a freed slot is used again under the next generation."""
 
-    def __init__(self, most: int = SLOT_MASK) -> None:
-        self.most = min(most, SLOT_MASK)
+    def __init__(self, max_items: int = SLOT_MASK) -> None:
+        self.max_items = min(max_items, SLOT_MASK)
         self.items: list[T | None] = []
         self.generations: list[int] = []
         self.free: list[int] = []
@@ -28,13 +28,13 @@
     @property
     def full(self) -> bool:
         """Whether no more items fit."""
-        return not self.free and len(self.items) >= self.most
+        return not self.free and len(self.items) >= self.max_items
 
     def add(self, item: T) -> int:
         """Store an item and give its number."""
         if self.free:
             slot = self.free.pop()
-        elif len(self.items) < self.most:
+        elif len(self.items) < self.max_items:
             slot = len(self.items)
             self.items.append(None)
             self.generations.append(0)
--- a/elderstall/starts.py
+++ b/elderstall/starts.py
@@ -72,13 +72,15 @@
 
     def written(self, clock: SharedClock) -> dict[str, tuple[float, float]]:
         """Give the starts that another process would not derive alike, for the hand-over to it."""
-        starts = ((name, start.since_ms, clock.written(start.reading)) for name, start in self.listed.items())
+        starts = (
+            (name, start.since_ms, clock.encode_reading(start.reading)) for name, start in self.listed.items()
+        )
         return {name: (since_ms, reading) for name, since_ms, reading in starts if reading != since_ms}
 
     def inherit(self, starts: Mapping[str, Sequence[float]], clock: SharedClock) -> None:
         """Take starts as the process that hands over had them."""
         for name, (since_ms, reading) in starts.items():
-            self.listed[name] = Start(float(since_ms), clock.read(float(reading)))
+            self.listed[name] = Start(float(since_ms), clock.decode_reading(float(reading)))
 
     def drop(self, worker: str) -> None:
         """Note that a worker is listed no more."""
--- a/elderstall/upgrade/adoption.py
+++ b/elderstall/upgrade/adoption.py
@@ -42,18 +42,18 @@
             transport = self.reactor.adoptStreamConnection(descriptor, socket.AF_INET, self.server)
         except OSError as error:
             if error.errno in RESOURCE_ERRORS and tries:
-                self.log.write_seldom("adopt", f"a connection handed over waits: {error}")
+                self.log.write_rate_limited("adopt", f"a connection handed over waits: {error}")
                 self.waiting += tries == ADOPT_TRIES
                 if job is not None:
-                    self.server.moving.add(job["cid"])
+                    self.server.ids_in_transfer.add(job["cid"])
                 self.deadlines.after(ADOPT_RETRY, self.adopt, descriptor, transfer, tries - 1)
                 return
             transport = None  # its client is gone
         self.waiting -= tries < ADOPT_TRIES
         close_descriptor(descriptor)
         if job is not None:
-            self.server.moving.discard(job["cid"])
+            self.server.ids_in_transfer.discard(job["cid"])
         if transport is not None:
-            self.server.adopted(transport.protocol, transfer.fields)
+            self.server.adopt_connection(transport.protocol, transfer.fields)
         elif job is not None:
             self.engine.abandon_transfer(self.engine.decode_transfer(job))
--- a/elderstall/upgrade/state_transfer.py
+++ b/elderstall/upgrade/state_transfer.py
@@ -8,7 +8,7 @@
 from elderstall.engine import Engine
 from elderstall.engine.learned_transfer import read_learned, write_learned
 from elderstall.interface import Endpoint
-from elderstall.net.discovery import Discovery, told_as
+from elderstall.net.discovery import Discovery, encode_list
 from elderstall.net.handover.process_state import ProcessState
 from elderstall.net.server.listener import Server
 
@@ -25,14 +25,14 @@
         return ProcessState(
             clock=clock,
             starts=self.discovery.starts.written(clock),
-            endpoints=told_as(self.discovery.index, view.entries.values(), self.discovery.addresses),
+            endpoints=encode_list(self.discovery.index, view.entries.values(), self.discovery.addresses),
             discovery=discovery_address,
-            banned={worker: clock.written(since) for worker, since in view.banned.items()},
+            banned={worker: clock.encode_reading(since) for worker, since in view.banned.items()},
             bans_ended={
-                worker: (clock.written(since), clock.written(until))
-                for worker, (since, until) in view.put_back.items()
+                worker: (clock.encode_reading(since), clock.encode_reading(until))
+                for worker, (since, until) in view.ended_bans.items()
             },
-            request_ids=[*jobs.taken_elsewhere, *jobs.answered, *jobs.by_id],
+            request_ids=[*jobs.taken_by_other_process, *jobs.answered, *jobs.by_request_id],
             streamed=self.server.streamed(),
             learned=write_learned(self.engine.decisions.learned(), view, clock),
             connections=len(self.server.connections),
@@ -41,16 +41,16 @@
     def import_state(self, state: ProcessState) -> None:
         """Go on from where the process that runs is; what it has learned comes after the endpoint list."""
         view, clock = self.engine.view, state.clock
-        view.banned.update((worker, clock.read(since)) for worker, since in state.banned.items())
-        view.put_back.update(
-            (worker, (clock.read(since), clock.read(until)))
+        view.banned.update((worker, clock.decode_reading(since)) for worker, since in state.banned.items())
+        view.ended_bans.update(
+            (worker, (clock.decode_reading(since), clock.decode_reading(until)))
             for worker, (since, until) in state.bans_ended.items()
         )
         self.discovery.starts.inherit(state.starts, clock)
         for request_id in state.request_ids:
-            self.engine.jobs.taken_elsewhere.add(request_id)
+            self.engine.jobs.taken_by_other_process.add(request_id)
         self.server.inherit(list(state.streamed))
-        self.server.elsewhere = state.connections
+        self.server.peer_process_connections = state.connections
 
     def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
         """Read what the process that runs has learned, of the listed endpoints; changes it in place."""
--- a/elderstall/upgrade/upgrade.py
+++ b/elderstall/upgrade/upgrade.py
@@ -79,9 +79,9 @@
         self.handover = handover
         handover.program = self
         self.engine.jobs.on_taken = lambda request_id: handover.announce(RequestTaken(request_id))
-        self.server.may_pass = lambda: handover.may_send_connection
-        self.server.hand = self.send_connection
-        self.server.keep = lambda descriptor, fields: self.adoption.adopt(
+        self.server.can_hand_over = lambda: handover.may_send_connection
+        self.server.send_connection = self.send_connection
+        self.server.take_back_connection = lambda descriptor, fields: self.adoption.adopt(
             descriptor, ConnectionTransfer(fields)
         )
         self.server.ask_others = self.ask_about_callback
@@ -99,8 +99,8 @@
         """Be there for the next process, or say to the one that runs that this one serves."""
         if self.handover is None:
             return
-        if taken_over and self.handover.older is not None:
-            self.handover.older.send(Serving())
+        if taken_over and self.handover.predecessor is not None:
+            self.handover.predecessor.send(Serving())
             self.links_changed()
         else:
             self.handover.listen()
@@ -108,7 +108,7 @@
     # ---- limits that the processes share ----
 
     @property
-    def successor_serves(self) -> bool:
+    def has_serving_successor(self) -> bool:
         """Whether another process accepts the clients instead of this one."""
         return self.handover is not None and self.handover.successor is not None
 
@@ -121,20 +121,20 @@
     def links_changed(self) -> None:
         """Share limits with the other processes that are there, and the listener with the one that serves."""
         assert self.handover is not None
-        if self.handover.older is None:
-            self.server.elsewhere = 0
+        if self.handover.predecessor is None:
+            self.server.peer_process_connections = 0
         self.workers.connections.limit = self.worker_connections
         if self.program.port is None:
             return
-        newer = any(link.newer for link in self.handover.others)
+        newer = any(link.is_successor for link in self.handover.others)
         self.share_cold_budget(newer=newer)
-        if self.successor_serves:
+        if self.has_serving_successor:
             self.program.update_accepting()
             self.hand_over()
             return
         if not newer:
             self.handover.listen()
-        self.server.crowded()
+        self.server.enforce_limits()
         self.program.update_accepting()
 
     def share_cold_budget(self, *, newer: bool) -> None:
@@ -145,8 +145,8 @@
             part = OLD_PART
         elif self.handover.others:
             part = 1 - OLD_PART
-        if self.engine.endpoints.budget_part != part:
-            self.engine.endpoints.share_budget(part)
+        if self.engine.endpoints.budget_fraction != part:
+            self.engine.endpoints.set_budget_fraction(part)
 
     # ---- connections ----
 
@@ -154,13 +154,13 @@
         """Hand over what can go, and say how much is still here: it counts as the other one's too."""
         assert self.handover is not None
         if (successor := self.handover.successor) is not None:
-            self.server.pass_all()
+            self.server.hand_over_all()
             successor.send(ConnectionsHeld(len(self.server.connections)))
             self.deadlines.after(HAND_OVER_INTERVAL, self.hand_over)
 
     def descriptor_confirmed(self) -> None:
         """Hand over more, as there is room on the way."""
-        self.server.pass_all()
+        self.server.hand_over_all()
 
     def send_connection(self, descriptor: int, **fields: Any) -> bool:
         """Hand a connection over, if another process serves."""
@@ -181,13 +181,13 @@
                 assert descriptor is not None
                 self.adoption.adopt(descriptor, message)
             case ConnectionsHeld(count):
-                self.server.elsewhere = count
-                self.server.crowded()
+                self.server.peer_process_connections = count
+                self.server.enforce_limits()
             case RequestTaken(request_id):
-                self.engine.jobs.taken_elsewhere.add(request_id)
+                self.engine.jobs.taken_by_other_process.add(request_id)
             case Callback(call):
                 self.server.called(call)  # whether or not it is a live one's, it was heard
-                return call["id"] not in self.server.moving
+                return call["id"] not in self.server.ids_in_transfer
             case ExcludeWorker() | IncludeWorker():
                 return self.apply_ban(message)
         return True
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -12,6 +12,7 @@
     Actions,
     AttemptEnded,
     AttemptProgressed,
+    DeduplicationScope,
     Effect,
     Ending,
     Endpoint,
@@ -23,7 +24,6 @@
     JobReleased,
     ListScope,
     RejectJob,
-    Scope,
     SendAttempt,
     SetTimer,
     Settings,
@@ -33,8 +33,12 @@
 )
 
 SAFE = JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0)
-KEYED = JobClass("keyed", 3.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.CELL, 1_500.0, 2.0, 0.3)
-KEYED_ALL = JobClass("keyed-all", 2.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, Scope.ALL, 1_500.0, 2.0)
+KEYED = JobClass(
+    "keyed", 3.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 1_500.0, 2.0, 0.3
+)
+KEYED_ALL = JobClass(
+    "keyed-all", 2.0, 300.0, 3_000.0, Effect.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 1_500.0, 2.0
+)
 UNSAFE = JobClass("unsafe", 5.0, 500.0, 4_000.0, Effect.NOT_IDEMPOTENT, late_share=0.2)
 CLASSES = (SAFE, KEYED, KEYED_ALL, UNSAFE)
 
@@ -124,7 +128,7 @@
                     assert self.now - min(at for at, _ in maybe) < job.cls.deduplication_window, (
                         "rule 2: span"
                     )
-                    if job.cls.scope is Scope.CELL:
+                    if job.cls.scope is DeduplicationScope.CELL:
                         cells = {self.listing[w].cell for _, w in maybe}
                         assert cells == {self.listing[a.worker].cell}, "rule 2: outside the cell"
             since = self.told_gone.get(a.worker)
@@ -137,7 +141,7 @@
             assert not job.ended, "rule 1: two answers"
             if isinstance(a, RejectJob) and (job.ran or job.out):
                 harmless = job.cls.effect is Effect.IDEMPOTENT or (
-                    job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is Scope.ALL
+                    job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is DeduplicationScope.ALL
                 )
                 assert harmless, "rule 2: refused what may have run"
             job.ended, job.answers = True, job.answers + 1
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -114,7 +114,7 @@
         self.app = App(config, self.loop, lambda: config_of(self.raw, {}))
         self.app.deadlines.seconds, self.app.deadlines.offset = self.loop.clock.seconds, 0.0
         self.app.deadlines.unix = self.app.deadlines.now  # a wall clock that is never stepped
-        self.app.log.clock, self.app.log.at = self.app.deadlines.now, 0.0
+        self.app.log.clock, self.app.log.refilled_at = self.app.deadlines.now, 0.0
         self.lines: list[str] = []
         self.app.log.print = lambda now, code, text: self.lines.append(f"{code} {text}")  # type: ignore
         self.held: list[tuple[Deferred[Any], Any]] | None = None  # connections that are kept from coming up
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -213,7 +213,7 @@
         self.app.deadlines.offset = 0.0
         self.app.deadlines.unix = self.app.deadlines.now  # a wall clock that is never stepped
         self.app.log.clock = self.app.deadlines.now
-        self.app.log.at = 0.0
+        self.app.log.refilled_at = 0.0
         self.lines: list[str] = []
         self.app.log.print = lambda now, code, text: self.lines.append(f"{code} {text}")  # type: ignore
         self.app.workers.connect = self.connect
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -5,7 +5,7 @@
 import unittest
 
 from elderstall import Dispatcher
-from elderstall.decisions.capacity import OWN_WORKERS
+from elderstall.decisions.capacity import OWNED_WORKERS
 from elderstall.decisions.context import TIMER_POLL_TIMEOUT
 from elderstall.decisions.polling import POLL_ROUNDS, POLL_TIMEOUT, POLLED_AT_ONCE
 from elderstall.interface import (
@@ -143,7 +143,7 @@
         for rank in range(200):
             for w in module(rank).endpoints.workers.values():
                 counts[w.name] += w.slot_share > 0
-        self.assertTrue(all(0.8 < n / (200 * OWN_WORKERS / 60) < 1.2 for n in counts.values()), counts)
+        self.assertTrue(all(0.8 < n / (200 * OWNED_WORKERS / 60) < 1.2 for n in counts.values()), counts)
 
     def test_all_dispatchers_together_push_a_cold_worker_within_the_rule(self) -> None:
         """Rule 4 over the fleet: each sends whatever its share lets it, in one window, of usual jobs."""
@@ -154,7 +154,7 @@
             job = JobArrived(1, "order", 20_000.0, work_hint=d.estimates.typical)
             for w in d.endpoints.workers.values():
                 d.handle(10_001.0, job)
-                capacity = w.slots * w.speed * w.warmth(d.context.now, d.context.settings)
+                capacity = w.slots * w.speed * w.warm_up_fraction(d.context.now, d.context.settings)
                 if d.slow_start.admits(w, d.answers.open[1]):
                     pushed[w.name] += d.estimates.typical
         self.assertTrue(any(pushed.values()))
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -43,7 +43,9 @@
         side = self.client()
         side.send(self.job(request_id, job_class, budget, accept))
         self.ends[request_id] = self.app.deadlines.now() + budget
-        self.until(lambda: request_id in self.app.engine.jobs.by_id or self.app.engine.jobs.knows(request_id))
+        self.until(
+            lambda: request_id in self.app.engine.jobs.by_request_id or self.app.engine.jobs.knows(request_id)
+        )
         return side
 
     def heard(self, request_id: str) -> tuple[Side, float]:
@@ -150,8 +152,8 @@
                     self.turn()
                 self.held = None if kept else []
                 self.send("a2")
-                self.until(lambda: "a2" in self.app.engine.jobs.by_id)
-                job = self.app.engine.jobs.by_id["a2"]
+                self.until(lambda: "a2" in self.app.engine.jobs.by_request_id)
+                job = self.app.engine.jobs.by_request_id["a2"]
                 if kept:
                     self.heard("a2")
                 outcomes: list[Any] = []
@@ -280,10 +282,10 @@
         engine = self.app.engine
         engine.endpoints.ban("w1")
         self.send("a1")
-        job = engine.jobs.by_id["a1"]
+        job = engine.jobs.by_request_id["a1"]
         state = engine.export_job(job.number)  # it is held, as no worker may have it
         assert state is not None
-        engine.jobs.taken_elsewhere.clear()
+        engine.jobs.taken_by_other_process.clear()
         engine.endpoints.end_ban("w1")
         self.hold_up()
         engine.import_job(state, job.request.original, job.client)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -18,7 +18,7 @@
 from tests.scenario import CLASSES
 
 HELD_UP = 150.0  # ms for which the process may be held up between two of its turns
-PATIENT = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
+LONG_DEADLINE_CLASS = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
 TAKEN = http.response(202)
 
 
@@ -29,13 +29,13 @@
 
     def begin(self, workers: int = 1, **more: Any) -> None:  # type: ignore[override]
         """Have a class that can wait for longer than the term: else its job is given up by then anyhow."""
-        super().begin(workers, progress=self.progress, classes=[*CLASSES, PATIENT], **more)
+        super().begin(workers, progress=self.progress, classes=[*CLASSES, LONG_DEADLINE_CLASS], **more)
 
     def sent(self, request_id: str = "gone", job_class: str = "album") -> Side:
         client = self.client()
         accept = "text/event-stream" if self.progress else "*/*"
         client.send(self.job(request_id, job_class, accept=accept))
-        self.until(lambda: request_id in self.app.engine.jobs.by_id)
+        self.until(lambda: request_id in self.app.engine.jobs.by_request_id)
         return client
 
     def occupy(self) -> None:
@@ -66,7 +66,7 @@
         for _ in range(10):
             self.wait(50)
             self.assertEqual([], [what for what, _ in self.came() if what.startswith("POST")])
-        self.assertNotIn("gone", self.app.engine.jobs.by_id)
+        self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
 
 class Departure(Leaving):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -28,7 +28,7 @@
 from elderstall.engine.job_transfer import CLOCK_SLACK, LEFT_UNKNOWN
 from elderstall.interface import Endpoint, ListScope
 from elderstall.net import http
-from elderstall.net.discovery import told_as
+from elderstall.net.discovery import encode_list
 from elderstall.net.handover.search import Offer
 from elderstall.net.monotonic_reactor import MonotonicReactor
 from elderstall.starts import GONE_KEPT, LEARNED_WITHIN, StartTimes
@@ -299,7 +299,7 @@
         next_app.deadlines.seconds = self.loop.clock.seconds
         next_app.deadlines.offset = first.deadlines.offset + step
         next_app.deadlines.unix = next_app.deadlines.now
-        next_app.log.clock, next_app.log.at = next_app.deadlines.now, 0.0
+        next_app.log.clock, next_app.log.refilled_at = next_app.deadlines.now, 0.0
         next_app.log.print = lambda now, code, text: None  # type: ignore[method-assign]
         next_app.begin(Offer(json.loads(json.dumps(state)), offer.listener))
         self.addCleanup(next_app.port.stopListening)
@@ -338,9 +338,9 @@
                 shift = new.deadlines.offset - old.deadlines.offset
                 self.assertEqual(step, shift)
                 self.assertAlmostEqual(old.engine.view.banned["w2"] + shift, new.engine.view.banned["w2"], 1)
-                banned, until = old.engine.view.put_back["w3"]
-                self.assertAlmostEqual(banned + shift, new.engine.view.put_back["w3"][0], 1)
-                self.assertAlmostEqual(until + shift, new.engine.view.put_back["w3"][1], 1)
+                banned, until = old.engine.view.ended_bans["w3"]
+                self.assertAlmostEqual(banned + shift, new.engine.view.ended_bans["w3"][0], 1)
+                self.assertAlmostEqual(until + shift, new.engine.view.ended_bans["w3"][1], 1)
                 for name in ("w1", "w3"):
                     before, now = (
                         old.engine.decisions.endpoints.workers[name],
@@ -364,7 +364,7 @@
         self.prepare()
         new = self.after(0.0, of_before=True)
         self.assertEqual(self.app.engine.view.banned, new.engine.view.banned)
-        self.assertEqual(self.app.engine.view.put_back, new.engine.view.put_back)
+        self.assertEqual(self.app.engine.view.ended_bans, new.engine.view.ended_bans)
         for name in ("w1", "w3"):
             before, now = (
                 self.app.engine.decisions.endpoints.workers[name],
@@ -393,7 +393,7 @@
 
     def test_the_list_is_written_with_the_starts_that_it_came_with(self) -> None:
         entries = [Endpoint("w1", started=500.0, since_ms=7.0), Endpoint("w2", started=9.0), Endpoint("w3")]
-        told = told_as(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
+        told = encode_list(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
         self.assertEqual([7.0, 9.0, 0], [e["since_ms"] for e in told["endpoints"]])
 
 
@@ -428,7 +428,7 @@
             with self.subTest(step):
                 self.setUp()
                 state, engine, client = self.moved(step)
-                job = engine.jobs.by_id["a1"]
+                job = engine.jobs.by_request_id["a1"]
                 self.assertAlmostEqual(1_700.0, job.deadline - engine.deadlines.now(), 1)
                 self.assertAlmostEqual(300.0, engine.deadlines.now() - job.arrived, 1)
                 # As a process of the version before reads it, which takes it for a reading of its own:
@@ -440,7 +440,7 @@
 
     def test_with_no_step_one_of_the_version_before_is_understood(self) -> None:
         _, engine, _ = self.moved(0.0, clock="left out")
-        self.assertAlmostEqual(1_700.0, engine.jobs.by_id["a1"].deadline - engine.deadlines.now(), 1)
+        self.assertAlmostEqual(1_700.0, engine.jobs.by_request_id["a1"].deadline - engine.deadlines.now(), 1)
 
     def test_one_of_the_version_before_with_a_step_still_has_its_answer_in_time(self) -> None:
         """Its time left is not known: it is answered before it could be lost."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -50,7 +50,7 @@
     def serve(self, client: Side, request_id: str) -> http.Message:
         self.take(f"POST {request_id}").send(http.response(202))
         self.turn()
-        attempt = self.app.engine.jobs.by_id[request_id].attempt
+        attempt = self.app.engine.jobs.by_request_id[request_id].attempt
         assert attempt is not None
         self.call_back(request_id, worker=attempt.worker)
         message = self.answer(client)
@@ -174,7 +174,7 @@
         self.take("POST a1").send(http.response(202))
         self.turn()
         client.send(self.job("a2", budget=900))
-        attempt = self.app.engine.jobs.by_id["a1"].attempt
+        attempt = self.app.engine.jobs.by_request_id["a1"].attempt
         assert attempt is not None
         self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"deck a1"))
         self.assertEqual(200, self.answer(client).status)
@@ -247,8 +247,8 @@
     """Descriptors are short, and some connections have to go."""
 
     def keep_at_most(self, count: int) -> None:
-        self.app.server.soft = count
-        self.app.server.crowded()
+        self.app.server.shedding_threshold = count
+        self.app.server.enforce_limits()
 
     def test_connection_with_an_unread_request_is_passed_over(self) -> None:
         self.begin()
@@ -264,7 +264,7 @@
         self.wait(MIN_SHED_AGE + 10)
         first.send(self.job("a1"))
         self.keep_at_most(1)
-        self.app.server.soft = 500
+        self.app.server.shedding_threshold = 500
         self.serve(first, "a1")
         self.assertTrue(self.closed(second))
 
@@ -333,9 +333,9 @@
     def test_other_process_gone_before_the_descriptor_is_sent(self) -> None:
         client = self.job_out()
         server = self.app.server
-        may_pass, server.may_pass = server.may_pass, lambda: True
-        server.pass_all()
-        server.may_pass = may_pass
+        can_hand_over, server.can_hand_over = server.can_hand_over, lambda: True
+        server.hand_over_all()
+        server.can_hand_over = can_hand_over
         self.assertEqual(0, len(self.app.engine.jobs))
         self.turn()
         self.finish(client)
@@ -479,7 +479,7 @@
         for effect, attempt, status in (("safe", True, 503), ("unsafe", True, 502), ("unsafe", False, 503)):
             with self.subTest(effect=effect, attempt=attempt):
                 self.begin()
-                self.app.engine.jobs.live.most = 0
+                self.app.engine.jobs.live.max_items = 0
                 now = self.app.deadlines.now()
                 fields, fd, client = self.moved(
                     cls={**safe, "effect": effect}, attempt=["w1", now, now + 900] if attempt else None
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -66,7 +66,7 @@
 STARTS_TOLD = replace(NOTHING_TOLD, notifies_start=True)
 REPORTING = replace(NOTHING_TOLD, report_free_slots=0)
 ASKING = replace(REPORTING, probes=True)
-PULLED = replace(ASKING, pulled=True)
+PULLED = replace(ASKING, reports_only_when_polled=True)
 MODES = {
     "nothing told": NOTHING_TOLD,
     "starts told": STARTS_TOLD,
@@ -192,7 +192,7 @@
     told: dict[str, float] = field(default_factory=dict)  # the start that it was told of each worker
     owed: int = 0
 
-    def retuned(self) -> SettingsChanged:
+    def settings_changed(self) -> SettingsChanged:
         """Give the settings as ``Engine.share`` hands them on."""
         multiple = self.settings.slow_start_multiple * self.part
         return SettingsChanged(replace(self.settings, slow_start_multiple=multiple))
@@ -293,12 +293,12 @@
         """Have a dispatcher take the new settings, as by SIGHUP."""
         for process in self.processes(rank):
             process.settings = replace(process.settings, dispatchers=self.case.dispatchers)
-            self.feed(process, process.retuned())
+            self.feed(process, process.settings_changed())
 
     def share(self, process: Process, part: float) -> None:
         """Leave the other process its part, as ``Engine.share`` does."""
         process.part = part
-        self.feed(process, process.retuned())
+        self.feed(process, process.settings_changed())
 
     def take_over(self, rank: int) -> None:
         """Begin an upgrade: the old process hands its state over, and serves for a moment more."""
@@ -411,7 +411,7 @@
 
     def tell_end(self, attempt: Attempt, ending: Ending) -> None:
         """Tell the end of an attempt, with a report where workers give one with their answers."""
-        report = () if self.s.pulled else self.workers[attempt.worker].report
+        report = () if self.s.reports_only_when_polled else self.workers[attempt.worker].report
         self.feed(
             attempt.process,
             AttemptEnded(
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -76,7 +76,7 @@
         raw["console"] = "127.0.0.1:9601"
         both = config_of(raw, {})
         self.assertEqual(("127.0.0.1", 9601), both.console)
-        spared = [c.client_hard + c.worker_connections for c in (alone, both)]
+        spared = [c.max_client_connections + c.worker_connections for c in (alone, both)]
         self.assertEqual(CALLERS + 1, spared[0] - spared[1])
         with self.assertRaisesRegex(ConfigError, "^console: "):
             config_of({**raw, "console": "nowhere"}, {})
@@ -136,7 +136,7 @@
 
     def test_what_the_front_refuses_is_a_job_refused_and_bad_input_is_none(self) -> None:
         self.begin()
-        self.world.app.server.soft = -1
+        self.world.app.server.shedding_threshold = -1
         self.play("""
             c send job a1 deck-fetch
             c expect 503
@@ -303,7 +303,7 @@
         """Guards against a job whose end is told between its leaving here and its arrival there."""
         self.begin()
         call = {"id": "a1", "from": "w1", "state": "done", "result": "deck"}
-        self.world.app.server.moving.add("a1")
+        self.world.app.server.ids_in_transfer.add("a1")
         self.assertFalse(self.world.app.upgrade.message_received(Callback(call), None))
-        self.world.app.server.moving.clear()
+        self.world.app.server.ids_in_transfer.clear()
         self.assertTrue(self.world.app.upgrade.message_received(Callback(call), None))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -57,7 +57,7 @@
         self.sent.append((worker, done))
         return done
 
-    def cancel_job(self, worker: str, request_id: str, patient: bool = True) -> Deferred[bool]:
+    def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
         self.recalls.append(Deferred())
         return self.recalls[-1]
 
@@ -83,7 +83,7 @@
     def progressed(self, share: float, text: str) -> None:
         pass
 
-    def here(self) -> bool:
+    def is_connected(self) -> bool:
         return not self.gone
 
 
@@ -244,7 +244,7 @@
         events: list[Event] = []
         other.decisions.handle = lambda now, event: events.append(event) or []  # type: ignore
         other.endpoints.take(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
-        other.jobs.taken_elsewhere.add("a1")
+        other.jobs.taken_by_other_process.add("a1")
         other.import_job(other.decode_transfer(state), None, self.client)
         return other, events
 
@@ -264,7 +264,7 @@
         live = other.jobs.live_attempt("a1", "w")
         assert live is not None
         other.attempts.worker_ended(live, Outcome(Ending.BROKEN))
-        job = other.jobs.by_id["a1"]
+        job = other.jobs.by_request_id["a1"]
         other.attempts.send(SendAttempt(job.number, "v"))
         self.assertEqual(1, len(self.carrier.sent))
         other.answers.reject(RejectJob(job.number))
@@ -287,7 +287,7 @@
         self.engine.attempts.worker_ended(live, Outcome(Ending.FULL))
         other, events = self.next_process(number)
         self.assertEqual([None], [e.ran_on for e in events if isinstance(e, JobTakenOver)])
-        self.assertEqual({"w"}, other.jobs.by_id["a1"].handed_back)
+        self.assertEqual({"w"}, other.jobs.by_request_id["a1"].handed_back)
 
     def test_with_its_client_gone_its_worker_is_told(self) -> None:
         number = self.job("unsafe")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,8 +16,8 @@
 from tests.scenario import CLASSES, RULES, entry
 
 GONE_FOR = 100.0  # ms after a client has left from which on its job must not be written to a worker
-MUCH = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" * (READ_AHEAD // 28 + 900)  # more than is read ahead
-PATIENT = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
+PIPELINED_REQUESTS = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" * (READ_AHEAD // 28 + 900)  # over READ_AHEAD
+LONG_DEADLINE_CLASS = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
 TOLD_AFTER, ANSWERED_IN = 6_000.0, 700.0  # ms: a change counts as told; what is left for a call's answer
 OWN_CALLS, OWN_LEAST = 3, 12  # descriptors: a former watch and two calls; the idle program's own
 KEYED = {
@@ -36,7 +36,7 @@
 
     def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
         """Have a class that can wait for longer than the term: else its job is given up by then anyhow."""
-        super().begin(workers, progress, folder, classes=[*CLASSES, PATIENT], **more)
+        super().begin(workers, progress, folder, classes=[*CLASSES, LONG_DEADLINE_CLASS], **more)
 
     def leave(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> None:
         """Have a client send, be read as far as it is, and go; then more time passes than the term allows."""
@@ -46,8 +46,8 @@
 
     def sent(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> Side:
         side = self.client()
-        side.send(self.job(request_id, job_class, accept=accept) + MUCH)
-        self.until(lambda: request_id in self.app.engine.jobs.by_id)
+        side.send(self.job(request_id, job_class, accept=accept) + PIPELINED_REQUESTS)
+        self.until(lambda: request_id in self.app.engine.jobs.by_request_id)
         return side
 
     def occupy(self) -> None:
@@ -64,7 +64,7 @@
         self.call_back("first")
         self.wait(200)
         self.nothing()
-        self.assertNotIn("gone", self.app.engine.jobs.by_id)
+        self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
     def test_on_the_front_for_streams(self) -> None:
         self.begin(progress=True)
@@ -99,7 +99,7 @@
         side.sock.close()
         self.wait(GONE_FOR)  # the silent workers were waited for, and the job decided on, long before
         self.assertEqual([], [what for what, _ in self.came() if what.startswith("POST")])
-        self.assertNotIn("gone", self.app.engine.jobs.by_id)
+        self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
     def test_between_attempts(self) -> None:
         self.begin()
@@ -192,7 +192,7 @@
                 side.sock.close()
                 left[request_id] = self.app.deadlines.now()
             if len(running) > 1:  # of two in a row the first is handed back and goes on to another worker
-                attempt = self.app.engine.jobs.by_id[running[0]].attempt
+                attempt = self.app.engine.jobs.by_request_id[running[0]].attempt
                 assert attempt is not None
                 self.call_back(running.pop(0), "returned" if n % 2 else "done", attempt.worker)
             for what, worker in self.came():
@@ -223,7 +223,7 @@
         self.take("POST a1").send(http.response(202))
         self.wait(3 * DEPARTURE_CHECK_INTERVAL)
         self.call_back("a1")
-        for status in [200] * (1 + MUCH.count(b"GET")):
+        for status in [200] * (1 + PIPELINED_REQUESTS.count(b"GET")):
             self.assertEqual(status, self.answer(side).status)
         self.assertFalse(c.paused)
 
@@ -233,13 +233,13 @@
         self.turn()
         c = next(c for c in self.app.server.connections if c.client)
         self.assertTrue(c.paused)
-        before = self.app.deadlines.live
+        before = self.app.deadlines.active_count
         for _ in range(50):
             c.paused = False
             c.count_kept_bytes()
             c.process_received()
         self.assertTrue(c.paused)
-        self.assertEqual(before, self.app.deadlines.live)
+        self.assertEqual(before, self.app.deadlines.active_count)
 
 
 class Restarts(Loopback):
@@ -466,7 +466,7 @@
 
     def test_a_list_past_what_memory_holds_leaves_addresses_and_workers_as_they_were(self) -> None:
         self.begin(workers=2)
-        self.app.engine.view.entries_most = 50
+        self.app.engine.view.max_list_entries = 50
         self.tell(43, whole=True, w1="up", w2="up")
         places = dict(self.app.workers.addresses)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
@@ -721,14 +721,14 @@
         self.quiet_until_called(6_000)
         self.watches[-2].sock.close()
         self.turn()
-        self.assertEqual(0, self.app.engine.figures().list_failed)
+        self.assertEqual(0, self.app.engine.figures().list_calls_failed)
         self.told_on_the_newest_call()
 
     def test_both_calls_silent_are_one_failure_and_end_both(self) -> None:
         self.begin(workers=2)
         self.wait(4_100)
         self.asked_lists()
-        self.assertEqual(1, self.app.engine.figures().list_failed)
+        self.assertEqual(1, self.app.engine.figures().list_calls_failed)
         self.assertEqual([True, True], [side.ended for side in self.watches[:2]])
 
     def test_moved_amid_two_calls_only_the_new_address_is_called(self) -> None:
@@ -787,7 +787,7 @@
 
     def test_a_burst_in_one_turn_takes_no_more_than_the_clients_part(self) -> None:
         self.begin(sockets=self.SOCKETS)
-        most = self.app.server.most
+        most = self.app.server.max_connections
         self.idle_clients(2 * self.SOCKETS)
         for _ in range(20):
             self.turn(1)
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -24,13 +24,13 @@
     d.listed(fleet(2))
     d.advance(2_100.0)
     d.arrive(1, UNSAFE)
-    assert not d.dispatcher.in_flight.crowded(late=True)
+    assert not d.dispatcher.in_flight.is_saturated(late=True)
     d.advance(100.0)
     d.tell(TimerFired(99))
-    assert d.dispatcher.in_flight.crowded(late=True)
-    assert not d.dispatcher.in_flight.crowded()
+    assert d.dispatcher.in_flight.is_saturated(late=True)
+    assert not d.dispatcher.in_flight.is_saturated()
     d.note(d.outs()[0])
-    assert not d.dispatcher.in_flight.crowded(late=True)
+    assert not d.dispatcher.in_flight.is_saturated(late=True)
 
 
 def test_a_stuck_worker_does_not_stop_the_rest() -> None:
@@ -72,7 +72,7 @@
         d.arrive(job, UNSAFE)
         d.advance(10.0)
     d.advance(1_500.0)
-    assert d.dispatcher.in_flight.crowded(late=True)
+    assert d.dispatcher.in_flight.is_saturated(late=True)
 
 
 def test_held_jobs_that_bring_more_for_slot_time_go_first() -> None:
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -28,7 +28,7 @@
     Started,
     Tenant,
 )
-from elderstall.limits.shares import CHANCE, SEEN_FOR, Shares
+from elderstall.limits.shares import CHANCE, SEEN_FOR, QuotaTracker
 
 WORTHS = st.lists(st.floats(0.01, 1_000.0), min_size=1, max_size=8)
 
@@ -145,7 +145,7 @@
         self, parts: list[float], dispatchers: int, busy: float, seed: int
     ) -> None:
         """Every tenant at nine tenths of its share, one dispatcher at `busy` times the mean."""
-        rng, shares, now = random.Random(seed), Shares(), 0.0
+        rng, shares, now = random.Random(seed), QuotaTracker(), 0.0
         quotas = {f"t{n}": part * 2.0 for n, part in enumerate(parts)}  # jobs a ms: 2,000 a second at most
         shares.adopt([Tenant(name, 1_000.0 * q) for name, q in quotas.items()], dispatchers, True)
         rate = 0.9 * sum(quotas.values()) * busy / dispatchers
@@ -158,7 +158,7 @@
         self.assertGreater(min(within), 0.5)
 
     def test_a_tenant_that_crowds_out_others_is_beyond_its_share_by_what_it_brings_more(self) -> None:
-        rng, shares, now = random.Random(1), Shares(), 0.0
+        rng, shares, now = random.Random(1), QuotaTracker(), 0.0
         shares.adopt([Tenant("quiet", 100.0), Tenant("loud", 100.0)], 100, True)
         within: dict[str, list[float]] = {"quiet": [], "loud": []}
         for _ in range(4_000):  # ten times the even part of all shares comes here, four fifths of it of one
@@ -170,7 +170,7 @@
 
     @given(st.floats(0.0, 1e6), st.integers(1, 1_024))
     def test_a_few_jobs_by_chance_are_within(self, at: float, dispatchers: int) -> None:
-        shares = Shares()
+        shares = QuotaTracker()
         shares.adopt([Tenant("t", 0.0), Tenant("u", 0.0)], dispatchers, True)
         self.assertEqual([1.0] * int(CHANCE), [shares.within(at, "t") for _ in range(int(CHANCE))])
         self.assertEqual(1.0, shares.within(at, None))
@@ -221,7 +221,7 @@
         self, jobs: list[tuple[int, float]], now: float
     ) -> None:
         tenants = [Tenant(f"t{n}", 0.5 + n) for n in range(4)]
-        shares = Shares()
+        shares = QuotaTracker()
         shares.adopt(tenants, 200, many=True)
         seen, at = [0.0] * 4, now
         quotas = [t.quota_per_s / 1000 for t in tenants]
@@ -236,7 +236,7 @@
             self.assertLess(shares.all_seen, 1e16)
 
     def test_a_job_looks_at_no_other_tenant(self) -> None:
-        shares = Shares()
+        shares = QuotaTracker()
         shares.adopt([Tenant(f"t{n}", 1.0) for n in range(1_000)], 200, many=True)
         shares.within(1.0, "t0")
         before = dict(shares.seen)
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -133,7 +133,7 @@
     def test_what_an_earlier_version_does_not_send_has_a_default(self) -> None:
         message = {"banned": {}, "back": {}, "ids": [], "begun": [], "held": 0}
         state = ProcessState.decode(message, 0.0)
-        self.assertFalse(state.clock.told)
+        self.assertFalse(state.clock.has_sender_offset)
         self.assertEqual(
             ({}, None, None, None), (state.starts, state.endpoints, state.discovery, state.learned)
         )
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -121,7 +121,7 @@
 def test_deadlines_run_in_order_behind_one_call_and_survive_a_failure() -> None:
     clock, got, errors = Clock(), list[object](), list[BaseException]()
     deadlines = Deadlines(clock, clock.seconds, 0.0)
-    deadlines.failed = errors.append
+    deadlines.on_error = errors.append
     deadlines.after(30, got.append, "c")
     deadlines.after(10, got.append, "a")
     deadlines.after(10, [].pop)
@@ -143,7 +143,7 @@
             last.cancel()
     assert len(deadlines.heap) < 1_100
     clock.advance(76)
-    assert (got, deadlines.live) == ([19_999], 0)
+    assert (got, deadlines.active_count) == ([19_999], 0)
 
 
 def test_the_log_is_bounded_and_counts_what_it_holds_back() -> None:
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -86,7 +86,7 @@
     def test_the_lane_is_sized_by_the_urgent_work_seen(self, part: float) -> None:
         reserved, rng = ReservedWorkers(), random.Random(1)
         reserved.adopt([200.0])
-        fleet = [Worker.of(Endpoint(f"worker-{n}")) for n in range(2_000)]
+        fleet = [Worker.from_endpoint(Endpoint(f"worker-{n}")) for n in range(2_000)]
         for n in range(5_000):
             cls = JobClass("c", 1.0, 100.0 if rng.random() < part else 9_000.0, 60_000.0, stretch=1.0)
             reserved.candidates(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
--- a/tests/test_listener_parts.py
+++ b/tests/test_listener_parts.py
@@ -32,8 +32,8 @@
         self.table.closing_count += 1
 
 
-def table_of(clock: Clock, most: int = 10, soft: int = 10) -> ConnectionTable[Peer]:
-    return ConnectionTable(Deadlines(clock, clock.seconds, 0.0), most, soft)
+def table_of(clock: Clock, max_connections: int = 10, shedding_threshold: int = 10) -> ConnectionTable[Peer]:
+    return ConnectionTable(Deadlines(clock, clock.seconds, 0.0), max_connections, shedding_threshold)
 
 
 def test_connections_are_shed_in_the_order_of_what_they_do() -> None:
@@ -43,10 +43,10 @@
     busy = Peer(table, None)
     clock.advance(MIN_SHED_AGE / 1000)
     for left in range(len(peers), 0, -1):
-        table.soft = left
+        table.shedding_threshold = left
         table.enforce_limits()
         assert [peer.is_shed for peer in peers] == [n >= left - 1 for n in range(len(peers))]
-    table.soft = 0
+    table.shedding_threshold = 0
     table.enforce_limits()
     assert not busy.is_shed
     assert (table.open_count, table.busy_count) == (1, 1)
@@ -54,7 +54,7 @@
 
 def test_a_new_connection_is_shed_once_its_first_request_had_time_to_come() -> None:
     clock = Clock()
-    table = table_of(clock, soft=0)
+    table = table_of(clock, shedding_threshold=0)
     peer = Peer(table, Activity.NEW)
     table.enforce_limits()
     assert not peer.is_shed
@@ -64,18 +64,18 @@
 
 def test_what_is_owed_an_answer_is_passed_over() -> None:
     clock = Clock()
-    table = table_of(clock, soft=1)
+    table = table_of(clock, shedding_threshold=1)
     owed, idle = Peer(table, Activity.IDLE, may_shed=False), Peer(table, Activity.IDLE)
     table.enforce_limits()
     assert (owed.is_shed, idle.is_shed) == (False, True)
 
 
 def test_accepting_stops_at_the_hard_limit_and_goes_on_below_it() -> None:
-    table = table_of(Clock(), most=2)
+    table = table_of(Clock(), max_connections=2)
     calls: list[bool] = []
     table.accept = calls.append
     first = Peer(table, None)
-    table.elsewhere = 1
+    table.peer_process_connections = 1
     table.enforce_limits()
     table.enforce_limits()
     assert calls == [False]
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -171,7 +171,7 @@
         d.arrive(job, SAFE)
         serve_all(d, 20.0)
     gold, bronze = d.dispatcher.pools.policy.sizes
-    assert bronze > gold or d.dispatcher.pools.policy.f[0] > 0
+    assert bronze > gold or d.dispatcher.pools.policy.fractions[0] > 0
 
 
 def test_same_events_give_the_same_actions() -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -64,7 +64,7 @@
     assert (
         0
         < max(sent.values())
-        <= 3.0 * 2_000.0 * w.slots * w.speed * w.warmth(d.context.now, d.context.settings) / 2
+        <= 3.0 * 2_000.0 * w.slots * w.speed * w.warm_up_fraction(d.context.now, d.context.settings) / 2
         + d.estimates.typical
     )
 
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -96,13 +96,13 @@
         first = self.served("a1", side=side)
         self.tell(42)
         self.turn()
-        before = self.app.deadlines.live
+        before = self.app.deadlines.active_count
         self.quiet()
         first.read()
         self.assertTrue(first.ended)
         self.assertEqual([], list(self.app.workers.connections))
         self.assertEqual([], list(self.app.server.connections))
-        self.assertLessEqual(self.app.deadlines.live, before)
+        self.assertLessEqual(self.app.deadlines.active_count, before)
         self.assertLess(len(self.app.deadlines.heap), 1_100)
         self.served("a2", "deck-build")
         self.assertEqual([], self.bugs())
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall.decisions.capacity import OWN_JOBS_MOST
+from elderstall.decisions.capacity import MAX_ATTEMPTS_PER_WORKER
 from elderstall.decisions.polling import POLLED_FOR_QUEUED
 from elderstall.interface import (
     Ending,
@@ -28,7 +28,7 @@
 CLASSES = (JobClass("build", 3.0, 300.0, 5_000.0, stretch=1.75),)
 
 
-def module(workers: int, pulled: bool = True, dispatchers: int = 2) -> Dispatcher:
+def module(workers: int, reports_only_when_polled: bool = True, dispatchers: int = 2) -> Dispatcher:
     d = Dispatcher(
         Settings(
             CLASSES,
@@ -36,7 +36,7 @@
             max_attempts=6,
             report_free_slots=0,
             probes=True,
-            pulled=pulled,
+            reports_only_when_polled=reports_only_when_polled,
             connect_timeout=250.0,
             tick=2.0,
         ),
@@ -69,7 +69,7 @@
         sent, probes = burst(module(9), 16, 1_000.0, 3.0)
         self.assertEqual(16, sent)
         self.assertGreater(probes, 0)
-        self.assertEqual((9, 0), burst(module(9, pulled=False), 16, 1_000.0, 3.0))
+        self.assertEqual((9, 0), burst(module(9, reports_only_when_polled=False), 16, 1_000.0, 3.0))
 
     def test_nothing_is_asked_while_there_is_room(self) -> None:
         self.assertEqual((9, 0), burst(module(9), 9, 1_000.0, 3.0))
@@ -81,7 +81,9 @@
         sent, probes = burst(d, jobs, 1_000.0, free)
         self.assertLessEqual(probes, workers)  # all in one moment: each tells once in TOLD_FOR
         self.assertLessEqual(probes, POLLED_FOR_QUEUED * max(0, jobs))
-        self.assertLessEqual(max(w.slots_in_flight for w in d.endpoints.workers.values()), OWN_JOBS_MOST)
+        self.assertLessEqual(
+            max(w.slots_in_flight for w in d.endpoints.workers.values()), MAX_ATTEMPTS_PER_WORKER
+        )
         if free < 0.9:
             self.assertLessEqual(sent, workers)
 
@@ -95,9 +97,9 @@
             "balancers": 2,
             "load_report": {"fields": ["x0"], "source": "pull"},
         }
-        self.assertTrue(settings_of(raw).pulled)
+        self.assertTrue(settings_of(raw).reports_only_when_polled)
         raw["load_report"] = {"fields": ["x0"], "source": "piggyback"}
-        self.assertFalse(settings_of(raw).pulled)
+        self.assertFalse(settings_of(raw).reports_only_when_polled)
 
 
 if __name__ == "__main__":
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -12,8 +12,8 @@
     def test_settings_say_who_calls_for_the_list(self) -> None:
         asks = config_of(platform(discovery="subscribe", balancers=200), {}).settings
         pushed = config_of(platform(discovery="automatic", balancers=200), {}).settings
-        self.assertEqual((True, 200), (asks.watches_list, asks.callers))
-        self.assertEqual((True, 1), (pushed.watches_list, pushed.callers))
+        self.assertEqual((True, 200), (asks.watches_list, asks.list_callers))
+        self.assertEqual((True, 1), (pushed.watches_list, pushed.list_callers))
 
 
 class Drains(unittest.TestCase):
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -140,7 +140,7 @@
         self.reload(last)
         self.wait(50)
         self.assertEqual([0, 1], [len(self.calls_at(place)) for place in (first, last)])
-        self.assertEqual(2, self.app.engine.counters.load_errors)
+        self.assertEqual(2, self.app.engine.counters.settings_load_errors)
 
 
 class InQuickSuccession(Reloading):
@@ -316,7 +316,7 @@
 
     def test_descriptors_that_run_short_lose_no_request_that_was_read(self) -> None:
         self.begin(workers=2, sockets=96)
-        sides = self.resting(self.app.server.soft)
+        sides = self.resting(self.app.server.shedding_threshold)
         for _ in range(40):
             self.client().send(http.request("GET", "/up", "x"))
         self.jump(200)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -159,10 +159,12 @@
     d = Driver(settings())
     d.listed(fleet(1))
     assert (
-        d.dispatcher.endpoints.workers["k0"].warmth(d.dispatcher.context.now, d.dispatcher.context.settings)
+        d.dispatcher.endpoints.workers["k0"].warm_up_fraction(
+            d.dispatcher.context.now, d.dispatcher.context.settings
+        )
         == 1.0
     )
     d.listed(fleet(1, started=d.now))
-    assert d.dispatcher.endpoints.workers["k0"].warmth(
+    assert d.dispatcher.endpoints.workers["k0"].warm_up_fraction(
         d.dispatcher.context.now, d.dispatcher.context.settings
     ) == pytest.approx(0.3)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,8 @@
 from benchmarks.scale.measures import Size, churned, dispatcher_of
 from elderstall.decisions.records import Worker
 from elderstall.interface import Actions, EndpointListUpdate, Event, ListScope, WorkerState
-from elderstall.routing.subset import SLACK, SUBSET_LEAST
-from elderstall.routing.view import GONE_LEAST, GONE_PART
+from elderstall.routing.subset import MIN_SUBSET_SIZE, SLACK
+from elderstall.routing.view import GONE_RETAINED_DIVISOR, MIN_GONE_RETAINED
 
 WORKERS = 3_000
 
@@ -65,7 +65,7 @@
     def test_the_same_at_a_fleet_twice_as_large(self) -> None:
         large = dispatcher_of(Size(2 * WORKERS, 120))
         for dispatcher in (self.dispatcher, large):
-            self.assertLessEqual(abs(len(dispatcher.members) - SUBSET_LEAST), 8)
+            self.assertLessEqual(abs(len(dispatcher.members) - MIN_SUBSET_SIZE), 8)
 
 
 class Touched(unittest.TestCase):
@@ -78,7 +78,9 @@
             cold = [replace(entry(workers + n), started=EPOCH + dispatcher.loop.now) for n in range(3)]
             for n, joining in enumerate(cold, 1):
                 dispatcher.engine.endpoints.take(ListScope.CHANGES, (entry(n, WorkerState.GONE), joining))
-            with patch.object(Worker, "warmth", autospec=True, side_effect=Worker.warmth) as warmth:
+            with patch.object(
+                Worker, "warm_up_fraction", autospec=True, side_effect=Worker.warm_up_fraction
+            ) as warmth:
                 dispatcher.change(entry(9, WorkerState.GONE))
                 for name in dispatcher.members[:1]:
                     dispatcher.change(entry(self.number_of(name, workers), WorkerState.GONE))
@@ -155,8 +157,8 @@
             first, later = (self.held(churned(Size(workers, 60, days=days))) for days in (0.5, 1.5))
             self.assertEqual(workers, later["listed"])
             known = later["members"] or workers
-            closed = max(GONE_LEAST, known // GONE_PART)
-            self.assertLessEqual(later["gone"], max(GONE_LEAST, workers // GONE_PART))
+            closed = max(MIN_GONE_RETAINED, known // GONE_RETAINED_DIVISOR)
+            self.assertLessEqual(later["gone"], max(MIN_GONE_RETAINED, workers // GONE_RETAINED_DIVISOR))
             self.assertLessEqual(later["module"], (1 + SLACK) * known + closed + 8)
             self.assertLessEqual(later.total(), 1.25 * first.total())
 
@@ -172,7 +174,7 @@
     def test_a_zone_is_lost_and_comes_back(self) -> None:
         result = play.play(play.scenario_of(1_300, 10, 12.0, 4.0, "zone"))
         self.assertEqual(0, result["broken"], result["rules"])
-        self.assertLessEqual(abs(result["in_view"] - SUBSET_LEAST), 64)
+        self.assertLessEqual(abs(result["in_view"] - MIN_SUBSET_SIZE), 64)
         self.assertGreater(result["requests"], 300)
 
     def test_regions_part(self) -> None:
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -378,7 +378,7 @@
         self.forbid()
         side.sock.close()
         self.nothing()
-        self.assertNotIn("a1", self.app.engine.jobs.by_id)
+        self.assertNotIn("a1", self.app.engine.jobs.by_request_id)
 
 
 if __name__ == "__main__":
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -156,7 +156,11 @@
                 self.retune([LATE], max_attempts=attempts)
                 self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.engine.classes))
         self.assertEqual(
-            (0, 11), (self.world.app.engine.counters.loads, self.world.app.engine.counters.load_errors)
+            (0, 11),
+            (
+                self.world.app.engine.counters.settings_loads,
+                self.world.app.engine.counters.settings_load_errors,
+            ),
         )
         self.line("d", "expect", "watch 41")  # the one of the start: none at the faulty files' address
 
@@ -183,7 +187,7 @@
             self.world.raw = raw
             with self.subTest(path=path):
                 self.line("hup", "send", "")
-                self.assertEqual(1, self.world.app.engine.counters.load_errors)
+                self.assertEqual(1, self.world.app.engine.counters.settings_load_errors)
                 self.assertTrue(
                     [x for x in self.world.lines if x.startswith("reload nothing changed: ") and last in x],
                     self.world.lines,
@@ -257,12 +261,14 @@
         self.assertEqual(old.unavailable(60.0), new.unavailable(60.0))
         self.assertEqual({sent[0].worker}, new.unavailable(60.0))
         self.assertEqual(
-            (old.estimates.mean, old.capacity.claim, old.pools.policy),
-            (new.estimates.mean, new.capacity.claim, new.pools.policy),
+            (old.estimates.mean, old.capacity.fleet_fraction, old.pools.policy),
+            (new.estimates.mean, new.capacity.fleet_fraction, new.pools.policy),
         )
         new.handle(
             61.0,
-            JobTakenOver(7, new.context.mode.classes["c1"], 0.0, 5_000.0, sent=1, worker="w3", sent_at=9.0),
+            JobTakenOver(
+                7, new.context.mode.classes["c1"], 0.0, 5_000.0, attempts=1, worker="w3", sent_at=9.0
+            ),
         )
         self.assertEqual(1, new.endpoints.workers["w3"].slots_in_flight)
         new.handle(99.0, AttemptEnded(7, 0, "w3", Ending.SERVED, True))
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -65,7 +65,7 @@
             if serve and what.startswith("POST"):
                 self.turn()
                 request_id = what.split()[1]
-                job = self.app.engine.jobs.by_id.get(request_id)
+                job = self.app.engine.jobs.by_request_id.get(request_id)
                 if job is not None and job.attempt is not None:
                     self.call_back(request_id, worker=job.attempt.worker)
         self.turn()
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -381,7 +381,9 @@
 def test_the_auditor_sees_a_cold_worker_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """A module that knows no cold workers."""
     monkeypatch.setattr("elderstall.decisions.slow_start.SlowStart.admits", lambda self, w, job: True)
-    monkeypatch.setattr("elderstall.decisions.in_flight.InFlight.crowded", lambda self, late=False: False)
+    monkeypatch.setattr(
+        "elderstall.decisions.in_flight.InFlight.is_saturated", lambda self, late=False: False
+    )
     monkeypatch.setattr("elderstall.decisions.capacity.CapacityModel.open_slots", lambda self, w: 50)
     rules = Rules(cold_for=2_000.0, push_multiple=1.2, push_window=600.0)
     world = World(
--- a/tests/test_simulation_worker.py
+++ b/tests/test_simulation_worker.py
@@ -9,12 +9,14 @@
 from hypothesis import strategies as st
 
 from elderstall.simulation.scenario import Kind
-from elderstall.simulation.worker import CardWorker, Happening, Push, Task, What
+from elderstall.simulation.worker import CardWorker, Push, Task, WorkerEvent, WorkerEventKind
 
 PLAIN = Kind("plain", cores=2, slots=2, queue=2, cold_share=0.5, cold_for=0.0)
 
 
-def ends(happenings: list[Happening], what: What = What.DONE) -> list[tuple[object, object]]:
+def ends(
+    happenings: list[WorkerEvent], what: WorkerEventKind = WorkerEventKind.DONE
+) -> list[tuple[object, object]]:
     return [(h.task.key, pytest.approx(h.at)) for h in happenings if h.what is what]
 
 
@@ -39,15 +41,15 @@
     w.offer(0.0, Task("wide", 50.0, slots=2))
     w.offer(0.0, Task("small", 10.0))  # a slot is free, but the head is before it
     seen = w.advance(1_000.0)
-    assert ends(seen, What.STARTED) == [("wide", 100.0), ("small", 150.0)]
+    assert ends(seen, WorkerEventKind.STARTED) == [("wide", 100.0), ("small", 150.0)]
     assert ends(seen) == [("long", 100.0), ("wide", 150.0), ("small", 160.0)]
 
 
 def test_past_its_waiting_room_it_is_full_and_never_holds_what_cannot_run() -> None:
     w = CardWorker(PLAIN, speed=1.0)
     verdicts = [w.offer(0.0, Task(n, 100.0))[0].what for n in range(5)]
-    assert verdicts == [What.TAKEN] * 4 + [What.FULL]
-    assert w.offer(0.0, Task("wide", 1.0, slots=3))[0].what is What.FULL
+    assert verdicts == [WorkerEventKind.TAKEN] * 4 + [WorkerEventKind.FULL]
+    assert w.offer(0.0, Task("wide", 1.0, slots=3))[0].what is WorkerEventKind.FULL
     assert w.held == 4
 
 
@@ -77,11 +79,11 @@
     w = CardWorker(kind, speed=1.0, push=Push(4.0, 1_000.0))
     w.start(0.0)
     budget = 4.0 * 0.5 * 1_000.0
-    assert w.offer(0.0, Task("a", budget - 100.0))[0].what is What.TAKEN
-    assert w.offer(0.0, Task("b", 99.0))[0].what is What.FULL  # refused work counts as well
+    assert w.offer(0.0, Task("a", budget - 100.0))[0].what is WorkerEventKind.TAKEN
+    assert w.offer(0.0, Task("b", 99.0))[0].what is WorkerEventKind.FULL  # refused work counts as well
     assert w.up
     seen = w.offer(0.0, Task("c", 2.0, informed=False))
-    assert [h.what for h in seen] == [What.LOST, What.LOST] and w.fallen and not w.up
+    assert [h.what for h in seen] == [WorkerEventKind.LOST, WorkerEventKind.LOST] and w.fallen and not w.up
     assert w.blame == pytest.approx((budget - 1) / (budget + 1))
 
 
@@ -133,7 +135,7 @@
     assert w.offer(200.0, Task("b", 10.0)) == [] and w.advance(3_000.0) == [] and w.due() == math.inf
     seen = w.resume(3_150.0)
     assert {h.at for h in seen} == {3_150.0}
-    assert [h.what for h in seen if h.what is not What.PROGRESS] == [What.TAKEN]
+    assert [h.what for h in seen if h.what is not WorkerEventKind.PROGRESS] == [WorkerEventKind.TAKEN]
     assert ends(w.advance(9_000.0)) == [("a", 3_450.0), ("b", 3_460.0)]
     assert w.ledger.paused == pytest.approx(3_000.0)
 
@@ -142,8 +144,11 @@
     w = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0), speed=1.0)
     for n in range(3):
         w.offer(0.0, Task(n, 100.0))
-    assert [(h.what, h.task.key) for h in w.drain(10.0)] == [(What.RETURNED, 1), (What.RETURNED, 2)]
-    assert w.offer(20.0, Task("new", 1.0))[0].what is What.FULL
+    assert [(h.what, h.task.key) for h in w.drain(10.0)] == [
+        (WorkerEventKind.RETURNED, 1),
+        (WorkerEventKind.RETURNED, 2),
+    ]
+    assert w.offer(20.0, Task("new", 1.0))[0].what is WorkerEventKind.FULL
     assert ends(w.advance(500.0)) == [(0, 100.0)]
 
 
@@ -153,7 +158,7 @@
     w.offer(0.0, Task("a", 100.0))
     w.offer(0.0, Task("b", 100.0))
     seen = w.cancel(50.0, "b") + w.cancel(50.0, "a") + w.advance(1_000.0)
-    assert [h.task.key for h in seen if h.what is What.STOPPED] == stopped[::-1]
+    assert [h.task.key for h in seen if h.what is WorkerEventKind.STOPPED] == stopped[::-1]
     assert len(ends(seen)) == 2 - len(stopped)
 
 
@@ -175,13 +180,16 @@
     w.offer(0.0, Task("b", 100.0, deadline=90.0))
     w.offer(0.0, Task("c", 10.0))
     seen = w.advance(500.0)
-    assert ends(seen, What.DROPPED) == [("b", 100.0)] and ends(seen) == [("a", 100.0), ("c", 110.0)]
+    assert ends(seen, WorkerEventKind.DROPPED) == [("b", 100.0)] and ends(seen) == [
+        ("a", 100.0),
+        ("c", 110.0),
+    ]
 
 
 def test_a_failing_job_ends_at_its_share() -> None:
     w = CardWorker(PLAIN, speed=1.0)
     w.offer(0.0, Task("a", 100.0, fails_at=0.3))
-    assert ends(w.advance(500.0), What.FAILED) == [("a", 30.0)]
+    assert ends(w.advance(500.0), WorkerEventKind.FAILED) == [("a", 30.0)]
 
 
 ACTS = ["offer", "wide", "cancel", "charge", "slow", "pause", "resume", "drain", "die", "start"]
@@ -196,7 +204,7 @@
         "k", cores, slots, queue=4, cold_for=700.0, warm_by_work=by_work, cancel=cancel, drops_expired=by_work
     )
     w = CardWorker(kind, speed=1.3, push=Push(50.0, 500.0), progress_every=70.0)
-    now, seen, offered = 0.0, list[Happening](), 0
+    now, seen, offered = 0.0, list[WorkerEvent](), 0
     for act, gap, n in script:
         now += gap
         if act in ("offer", "wide"):
@@ -235,7 +243,16 @@
     over = [
         h.task.key
         for h in seen
-        if h.what in (What.DONE, What.FAILED, What.FULL, What.LOST, What.RETURNED, What.DROPPED, What.STOPPED)
+        if h.what
+        in (
+            WorkerEventKind.DONE,
+            WorkerEventKind.FAILED,
+            WorkerEventKind.FULL,
+            WorkerEventKind.LOST,
+            WorkerEventKind.RETURNED,
+            WorkerEventKind.DROPPED,
+            WorkerEventKind.STOPPED,
+        )
     ]
     assert sorted(over, key=repr) == sorted(range(1, offered + 1), key=repr)
     assert all(a.at <= b.at + 1e-6 for a, b in zip(seen, seen[1:], strict=False))
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,7 +24,7 @@
     Settings,
     Started,
 )
-from elderstall.net.discovery import LINE_MOST, list_of
+from elderstall.net.discovery import MAX_LIST_BYTES, list_of
 from elderstall.net.jsonlines import JsonLines
 from tests.scenario import platform
 
@@ -127,7 +127,7 @@
     def test_a_watch_takes_lists_of_1024_indented_or_not_in_pieces_of_any_size(self) -> None:
         plain = whole(range(MANY))
         for indent, size in ((None, 1_000), (1, 1), (2, 4_096), (None, 10**6)):
-            lines, got = JsonLines(LINE_MOST), []
+            lines, got = JsonLines(MAX_LIST_BYTES), []
             data = (whole(range(MANY), indent) + "\n\n" + plain + "\n").encode()
             for at in range(0, len(data), size):
                 got += list(lines.feed(data[at : at + size]))
@@ -137,7 +137,7 @@
     def test_a_list_broken_off_is_refused_at_the_next_sign_of_life_at_the_latest(
         self, kept: int, indent: int | None
     ) -> None:
-        lines = JsonLines(LINE_MOST)
+        lines = JsonLines(MAX_LIST_BYTES)
         text = whole(range(3), indent)[:kept].strip()
         try:
             json.loads(text)
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -9,7 +9,7 @@
 
 from elderstall.decisions.hill_climb import climb
 from elderstall.decisions.queue_model import queue, tier_edges, utility
-from elderstall.decisions.records import Load, Policy, flows, legal, pairs
+from elderstall.decisions.records import Load, Policy, is_feasible, pool_fractions, tier_pairs
 
 
 def load(rates: tuple[float, ...], workers: int = 6) -> Load:
@@ -56,7 +56,7 @@
     )
     grid = range(-1000, 1001, 100)
     every = (Policy((a, b, c), (2, 2, 2)) for a in grid for b in grid for c in grid)
-    best = max(utility(p, given) for p in every if legal(p, 3))
+    best = max(utility(p, given) for p in every if is_feasible(p, 3))
     assert utility(found, given) >= 0.99 * best
 
 
@@ -65,9 +65,9 @@
     found = climb(
         Policy((0, 0, 0), (2, 2, 2)), lambda p: utility(p, given), 3, 40, random.Random(3), resize=True
     )
-    assert legal(found, 3)
+    assert is_feasible(found, 3)
     assert sum(found.sizes) == 6
-    assert min(found.f) >= 0
+    assert min(found.fractions) >= 0
 
 
 def test_more_load_never_pays_in_response() -> None:
@@ -78,12 +78,12 @@
 
 @pytest.mark.parametrize("f", [(-500, 0, 100), (600, -500, 0), (0, 600, 600), (-600, 0, -600)])
 def test_illegal_fractions_are_seen(f: tuple[int, ...]) -> None:
-    assert not legal(Policy(f, (1, 1, 1)), 3)
+    assert not is_feasible(Policy(f, (1, 1, 1)), 3)
 
 
 def test_flows_send_each_tier_s_jobs_exactly_once() -> None:
     for f in [(300, 200, 100), (-300, 500, -200), (1000, 0, 0)]:
-        rows = flows(Policy(f, (1, 1, 1)), 3)
+        rows = pool_fractions(Policy(f, (1, 1, 1)), 3)
         assert all(sum(row) == pytest.approx(1) and min(row) >= 0 for row in rows)
 
 
@@ -92,4 +92,4 @@
     assert tier_edges([1]) == [1]
     assert tier_edges([1, 3, 0.2, 0.6]) == [3, 0.6, 0.2]
     assert tier_edges([1, 3, 0.05, 0.15]) == [3, 1, 0.05]  # of equal gaps the upper
-    assert [len(pairs(t)) for t in (1, 2, 3)] == [0, 1, 3]
+    assert [len(tier_pairs(t)) for t in (1, 2, 3)] == [0, 1, 3]
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -71,8 +71,8 @@
         """See that nothing is kept of clients that stay."""
         self.wait(LINGER)
         self.assertEqual([], list(self.app.server.connections))
-        self.assertEqual(0, self.app.server.weight)
-        self.assertEqual({}, self.app.engine.jobs.by_id)
+        self.assertEqual(0, self.app.server.kept_bytes)
+        self.assertEqual({}, self.app.engine.jobs.by_request_id)
 
     def served(self, side: Side, request_id: str = "good") -> None:
         side.send(self.job(request_id))
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -10,12 +10,12 @@
 
 from elderstall.hashing import stable_hash
 from elderstall.interface import Ending
-from elderstall.routing.reach import SEEN_FOR, WORKERS_LEAST, ZoneReach
+from elderstall.routing.reach import MIN_FAILING_WORKERS, SEEN_FOR, ZoneReach
 from elderstall.routing.subset import (
-    KIND_LEAST,
+    MIN_SUBSET_SIZE,
+    MIN_WORKERS_PER_KIND,
     REPLICAS,
     SLACK,
-    SUBSET_LEAST,
     WIDEN_MOST,
     Arc,
     Ring,
@@ -42,8 +42,8 @@
 class Sizes(unittest.TestCase):
     def test_up_to_1024_it_is_the_whole_fleet(self) -> None:
         for dispatchers in (1, 8, 40, 23_000):
-            self.assertGreaterEqual(subset_size(SUBSET_LEAST, dispatchers), SUBSET_LEAST)
-        self.assertEqual(SUBSET_LEAST, subset_size(100, 40))
+            self.assertGreaterEqual(subset_size(MIN_SUBSET_SIZE, dispatchers), MIN_SUBSET_SIZE)
+        self.assertEqual(MIN_SUBSET_SIZE, subset_size(100, 40))
 
     def test_each_worker_has_so_many_holders_at_least(self) -> None:
         for workers, dispatchers in ((23_000, 230), (23_000, 100), (5_000, 10), (23_000, 23_000)):
@@ -88,9 +88,9 @@
         owners: Counter[str] = Counter(dict.fromkeys((name for name, *_ in workers), 0))
         for rank in range(60):
             subset = subset_of(workers, rank, 60)
-            owners.update(name for name in subset.wanted() if subset.place(name) < 0.2)
+            owners.update(name for name in subset.wanted() if subset.preference_position(name) < 0.2)
         mean = sum(owners.values()) / len(workers)
-        self.assertAlmostEqual(0.2 * 60 * SUBSET_LEAST / 2_400, mean, delta=0.6)
+        self.assertAlmostEqual(0.2 * 60 * MIN_SUBSET_SIZE / 2_400, mean, delta=0.6)
         self.assertLessEqual(max(owners.values()), mean + 2)
         self.assertGreaterEqual(min(owners.values()), mean - 2)
 
@@ -149,8 +149,8 @@
         wanted = subset.wanted()
         self.assertEqual(30, sum(name.startswith("rare") for name in wanted))
         own = [name for name, _, zone in workers if name in wanted and zone == "zone-5"]
-        self.assertGreaterEqual(len(own), KIND_LEAST)
-        self.assertLessEqual(len(wanted), subset.size + 2 * KIND_LEAST + 2)
+        self.assertGreaterEqual(len(own), MIN_WORKERS_PER_KIND)
+        self.assertLessEqual(len(wanted), subset.size + 2 * MIN_WORKERS_PER_KIND + 2)
 
     def test_many_kinds_do_not_make_it_larger_without_a_bound(self) -> None:
         subset = subset_of(fleet(5_000, kinds=500))
@@ -203,11 +203,11 @@
 class Reach(unittest.TestCase):
     def fails(self, reach: ZoneReach, *workers: str, now: float = 0.0) -> frozenset[str | None]:
         for worker in workers:
-            reach.ended(worker, "a", Ending.UNREACHABLE, True, now)
+            reach.record_ending(worker, "a", Ending.UNREACHABLE, True, now)
         return reach.lost
 
     def takes(self, reach: ZoneReach, worker: str, zone: str, ending: Ending) -> frozenset[str | None]:
-        reach.ended(worker, zone, ending, False, 1.0)
+        reach.record_ending(worker, zone, ending, False, 1.0)
         return reach.lost
 
     def test_one_worker_however_often_says_nothing_of_its_zone(self) -> None:
@@ -235,7 +235,7 @@
         self.fails(reach, "w1", "w2")
         self.assertEqual(frozenset(), self.fails(reach, "w3", now=SEEN_FOR + 1.0))
         self.fails(reach, *NAMES[:500], now=SEEN_FOR + 2.0)
-        self.assertEqual(WORKERS_LEAST, len(reach.failing["a"]))
+        self.assertEqual(MIN_FAILING_WORKERS, len(reach.failing["a"]))
 
 
 if __name__ == "__main__":
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -29,7 +29,7 @@
 
 from elderstall.app import LISTEN_RETRY, LISTEN_TRIES, RELOAD_RETRY, RELOAD_TRIES
 from elderstall.config import Config, ConfigError, UnreadableError, config_of, load
-from elderstall.log import LINE_MOST, Log, StandardError
+from elderstall.log import MAX_LINE_BYTES, Log, StandardError
 from elderstall.net import http, peer
 from elderstall.net.accepting import RESOURCE_ERRORS
 from elderstall.upgrade.adoption import ADOPT_TRIES
@@ -246,7 +246,7 @@
         self.assertEqual(503, self.answer(side).status)
         self.wait(100)
         self.take("POST /album")
-        self.assertEqual(set(), self.app.server.moving)
+        self.assertEqual(set(), self.app.server.ids_in_transfer)
 
     def test_one_that_can_never_be_taken_on_is_given_up_in_the_end_and_holds_no_descriptor(self) -> None:
         self.hand_over()
@@ -282,7 +282,7 @@
         with mock.patch("elderstall.upgrade.adoption.os.close", close_and_fail):
             self.send_connection(accepted)
         assert self.app.upgrade.handover is not None
-        self.assertEqual([self.app.upgrade.handover.older], self.app.upgrade.handover.links)
+        self.assertEqual([self.app.upgrade.handover.predecessor], self.app.upgrade.handover.links)
         client.sendall(http.request("GET", "/up", "x"))
         self.turn()
         self.assertIn(b" 200 ", client.recv(1_000))
@@ -416,10 +416,10 @@
         self.assertEqual(["0.000 suppressed a=1", "0.000 b next"], lines[1:])
 
     def test_a_line_is_bounded_in_bytes(self) -> None:
-        self.log.write("a", "\u00e9\U0001f4e6" * LINE_MOST)
-        self.log.write("a", "\ud800" * LINE_MOST)
+        self.log.write("a", "\u00e9\U0001f4e6" * MAX_LINE_BYTES)
+        self.log.write("a", "\ud800" * MAX_LINE_BYTES)
         for line in os.read(self.pipe.read_end, 1 << 20).splitlines():
-            self.assertLessEqual(len(line), LINE_MOST + 20)
+            self.assertLessEqual(len(line), MAX_LINE_BYTES + 20)
 
     def test_without_a_standard_error_lines_are_counted(self) -> None:
         with mock.patch.object(sys, "stderr", None):
@@ -459,9 +459,13 @@
         old = self.app.config
         self.app.sighup()
         self.assertIs(old, self.app.config)
-        self.assertEqual((1, 0), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
+        self.assertEqual(
+            (1, 0), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
+        )
         self.wait(4 * RELOAD_RETRY)
-        self.assertEqual((1, 1), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
+        self.assertEqual(
+            (1, 1), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
+        )
         self.assertEqual(4, self.reads)
         self.assertEqual(1, len([line for line in self.lines if "nothing changed" in line]))
 
@@ -470,9 +474,13 @@
         self.app.sighup()
         self.wait(RELOAD_RETRY * (RELOAD_TRIES + 5))
         self.assertEqual(RELOAD_TRIES + 1, self.reads)
-        self.assertEqual((1, 0), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
+        self.assertEqual(
+            (1, 0), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
+        )
         self.app.sighup()
-        self.assertEqual((1, 1), (self.app.engine.counters.load_errors, self.app.engine.counters.loads))
+        self.assertEqual(
+            (1, 1), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
+        )
 
     def test_signals_in_a_row_make_one_row_of_tries(self) -> None:
         self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EMFILE")] * 5)
@@ -480,7 +488,7 @@
             self.app.sighup()
         self.assertEqual(5, self.reads)
         self.wait(4 * RELOAD_RETRY)
-        self.assertEqual((6, 1), (self.reads, self.app.engine.counters.loads))
+        self.assertEqual((6, 1), (self.reads, self.app.engine.counters.settings_loads))
 
 
 class Reading(unittest.TestCase):
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -30,8 +30,14 @@
     WorkerState,
 )
 from elderstall.messages import Failed, Outcome, Served
-from elderstall.routing.subset import SLACK, SUBSET_LEAST
-from elderstall.routing.view import ENTER_EVERY, ENTER_PART, GONE_FOR, GONE_LEAST, FleetView
+from elderstall.routing.subset import MIN_SUBSET_SIZE, SLACK
+from elderstall.routing.view import (
+    ENTER_FRACTION,
+    ENTER_INTERVAL_MS,
+    GONE_RETENTION_MS,
+    MIN_GONE_RETAINED,
+    FleetView,
+)
 from tests.test_core import CLASSES as CORE_CLASSES
 from tests.test_core import One
 
@@ -59,10 +65,10 @@
         self.view = FleetView(SETTINGS, log=lambda code, text: self.lines.append(f"{code} {text}"))
 
     def whole(self, listed: tuple[Endpoint, ...], now: float = 0.0) -> list[Event]:
-        return self.view.take(now, ListScope.WHOLE, listed)
+        return self.view.update(now, ListScope.WHOLE, listed)
 
     def change(self, *listed: Endpoint, now: float = 0.0) -> list[Event]:
-        return self.view.take(now, ListScope.CHANGES, listed)
+        return self.view.update(now, ListScope.CHANGES, listed)
 
     def told(self, events: list[Event]) -> dict[str, WorkerState]:
         """Give what the module is told of workers, the last word of each."""
@@ -78,16 +84,16 @@
         self.assertEqual([EndpointListUpdate(ListScope.WHOLE, listed)], self.whole(listed))
         change = entry(1, DRAINING)
         self.assertEqual([EndpointListUpdate(ListScope.CHANGES, (change,))], self.change(change))
-        self.assertEqual([EndpointListUpdate(ListScope.SILENT)], self.view.take(0.0, ListScope.SILENT))
-        self.assertEqual(0.0, self.view.sharing)
+        self.assertEqual([EndpointListUpdate(ListScope.SILENT)], self.view.update(0.0, ListScope.SILENT))
+        self.assertEqual(0.0, self.view.subset_dispatchers_per_worker)
 
     def test_a_ban_holds_whatever_the_list_says_and_ends_as_a_new_start(self) -> None:
         self.whole(entries(3))
-        self.view.exclude("w1", 5.0)
+        self.view.ban("w1", 5.0)
         self.assertEqual({"w1": DRAINING}, self.told(self.view.refresh("w1", 5.0)))
         self.assertEqual(DRAINING, self.told(self.whole(entries(3), 6.0))["w1"])
         self.assertFalse(self.view.may_send("w1", 5.0 + WITHIN + 1.0, WITHIN))
-        self.view.include("w1", 7.0)
+        self.view.end_ban("w1", 7.0)
         (news,) = self.view.refresh("w1", 7.0)
         assert isinstance(news, EndpointListUpdate)
         self.assertEqual((UP, 7.0), (news.entries[0].state, news.entries[0].started))
@@ -153,27 +159,27 @@
             self.replace_workers(2_000, count)
             listed, unavailable, gone, closed, members, waiting, placed = self.held()
             self.assertEqual([listed, unavailable, gone, placed], [*first[:3], first[6]])
-            self.assertLessEqual(closed, max(GONE_LEAST, (members or listed) // 4))
-            self.assertLessEqual(members, (1 + SLACK) * SUBSET_LEAST + 4)
+            self.assertLessEqual(closed, max(MIN_GONE_RETAINED, (members or listed) // 4))
+            self.assertLessEqual(members, (1 + SLACK) * MIN_SUBSET_SIZE + 4)
             self.assertLessEqual(waiting, 16)
-            self.assertLessEqual(len(self.view.gone), max(GONE_LEAST, count // 4))
-            self.assertLessEqual(len(self.view.closed), max(GONE_LEAST, count // 4))
+            self.assertLessEqual(len(self.view.gone), max(MIN_GONE_RETAINED, count // 4))
+            self.assertLessEqual(len(self.view.closed), max(MIN_GONE_RETAINED, count // 4))
             self.assertGreater(self.view.counts.forgotten, 1_500)
 
     def test_after_a_while_also_where_they_are_few(self) -> None:
         self.whole(entries(100))
         self.change(entry(1, GONE), now=1.0)
-        self.assertTrue(self.view.knows("w1"))
-        events = self.change(entry(2), now=GONE_FOR + 2.0)
+        self.assertTrue(self.view.is_known("w1"))
+        events = self.change(entry(2), now=GONE_RETENTION_MS + 2.0)
         self.assertEqual([WorkersForgotten(("w1",))], events[1:])
-        self.assertFalse(self.view.knows("w1"))
+        self.assertFalse(self.view.is_known("w1"))
 
     def test_bans_outlive_their_worker(self) -> None:
         self.whole(entries(100))
-        self.view.exclude("w1", 0.0)
+        self.view.ban("w1", 0.0)
         self.change(entry(1, GONE), now=1.0)
-        self.change(entry(2), now=GONE_FOR + 2.0)
-        self.assertEqual(DRAINING, self.told(self.change(entry(1), now=GONE_FOR + 3.0))["w1"])
+        self.change(entry(2), now=GONE_RETENTION_MS + 2.0)
+        self.assertEqual(DRAINING, self.told(self.change(entry(1), now=GONE_RETENTION_MS + 3.0))["w1"])
 
 
 class BadInput(View):
@@ -225,8 +231,8 @@
         return int(name[1:])
 
     def test_its_size_and_how_many_share_it(self) -> None:
-        self.assertTrue(SUBSET_LEAST <= len(self.first) <= SUBSET_LEAST + 4)
-        self.assertAlmostEqual(60 * len(self.first) / LARGE, self.view.sharing)
+        self.assertTrue(MIN_SUBSET_SIZE <= len(self.first) <= MIN_SUBSET_SIZE + 4)
+        self.assertAlmostEqual(60 * len(self.first) / LARGE, self.view.subset_dispatchers_per_worker)
 
     def test_a_change_elsewhere_tells_the_module_nothing(self) -> None:
         far = [name for name in self.outside if not self.near_the_end(name)]
@@ -263,19 +269,19 @@
         inside = [e for e in lost if e.worker in self.first]
         now, told = 10_000.0, self.told(self.change(*lost, now=10_000.0))
         came = sum(state is UP for state in told.values())
-        most = ENTER_PART * SUBSET_LEAST
+        most = ENTER_FRACTION * MIN_SUBSET_SIZE
         self.assertLessEqual(came, most)
         while self.view.due is not None:
             now = self.view.due
-            news = len(self.told(self.view.settle(now)))
+            news = len(self.told(self.view.admit_waiting(now)))
             self.assertLessEqual(news, most)
             came += news
         self.assertAlmostEqual(len(inside), came, delta=4)  # sizes by kind are rounded anew
-        self.assertGreaterEqual(now, 10_000.0 + ENTER_EVERY)
+        self.assertGreaterEqual(now, 10_000.0 + ENTER_INTERVAL_MS)
         self.change(*(entry(n, started=now) for n in range(0, LARGE, 10)), now=now + 5_000.0)
         self.change(*(entry(n, started=now) for n in range(1, LARGE, 10)), now=now + 5_000.0)
         for _ in range(5):
-            self.view.settle(now := now + 10_000.0)
+            self.view.admit_waiting(now := now + 10_000.0)
         self.assertLessEqual(len(self.view.members), (1 + SLACK) * len(self.first) + 1)
         back = set(self.first) & set(self.view.members)  # but for kinds whose share was rounded in between
         self.assertGreaterEqual(len(back), 0.98 * len(self.first))
@@ -283,11 +289,11 @@
     def test_zones_out_of_reach_have_others_taken_for_them(self) -> None:
         cut = [name for name in self.inside if self.number(name) % 10 == 3]
         for name in cut[:3]:
-            self.assertEqual([], self.view.ended(name, Ending.UNREACHABLE, True, 50_000.0))
+            self.assertEqual([], self.view.record_ending(name, Ending.UNREACHABLE, True, 50_000.0))
         events: list[Event] = []
         for name in self.inside:  # others answer, and so show that they are in reach
             if name not in cut:
-                events += self.view.ended(name, Ending.SERVED, False, 50_000.0)
+                events += self.view.record_ending(name, Ending.SERVED, False, 50_000.0)
             if len(self.view.reach.answering) == 9:
                 break
         assert self.view.subset is not None
@@ -296,13 +302,13 @@
         self.assertTrue(came)
         self.assertEqual([], [name for name in came if self.number(name) % 10 == 3])
         self.assertLessEqual({*self.inside}, {*self.view.members})  # those cut off are still tried
-        self.view.ended(cut[0], Ending.SERVED, False, 60_000.0)
+        self.view.record_ending(cut[0], Ending.SERVED, False, 60_000.0)
         self.assertEqual(0, self.view.subset.widened)
         self.assertIn("view all zones in reach", self.lines)
 
     def test_other_settings_cut_it_anew_and_the_same_ones_do_not(self) -> None:
-        self.assertEqual([], self.view.retune(replace(SETTINGS, max_attempts=4), 1.0))
-        (news,) = self.view.retune(replace(SETTINGS, rank=4), 1.0)
+        self.assertEqual([], self.view.change_settings(replace(SETTINGS, max_attempts=4), 1.0))
+        (news,) = self.view.change_settings(replace(SETTINGS, rank=4), 1.0)
         assert isinstance(news, EndpointListUpdate)
         self.assertIs(ListScope.WHOLE, news.scope)
         self.assertNotEqual(set(self.first), {e.worker for e in news.entries})
@@ -312,8 +318,8 @@
             events = self.change(entry(n, GONE))
             if self.view.subset is None:
                 break
-        self.assertEqual(SUBSET_LEAST, n)
-        self.assertEqual(SUBSET_LEAST, len(self.told(events)))
+        self.assertEqual(MIN_SUBSET_SIZE, n)
+        self.assertEqual(MIN_SUBSET_SIZE, len(self.told(events)))
         self.assertEqual([entry(5_000)], list(self.change(entry(5_000))[0].entries))  # type: ignore[union-attr]
         self.assertIsNone(self.view.subset)
 
@@ -329,17 +335,17 @@
     ) -> None:
         """What the module holds as up is what the view says it does; all of that is up."""
         view = FleetView(SETTINGS)
-        module = self.told(view.take(0.0, ListScope.WHOLE, entries(LARGE)))
+        module = self.told(view.update(0.0, ListScope.WHOLE, entries(LARGE)))
         now = 0.0
         for n, state, whole in steps:
             now += 700.0
             number = self.number(self.inside[n]) if n < 50 else self.number(self.outside[n])
             if whole:
                 listed = tuple(e for e in view.entries.values() if e.worker != f"w{number}")
-                events = view.take(now, ListScope.WHOLE, listed)
+                events = view.update(now, ListScope.WHOLE, listed)
             else:
-                events = view.take(now, ListScope.CHANGES, (entry(number, state),))
-            events += view.settle(now + 1.0)
+                events = view.update(now, ListScope.CHANGES, (entry(number, state),))
+            events += view.admit_waiting(now + 1.0)
             module |= self.told(events)
             up = {worker for worker, known in module.items() if known is UP}
             self.assertEqual(up, set(view.members))
@@ -393,12 +399,14 @@
         self.ask(SendAttempt(job, self.member))
         self.assertEqual([], self.carrier.sent)
 
-    def test_the_module_is_told_of_its_sharers_before_the_list(self) -> None:
+    def test_the_module_is_told_of_its_dispatchers_per_worker_before_the_list(self) -> None:
         self.engine.endpoints.take(ListScope.WHOLE, entries(2 * LARGE))
         kinds = [type(event) for event in self.events]
         self.assertLess(kinds.index(SettingsChanged), kinds.index(EndpointListUpdate))
-        retuned = next(event for event in self.events if isinstance(event, SettingsChanged))
-        self.assertAlmostEqual(self.engine.view.sharing, retuned.settings.sharers)
+        settings_changed = next(event for event in self.events if isinstance(event, SettingsChanged))
+        self.assertAlmostEqual(
+            self.engine.view.subset_dispatchers_per_worker, settings_changed.settings.dispatchers_per_worker
+        )
 
     def test_an_answer_of_discovery_with_nothing_for_the_module_ends_its_call_all_the_same(self) -> None:
         self.engine.endpoints.call()
@@ -416,7 +424,7 @@
         for _ in range(12):
             self.clock.advance(1.1)
         self.assertFalse(self.engine.view.waiting)
-        self.assertEqual(before + 400 - int(ENTER_PART * SUBSET_LEAST), len(self.engine.view.members))
+        self.assertEqual(before + 400 - int(ENTER_FRACTION * MIN_SUBSET_SIZE), len(self.engine.view.members))
 
 
 class ForgottenByTheModule(unittest.TestCase):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -474,8 +474,8 @@
             """)
             self.assertLessEqual(len(self.world.app.workers.connections), 2)
         self.assertFalse(self.world.app.workers.connections.closing)
-        self.assertEqual(10, self.world.app.engine.counters.tries)
-        self.assertFalse(self.world.app.engine.counters.refused["deck-fetch"])
+        self.assertEqual(10, self.world.app.engine.counters.attempts_written)
+        self.assertFalse(self.world.app.engine.counters.rejected["deck-fetch"])
 
     def test_over_the_limit_of_jobs_the_answer_is_503(self) -> None:
         self.begin(limits={"max_open": 1})
@@ -490,7 +490,7 @@
         self.begin(workers=2, sockets=64)
         server = self.world.app.server
         idle = "".join(f"c{n} send raw {UP}\n" for n in range(5))
-        rest = "".join(f"c{n} send raw P\n" for n in range(5, server.most - 6))
+        rest = "".join(f"c{n} send raw P\n" for n in range(5, server.max_connections - 6))
         more = "".join(f"c{n} send raw P\n" for n in range(60, 65))
         self.play(f"""
             c99 send job a1 deck-fetch
@@ -517,7 +517,7 @@
             w2 send call done a2 hello
             c98 expect 200 hello
         """)
-        self.assertLessEqual(len(server.connections), server.soft)
+        self.assertLessEqual(len(server.connections), server.shedding_threshold)
 
     def test_hundreds_that_say_nothing_keep_nobody_out(self) -> None:
         """Guards usual clients and call-backs; accepting stops at the limit, and goes on by itself."""
@@ -526,7 +526,7 @@
         while server.accepting:
             self.client(f"c{n}")
             n += 1
-        self.assertEqual(server.most, len(server.connections))
+        self.assertEqual(server.max_connections, len(server.connections))
         self.play("wait 110")
         self.assertTrue(server.accepting)
         self.play("""
@@ -571,7 +571,7 @@
             c send raw {bad}
             c expect nothing
         """)
-        self.assertEqual(0, self.world.app.server.weight)
+        self.assertEqual(0, self.world.app.server.kept_bytes)
 
     def test_an_id_that_was_answered_is_not_taken_again(self) -> None:
         """Guards against another client's id, which came to workers once its job was done."""
@@ -590,7 +590,7 @@
         """Guards the memory: past the limit who is in the middle of a body is refused, whole jobs are not."""
         self.begin()
         server = self.world.app.server
-        server.weight_most = 100_000
+        server.kept_bytes_limit = 100_000
         part = "x" * 40_000
         self.play(
             "".join(f"c{n} send raw {HEAD.format(n, 60_000)}{part}\n" for n in range(5))
@@ -604,7 +604,7 @@
             w expect POST a1
         """
         )
-        self.assertLessEqual(server.weight, server.weight_most)
+        self.assertLessEqual(server.kept_bytes, server.kept_bytes_limit)
 
     def test_after_sigterm_jobs_are_taken_for_the_time_until_sigkill(self) -> None:
         """Guards against seconds in which nobody serves: the next dispatcher is not back yet (term)."""
@@ -874,11 +874,11 @@
 
     def test_new_limits_hold_at_once(self) -> None:
         self.begin()
-        soft = self.world.app.server.soft
+        soft = self.world.app.server.shedding_threshold
         self.world.raw["limits"] = {"sockets": 128, "memory_mb": 64}
         self.play("hup send")
-        self.assertLess(self.world.app.server.soft, soft / 4)
-        self.assertEqual(5 * 1024 * 1024, self.world.app.server.weight_most)
+        self.assertLess(self.world.app.server.shedding_threshold, soft / 4)
+        self.assertEqual(5 * 1024 * 1024, self.world.app.server.kept_bytes_limit)
 
 
 class Lists(Scenario):
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -228,7 +228,7 @@
         learn = EndpointFeed.learn_reach
 
         def note(feed: EndpointFeed, worker: str, outcome: Any) -> None:
-            told.append(outcome.unreached)
+            told.append(outcome.worker_unreachable)
             learn(feed, worker, outcome)
 
         EndpointFeed.learn_reach = note  # type: ignore[method-assign, assignment]
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -17,7 +17,7 @@
 from tests.test_production_troubles import Trouble
 
 SOCKET_SLACK = 58.0  # ms: the settings' answer_slack, and what sockets add to every limit
-PATIENT = {"name": "album", "points": 4, "aim": 4_000, "deadline": 9_000, "effect": "safe"}
+LONG_DEADLINE_CLASS = {"name": "album", "points": 4, "aim": 4_000, "deadline": 9_000, "effect": "safe"}
 LIMITS = {"conn_idle": 10_000, "connect_timeout": 250, "max_attempts": 5, "max_open": 50}
 SHORT_WORK = (b"X-Call-Cost: 100000", b"X-Call-Cost: 1000")  # 1 ms, or the job is not even tried
 
@@ -55,7 +55,7 @@
                     self.assertEqual(200, self.answer(side).status)
 
     def test_over_one_that_was_forgotten_a_safe_job_goes_on_over_a_new_one(self) -> None:
-        self.begin(classes=[*CLASSES, PATIENT])
+        self.begin(classes=[*CLASSES, LONG_DEADLINE_CLASS])
         kept = self.served("a1")
         self.wait(3_000)
         self.forget(kept)
@@ -82,7 +82,7 @@
         self.served("a3", "deck-build")
 
     def test_of_many_that_were_forgotten_one_job_finds_out_for_all_at_that_worker(self) -> None:
-        self.begin(classes=[*CLASSES, PATIENT])
+        self.begin(classes=[*CLASSES, LONG_DEADLINE_CLASS])
         sides = [self.client() for _ in range(3)]
         for n, side in enumerate(sides):
             side.send(self.job(f"a{n}", "album"))
@@ -150,7 +150,7 @@
                     side.send(self.job("a1", job_class))
                     status, _ = self.answered_after(side, 5_000 + SOCKET_SLACK)
                     self.assertEqual(503, status)  # it never ran
-                    self.assertLessEqual(self.app.engine.counters.tries, 0)
+                    self.assertLessEqual(self.app.engine.counters.attempts_written, 0)
                     self.assertLessEqual(len(self.connects), 5 + 3 * 3)  # attempts, and questions to workers
                     self.assertEqual([], self.bugs())
 
