--- a/elderstall/deadlines.py
+++ b/elderstall/deadlines.py
@@ -1,4 +1,4 @@
-"""Every deadline of the program in one heap, with one reactor call behind it, and the clock they share."""
+"""All deadlines of the process in one heap driven by a single reactor call, and the clock they share."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 from elderstall.clocks import SharedClock, wall_offset
 
-MIN_HEAP_SIZE_TO_COMPACT = 1024  # entries from which a heap of mostly cancelled ones is cleared
+MIN_HEAP_SIZE_TO_COMPACT = 1024  # a smaller heap is not worth rebuilding
 
 
 def unix_now() -> float:
-    """Read the wall clock, ms."""
+    """Return the wall clock, Unix ms."""
     return time.time() * 1000
 
 
 class Deadline:
-    """One deadline; it can be cancelled."""
+    """A deadline that can be cancelled."""
 
     __slots__ = ("call", "args", "owner")
 
@@ -28,19 +28,22 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Forget the call, and what it would hold alive."""
+        """Cancel the call and drop the references it holds."""
         if self.call is not None:
             self.call, self.args = None, ()
             self.owner.active_count -= 1
 
 
 class Deadlines:
-    """Milliseconds: Unix time at the start plus monotonic progress. No step of the wall clock moves them."""
+    """Deadlines and their clock: Unix ms at the start of the process plus monotonic time.
+
+    Steps of the wall clock do not move either.
+    """
 
     def __init__(
         self, reactor: Any, seconds: Callable[[], float] = time.monotonic, unix_ms: float | None = None
     ) -> None:
-        self.reactor, self.seconds = reactor, seconds  # an IReactorTime; its own clock may be set back
+        self.reactor, self.seconds = reactor, seconds  # IReactorTime, whose clock may be set back
         self.unix: Callable[[], float] = unix_now  # the wall clock, ms
         self.offset = wall_offset(seconds, unix_now, 0.0) if unix_ms is None else unix_ms - seconds() * 1000
         if unix_ms is not None:
@@ -50,39 +53,39 @@
         self.reactor_call: Any = None  # IDelayedCall
         self.reactor_call_at = 0.0
         self.running = False
-        self.on_error: Callable[[BaseException], None] | None = None  # told of a call that raised
+        self.on_error: Callable[[BaseException], None] | None = None  # called with what a call raised
 
     def now(self) -> float:
-        """Read the clock."""
+        """Return the reading of the clock, ms."""
         return self.seconds() * 1000 + self.offset
 
     def wall_offset(self, known: float | None = None) -> float:
-        """Measure the offset that would make the readings Unix time now; ``known`` where that still does."""
+        """Return the offset that would make readings Unix time now, or ``known`` if it still does."""
         return wall_offset(self.seconds, self.unix, self.offset if known is None else known)
 
     def shared(self) -> SharedClock:
-        """Give the form in which readings are sent to the other process of an upgrade."""
+        """Return the form in which readings are sent to the other process of an upgrade."""
         return SharedClock(self.wall_offset(), self.offset)
 
     def after(self, delay: float, call: Callable[..., object], *args: Any) -> Deadline:
-        """Call after so many milliseconds."""
+        """Schedule a call after ``delay`` milliseconds."""
         return self.at(self.now() + max(0.0, delay), call, *args)
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Deadline:
-        """Call at a reading of the clock; deadlines of one reading in the order they were set."""
+        """Schedule a call at a clock reading; equal deadlines run in the order they were set."""
         deadline = Deadline(self, call, args)
         self.last_number += 1
         self.active_count += 1
         heapq.heappush(self.heap, (when, self.last_number, deadline))
         if len(self.heap) > max(MIN_HEAP_SIZE_TO_COMPACT, 4 * self.active_count) and not self.running:
-            # Guards memory: a connection's idle timer is set anew with each request, and cancelled.
+            # Bounds memory: a connection's idle timer is cancelled and set again with each request.
             self.heap = [entry for entry in self.heap if entry[2].call is not None]
             heapq.heapify(self.heap)
         self.reschedule()
         return deadline
 
     def reschedule(self) -> None:
-        """Keep the one reactor call at the earliest deadline that still counts."""
+        """Move the reactor call to the earliest deadline that is not cancelled."""
         while self.heap and self.heap[0][2].call is None:
             heapq.heappop(self.heap)
         if self.running or not self.heap:
@@ -96,9 +99,9 @@
         self.reactor_call = self.reactor.callLater(max(0.0, first - self.now()) / 1000, self.run)
 
     def run(self) -> None:
-        """Make the calls that are due; what they set for now waits for the next round."""
+        """Run the calls that are due; deadlines set by them wait for the next run."""
         self.reactor_call, self.running = None, True
-        now, last = self.now() + 0.001, self.last_number  # a reactor may wake a hair early
+        now, last = self.now() + 0.001, self.last_number  # a reactor may wake slightly early
         later: list[tuple[float, int, Deadline]] = []
         try:
             while self.heap and self.heap[0][0] <= now:
@@ -112,7 +115,7 @@
                     try:
                         call(*args)
                     except Exception as error:
-                        # Guards the other deadlines against one call that fails.
+                        # One call that fails must not stop the other deadlines.
                         if self.on_error is None:
                             raise
                         self.on_error(error)
--- a/elderstall/interface.py
+++ b/elderstall/interface.py
@@ -1,7 +1,7 @@
-"""What the decisions are handed and what they ask for: settings, events and actions.
+"""Input and output of the decisions: settings, events and actions.
 
-Times are milliseconds. Clock readings start anywhere and only grow. Work is measured as running
-time on a standard core. Every record is plain data; all decisions are in ``elderstall.decisions``.
+Times are in milliseconds. Clock readings are monotonic, from an arbitrary origin. Work is measured as running
+time on a standard core. Every record is plain data; all decision logic is in ``elderstall.decisions``.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from typing import Any
 
 
-def require(good: bool, field: str, what: str) -> None:
-    """Raise ValueError naming the field unless it is good."""
-    if not good:
-        raise ValueError(f"{field}: {what}")
+def require(condition: bool, field: str, message: str) -> None:
+    """Raise ValueError naming the field unless the condition holds."""
+    if not condition:
+        raise ValueError(f"{field}: {message}")
 
 
 class Effect(Enum):
-    """What running a job twice would do; the values are the configuration's words."""
+    """Effect of running a job twice; the values are those of the configuration."""
 
-    IDEMPOTENT = "safe"  # no harm
-    IDEMPOTENCY_KEY = "keyed"  # workers drop a repeat for a while, see DeduplicationScope
-    NOT_IDEMPOTENT = "unsafe"  # harm
+    IDEMPOTENT = "safe"  # harmless
+    IDEMPOTENCY_KEY = "keyed"  # workers drop repeats within the deduplication window, see DeduplicationScope
+    NOT_IDEMPOTENT = "unsafe"  # harmful
 
 
 class DeduplicationScope(Enum):
-    """Which workers drop a repeat of a keyed job: all, those of one zone, or those of one cell."""
+    """Workers that drop a repeat of a keyed job: all, those of the same zone, or those of the same cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +43,7 @@
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
-    STALE_CONNECTION = "cut"  # an idle connection had gone; it may have run, its worker is not to blame
+    STALE_CONNECTION = "cut"  # a reused connection was closed: not its worker's fault; the job may have run
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
 
@@ -52,7 +52,7 @@
 
 
 class WorkerState(Enum):
-    """What the endpoint list says of a worker."""
+    """State of a worker in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -60,9 +60,10 @@
 
 
 class ListScope(Enum):
-    """What a list update holds: the changed entries, every entry, or nothing because a call failed.
+    """Contents of a list update: the changed entries, all entries, or none because a call failed.
 
-    Nothing as well where a watch or a call fell silent: that says less against discovery than a failure does.
+    An update is also empty when a watch or a call went silent, which is weaker evidence of a discovery outage
+    than a failed call.
     """
 
     CHANGES = "changes"
@@ -73,9 +74,10 @@
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """One class of jobs and its rules.
+    """A job class and its rules.
 
-    In time is what ends within ``latency_objective`` plus ``stretch`` times its running time at speed 1.
+    A job is in time if it ends within ``latency_objective`` plus ``stretch`` times its running time at
+    speed 1.
     """
 
     name: str
@@ -84,22 +86,22 @@
     deadline: float  # ms
     effect: Effect = Effect.IDEMPOTENT
     scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: float = 0.0  # ms in which workers drop a repeat
+    deduplication_window: float = 0.0  # ms for which workers drop repeats
     stretch: float = 0.0
-    late_share: float = 0.0  # of its weight, that a late answer earns
-    kind: str | None = None  # the only kind of worker that runs it
+    late_share: float = 0.0  # fraction of its weight that a late answer earns
+    kind: str | None = None  # kind of worker that it is limited to
     streamed: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and its quota: jobs a second, over all dispatchers."""
+    """A tenant and its quota: jobs per second over all dispatchers."""
 
     name: str
     quota_per_s: float
 
 
-# Fields that are checked, and their keys in the configuration, which errors name.
+# Validated fields, with the configuration key that error messages name.
 CLASS_NOT_NEGATIVE = {
     "priority_weight": "worth",
     "latency_objective": "aim",
@@ -123,12 +125,12 @@
     "cross_zone_price": "crossing_price",
     "fetch_price": "fetch_price",
 }
-MIN_OWNERS = 2.0  # dispatchers that count a worker as their own, where each holds a subset of the fleet
+MIN_OWNERS = 2.0  # dispatchers that own each worker, where dispatchers hold subsets of the fleet
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything a dispatcher knows at its start."""
+    """Settings of a dispatcher."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -138,14 +140,14 @@
     over_quota_weight: float = 1.0
     weight_by_work: bool = False
     watches_list: bool = False
-    list_is_pushed: bool = False  # changes come from an agent of our own; only we call there
+    list_is_pushed: bool = False  # changes come from a local agent that only this dispatcher calls
     poll_interval: float = 10_000.0
     slow_start_share: float = 1.0
     slow_start_duration: float = 0.0
     slow_start_multiple: float = 3.0
     slow_start_window: float = 2_000.0
     stop_sending_within: float = (
-        2_000.0  # ms in which new work to a worker ends once it is told draining or gone
+        2_000.0  # ms within which sending to a worker stops once it is listed as draining or gone
     )
     max_attempts: int = 1
     cpu_us_per_s: float = 0.0
@@ -156,39 +158,43 @@
     tick: float = 1.0
     cross_zone_price: float = 0.0
     fetch_price: float = 0.0
-    probes: bool = False  # whether workers may be asked how they stand
-    cancels: bool = True  # whether workers may be told to give a job up
-    reports_only_when_polled: bool = False  # whether they tell it only then, not with their answers
-    subset_dispatchers_per_worker: float = (
-        0.0  # dispatchers that share each worker of ours, where that is not all; see dispatchers_per_worker
-    )
+    probes: bool = False  # workers can be polled for load reports
+    cancels: bool = True  # workers can be told to cancel a job
+    reports_only_when_polled: bool = False  # load reports come only with polls, not with answers
+    subset_dispatchers_per_worker: float = 0.0  # where dispatchers hold subsets; 0: all hold every worker
 
     @property
     def dispatchers_per_worker(self) -> float:
-        """How many dispatchers share each worker that we know: all, or those that hold it in their subset."""
+        """Number of dispatchers that share a worker: all, or those that have it in their subset."""
         return self.subset_dispatchers_per_worker or self.dispatchers
 
     @property
     def min_owned_fraction(self) -> float:
-        """Least part of its workers that a dispatcher counts as its own: each has so many owners then."""
+        """Minimum fraction of its workers that a dispatcher owns: each has ``MIN_OWNERS`` owners then."""
         return MIN_OWNERS / self.subset_dispatchers_per_worker if self.subset_dispatchers_per_worker else 0.0
 
     @property
     def list_callers(self) -> int:
-        """How many dispatchers call for the list where we do."""
+        """Number of dispatchers that call the source of this dispatcher's endpoint list."""
         return 1 if self.list_is_pushed else self.dispatchers
 
     def __post_init__(self) -> None:
-        require(bool(self.classes), "classes", "at least one is needed")
-        require(len({c.name for c in self.classes}) == len(self.classes), "classes", "names repeat")
-        for c in self.classes:
-            require(isinstance(c.effect, Effect), "effect", f"unknown: {c.effect!r}")
-            require(isinstance(c.scope, DeduplicationScope), "scope", f"unknown: {c.scope!r}")
-            require(0 < c.deadline < math.inf, "deadline", "must be above zero")
+        require(bool(self.classes), "classes", "at least one class is required")
+        require(
+            len({job_class.name for job_class in self.classes}) == len(self.classes),
+            "classes",
+            "names must be unique",
+        )
+        for job_class in self.classes:
+            require(isinstance(job_class.effect, Effect), "effect", f"unknown value {job_class.effect!r}")
+            require(
+                isinstance(job_class.scope, DeduplicationScope), "scope", f"unknown value {job_class.scope!r}"
+            )
+            require(0 < job_class.deadline < math.inf, "deadline", "must be positive and finite")
             for name, key in CLASS_NOT_NEGATIVE.items():
-                require(getattr(c, name) >= 0, key, "must not be negative")
-        for t in self.tenants:
-            require(t.quota_per_s >= 0, "quota_per_s", "must not be negative")
+                require(getattr(job_class, name) >= 0, key, "must not be negative")
+        for tenant in self.tenants:
+            require(tenant.quota_per_s >= 0, "quota_per_s", "must not be negative")
         require(self.dispatchers >= 1, "dispatchers", "must be at least one")
         require(self.max_attempts >= 1, "max_attempts", "must be at least one")
         require(0 < self.slow_start_share <= 1, "cold_share", "must be above zero and at most one")
@@ -200,10 +206,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the endpoint list. ``started`` is None where the start is long past.
+    """An entry of the endpoint list.
 
-    ``started`` is a reading of the dispatcher's clock; ``since_ms`` is the start as the list has it, Unix ms.
-    ``weight`` is the worker's size, lowered the more jobs it holds for a core, or 1 where none is told.
+    ``started`` is a reading of the dispatcher's clock, or None if the start is long past; ``since_ms`` is the
+    start as listed, Unix ms. ``weight`` is the worker's size, reduced as it holds more jobs per core, or 1 if
+    the list has none.
     """
 
     worker: str
@@ -213,9 +220,7 @@
     started: float | None = None
     state: WorkerState = WorkerState.UP
     weight: float = 1.0
-    preference_position: float | None = (
-        None  # our position in line for it, 0 to 1, where dispatchers hold subsets
-    )
+    preference_position: float | None = None  # of this dispatcher, see decisions.records.Worker
     since_ms: float | None = None
 
 
@@ -224,26 +229,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The dispatcher starts; sent once, first."""
+    """The dispatcher has started; the first event, sent once."""
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """The settings have changed; jobs that have arrived keep the class they came with."""
+    """The settings have changed; jobs that have already arrived keep their class."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedStateReceived:
-    """What the former process had learned, as its ``Dispatcher.learned`` gave it."""
+    """Learned state of the previous process, as returned by its ``Dispatcher.learned``."""
 
     data: dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class JobTakenOver:
-    """A job that the former process took; ``worker`` has its attempt, if one is in flight."""
+    """A job handed over by the previous process; ``worker`` runs its attempt, if one is in flight."""
 
     job: int
     cls: JobClass
@@ -252,15 +257,15 @@
     key: str | None = None
     work_hint: float | None = None
     slots: int = 1
-    attempts: int = 0
-    ran_on: str | None = None  # a worker on which it may have run
+    attempts: int = 0  # sent so far
+    ran_on: str | None = None  # worker on which it may have run
     worker: str | None = None
     sent_at: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """A watch event, or the whole endpoint list, or that a call for it failed."""
+    """Changes to the endpoint list, the whole list, or a failed or silent call for it; see ``ListScope``."""
 
     scope: ListScope
     entries: tuple[Endpoint, ...] = ()
@@ -268,14 +273,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkersForgotten:
-    """Workers long gone, or long out of our subset, of which nothing has to be remembered any more."""
+    """Workers that have long been gone or outside the subset: their state can be dropped."""
 
     workers: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class JobArrived:
-    """A job that is now owed exactly one final answer within ``time_left``."""
+    """A job has arrived and must get exactly one final answer within ``time_left``."""
 
     job: int
     job_class: str
@@ -288,7 +293,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptProgressed:
-    """An attempt has started (``share`` 0) or has done ``share`` of its work."""
+    """An attempt has started, or has completed the fraction ``share`` of its work."""
 
     job: int
     number: int
@@ -299,7 +304,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The streamed answer of an attempt has begun; it belongs to the client now."""
+    """The streamed answer of an attempt has begun: no other attempt can answer the client."""
 
     job: int
     number: int
@@ -308,7 +313,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt is over; ``final`` says that its job is finished as well."""
+    """An attempt has ended; ``final`` is set if its job is finished as well."""
 
     job: int
     number: int
@@ -320,7 +325,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadPolled:
-    """How a poll for a load report ended; ``report`` is empty where none came."""
+    """A poll for a load report has ended; ``report`` is empty if none was received."""
 
     worker: str
     ending: Ending
@@ -329,14 +334,14 @@
 
 @dataclass(slots=True, frozen=True)
 class JobReleased:
-    """Nothing is owed for the job any more: its client has left, or another process has it."""
+    """A job needs no answer any more: its client has disconnected, or another process has taken it over."""
 
     job: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set earlier has run out."""
+    """A timer has expired."""
 
     token: int
 
@@ -363,7 +368,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Start the job's next attempt on a worker. ``time_out`` 0: until the client gives up."""
+    """Start the job's next attempt on a worker. ``time_out`` 0: until the job's deadline."""
 
     job: int
     worker: str
@@ -372,30 +377,30 @@
 
 @dataclass(slots=True, frozen=True)
 class PollLoad:
-    """Poll a worker for its load report; answered by one ``LoadPolled``."""
+    """Poll a worker for its load report; one ``LoadPolled`` follows."""
 
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
 class RejectJob:
-    """Final answer: rejected; trying again does no harm."""
+    """Final answer: rejected; a retry is safe."""
 
     job: int
     retry_after: float = 0.0
-    why: str = ""  # in a word or two, where it is not plain from how the job's attempts ended
+    why: str = ""  # short reason, if the endings of the job's attempts do not show it
 
 
 @dataclass(slots=True, frozen=True)
 class FailJob:
-    """Final answer: failed, with no promise about what has run."""
+    """Final answer: failed; the job may have run."""
 
     job: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for ``TimerFired(token)`` after ``delay``."""
+    """Request ``TimerFired(token)`` after ``delay``."""
 
     token: int
     delay: float
@@ -408,7 +413,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """A line for the people on call."""
+    """A log line for operators."""
 
     text: str
 
--- a/elderstall/log.py
+++ b/elderstall/log.py
@@ -1,4 +1,4 @@
-"""Plain prints to standard error, rate-limited; what is suppressed is counted by its code."""
+"""Rate-limited log lines on standard error; suppressed lines are counted by code."""
 
 from __future__ import annotations
 
@@ -12,53 +12,51 @@
 from collections.abc import Callable
 from typing import TextIO
 
-MAX_LINE_BYTES = 1_900  # bytes: a pipe that takes anything takes 4 KiB, which are two lines
-RATE_LIMITED_INTERVAL_MS = (
-    1_000.0  # ms between lines of a code of which one failing call could make any number
-)
+MAX_LINE_BYTES = 1_900  # a writable pipe takes at least 4 KiB, so two lines
+RATE_LIMITED_INTERVAL_MS = 1_000.0  # between lines of a code that one failing call could repeat without limit
 
 
 class StandardError:
-    """Standard error without a buffer.
+    """Unbuffered standard error.
 
-    A buffer keeps a line whose write has failed: it would come out later in the middle of others, or fail
-    once more at the interpreter's end and spoil the exit status.
+    A buffer would keep a line whose write failed: it would appear later in the middle of other lines, or fail
+    again at interpreter exit and change the exit status.
     """
 
     def __init__(self) -> None:
-        self.line_incomplete = False  # only a part of the last line was written
+        self.line_incomplete = False  # the last line was only partly written
 
     def fileno(self) -> int:
-        """Give the descriptor; fails where the process was started without one."""
+        """Return the descriptor; raises OSError if the process was started without one."""
         if sys.stderr is None:
-            raise OSError("there is no standard error")
+            raise OSError("standard error is not open")
         return sys.stderr.fileno()
 
     def write(self, text: str) -> int:
-        """Write one line at once."""
+        """Write one line in a single system call."""
         data = ("\n" * self.line_incomplete + text).encode("utf-8", "backslashreplace")
         try:
             descriptor = self.fileno()
-        except ValueError:  # a stand-in without a descriptor, as in tests
+        except ValueError:  # a replacement without a descriptor, as in tests
             return sys.stderr.write(text)
         written = os.write(descriptor, data)
         self.line_incomplete = written < len(data) if written else self.line_incomplete
         if written < len(data):
-            raise BlockingIOError("only a part of the line was written")
+            raise BlockingIOError("the line was only partly written")
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is held back."""
+        """Do nothing, as there is no buffer."""
 
 
 def print_error(message: str) -> None:
-    """Write the one line with which a program ends that cannot begin; its exit status tells as much."""
+    """Write an error message; a failure to write is ignored, as the exit status reports the error too."""
     with contextlib.suppress(OSError, ValueError):
         StandardError().write(f"elderstall: {message}\n")
 
 
 class Log:
-    """A token bucket of lines. One line tells what was held back as soon as there is room again."""
+    """A log limited by a token bucket; the next line written is preceded by the counts of suppressed ones."""
 
     def __init__(
         self,
@@ -71,12 +69,10 @@
         self.rate, self.burst = lines_per_s / 1000, burst
         self.tokens, self.refilled_at = burst, clock()
         self.suppressed: Counter[str] = Counter()
-        self.last_written: dict[
-            str, float
-        ] = {}  # when a code was last written, of the few in write_rate_limited
+        self.last_written: dict[str, float] = {}  # by code, ms, for write_rate_limited
 
     def write_rate_limited(self, code: str, text: str) -> None:
-        """Print at most one line a second under a code, and count the others."""
+        """Write at most one line per second under a code, and count the others as suppressed."""
         now = self.clock()
         if now - self.last_written.get(code, -math.inf) < RATE_LIMITED_INTERVAL_MS:
             self.suppressed[code] += 1
@@ -85,7 +81,7 @@
         self.write(code, text)
 
     def write(self, code: str, text: str) -> None:
-        """Print one line under a code, or count it."""
+        """Write one line under a code, or count it as suppressed."""
         now = self.clock()
         self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
@@ -93,26 +89,26 @@
             self.suppressed[code] += 1
             return
         if self.suppressed:
-            counts = " ".join(f"{name}={n}" for name, n in sorted(self.suppressed.items()))
+            counts = " ".join(f"{name}={count}" for name, count in sorted(self.suppressed.items()))
             self.suppressed.clear()
             self.print(now, "suppressed", counts)
         self.tokens -= 1
         self.print(now, code, text)
 
     def is_writable(self) -> bool:
-        """Say whether two lines can be written without waiting.
+        """Return whether two lines can be written without blocking.
 
-        Guards the program against whoever reads its log and stands still: once a pipe is full, writing waits.
+        Writing to a full pipe would block the process for as long as its reader is stalled.
         """
         poll = select.poll()
         try:
             poll.register(self.out.fileno(), select.POLLOUT)
             return bool(poll.poll(0))
         except (OSError, ValueError, AttributeError):
-            return True  # no descriptor, so nobody to wait for
+            return True  # without a descriptor writing cannot block
 
     def print(self, now: float, code: str, text: str) -> None:
-        """Write the line; a log that cannot be written must not stop the program."""
+        """Write the line; a log that cannot be written must not stop the process."""
         clean = text[:MAX_LINE_BYTES].replace("\n", " | ").replace("\r", " ")
         clean = clean.encode("utf-8", "backslashreplace")[:MAX_LINE_BYTES].decode("utf-8", "ignore")
         try:
@@ -122,18 +118,20 @@
             self.suppressed[code] += 1
 
     def ended(self, what: str, number: int, reason: str, detail: str = "") -> None:
-        """Note a connection that has ended, with the code for the reason."""
+        """Log the end of a connection under the code for its reason."""
         self.write(f"end:{reason}", f"{what} {number} {detail}".rstrip())
 
     def failure(self, where: str, error: BaseException | None) -> None:
-        """Note an error in the program, with the place it came from.
+        """Log an exception with the last frames of its traceback.
 
-        One of the system's is no fault of the program, and may come with each call for a while.
+        System errors are not bugs and can come with every call for a while, so they are rate-limited.
         """
         if error is None:
             return
         frames = traceback.extract_tb(error.__traceback__)[-3:]
-        places = " < ".join(f"{f.filename.rsplit('/', 1)[-1]}:{f.lineno}" for f in reversed(frames))
+        places = " < ".join(
+            f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno}" for frame in reversed(frames)
+        )
         write = self.write_rate_limited if isinstance(error, OSError) else self.write
         write(
             "system" if isinstance(error, OSError) else "bug",
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -1,7 +1,7 @@
-"""What fronts, the engine and transports say to each other: requests, answers, outcomes; no logic.
+"""Messages and interfaces between listeners, the engine and transports: requests, answers and outcomes.
 
-A front hands a ``JobRequest`` to the engine and is its ``Client``; an ``AttemptTransport`` takes attempts to
-workers and reports their ``Outcome``. Times are in milliseconds.
+A listener submits a ``JobRequest`` to the engine on behalf of a ``Client``; an ``AttemptTransport`` sends
+attempts to workers and reports their ``Outcome``. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,38 +17,38 @@
 
 @dataclass(slots=True, frozen=True)
 class JobRequest:
-    """A job as a front took it."""
+    """A job as accepted by a listener."""
 
-    request_id: str  # the client's id
+    request_id: str  # chosen by the client
     job_class: str
-    budget: float  # ms from now that the client waits
-    original: object  # the client's request as the front keeps it; passed through unread
+    budget: float  # ms from now for which the client waits
+    original: object  # the client's request in the listener's form; opaque to the engine
     tenant: str | None = None
     key: str | None = None
     work_hint: float | None = None  # ms on a standard core
     slots: int = 1
-    repeatable: bool = False  # running it twice does no harm
+    repeatable: bool = False  # running it twice is harmless
 
 
 @dataclass(slots=True, frozen=True)
 class Served:
-    """Final answer: a worker's result."""
+    """Final answer: the result of a worker."""
 
     result: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """Final answer: rejected; trying again does no harm."""
+    """Final answer: rejected; a retry is safe."""
 
     retry_after: float = 0.0  # ms
 
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """Final answer: failed, with no promise about what has run."""
+    """Final answer: failed; the job may have run."""
 
-    timed_out: bool = False  # whether time ran out
+    timed_out: bool = False  # the deadline has passed
 
 
 Answer = Served | Rejected | Failed
@@ -56,33 +56,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How an attempt or a poll ended, as a transport saw it."""
+    """Outcome of an attempt or a poll, as seen by a transport."""
 
     ending: Ending
     result: bytes = b""
     report: tuple[float, ...] = ()  # the worker's load report, in the order of the settings' fields
-    maybe_accepted: bool = False  # the worker may have accepted the job, unseen: it is told to give it up
-    worker_unreachable: bool = (
-        False  # no connection came up, or a poll was not answered: see routing/reach.py
-    )
-    answer_begun: bool = False  # its answer had begun: without its word the job goes nowhere else
+    maybe_accepted: bool = False  # no acceptance was seen, but the worker may have the job: it is cancelled
+    worker_unreachable: bool = False  # not connected, or a poll went unanswered: see routing/reach.py
+    answer_begun: bool = False  # no other attempt is sent unless the worker confirms a cancel
 
 
 class Client(Protocol):
-    """Whoever waits for a job's answer."""
+    """The side that waits for a job's answer."""
 
     def answered(self, answer: Answer) -> None:
-        """Take the one final answer."""
+        """Handle the final answer; called once."""
 
     def progressed(self, share: float, text: str) -> None:
-        """Take the progress of an attempt: the share of its work that is done, 0 to 1, and a text."""
+        """Handle the progress of an attempt: the fraction of its work that is done, 0 to 1, and a text."""
 
     def is_connected(self) -> bool:
-        """Say whether the client is still there, as far as that can be seen without waiting."""
+        """Return whether the client is still connected, as far as that is known without blocking."""
 
 
 class AttemptTransport(Protocol):
-    """What takes attempts to workers."""
+    """Sends attempts, cancels and polls to workers."""
 
     def send(
         self,
@@ -92,23 +90,23 @@
         on_progress: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
-        """Start an attempt. Fires with its outcome, or None where the worker accepted it and will call back.
+        """Start an attempt. Fires with its outcome, or None if the worker accepted it and will call back.
 
-        ``ends_at`` is the reading of the clock at which the attempt's time is over: the worker is told what
-        is left of it when the request is written, and one that is over by then is not written.
+        ``ends_at`` is the clock reading at which the attempt times out: the request carries the time that is
+        left when it is written, and is not written after ``ends_at``.
 
-        Cancelling it gives the attempt up by closing its connection. ``forbidden_by`` names the rule that
-        forbids it by now: asked where writing had to wait, before the first byte.
+        Cancelling the Deferred closes the attempt's connection. ``forbidden_by`` returns the name of a rule
+        that now forbids the attempt; it is checked before the first byte if writing had to wait.
         """
 
     def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
-        """Have a worker give up a job that it may have accepted; fires with whether it confirmed that.
+        """Cancel a job that a worker may have accepted; fires with whether the worker confirmed it.
 
-        Where the job can go on without its word, the wait is short (``confirmation_required`` is false).
+        The wait is short if the job can continue unconfirmed (``confirmation_required`` is false).
         """
 
     def probe(self, worker: str) -> Deferred[Outcome]:
-        """Poll a worker for its load report; fires with that, or with how the poll failed."""
+        """Poll a worker for its load report; fires with the report or the failure."""
 
     def drop_idle(self, worker: str) -> None:
-        """Drop the idle connections to a worker: they lead to a process that is gone."""
+        """Close the idle connections to a worker whose process is gone."""
