--- a/elderstall/__main__.py
+++ b/elderstall/__main__.py
@@ -5,28 +5,28 @@
 import signal
 import sys
 
-DISPATCHER = ("run", "check")  # the words that ``cli/run.py`` knows
+DISPATCHER_COMMANDS = ("run", "check")  # the arguments that ``cli/run.py`` knows
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run the command given; without one, a dispatcher."""
-    words = sys.argv[1:] if argv is None else argv
-    if not words or words[0].startswith("-") or words[0] in DISPATCHER:
+    arguments = sys.argv[1:] if argv is None else argv
+    if not arguments or arguments[0].startswith("-") or arguments[0] in DISPATCHER_COMMANDS:
         # A dispatcher loads none of the tools, nor their libraries: its start and memory are the platform's.
         # What is to be read anew has not been read yet: SIGHUP would end a program that is still starting.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        from elderstall.cli.run import main as run
+        from elderstall.cli.run import main as run_dispatcher
 
-        return run(words)
+        return run_dispatcher(arguments)
     try:
-        from elderstall.cli.group import main as tools
+        from elderstall.cli.group import main as run_tool
     except ModuleNotFoundError as error:
         print(
-            f"elderstall: {words[0]} needs {error.name}: pip install 'elderstall[simulation]'",
+            f"elderstall: {arguments[0]} needs {error.name}: pip install 'elderstall[simulation]'",
             file=sys.stderr,
         )
         return 2
-    return tools(words)
+    return run_tool(arguments)
 
 
 if __name__ == "__main__":
--- a/elderstall/atomic_file.py
+++ b/elderstall/atomic_file.py
@@ -47,7 +47,7 @@
         with contextlib.suppress(OSError):
             temporary.unlink()
         raise
-    sync_folder(target.parent)
+    sync_directory(target.parent)
 
 
 def write_synced(path: Path, data: bytes) -> None:
@@ -62,9 +62,9 @@
         os.close(descriptor)
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(directory: Path) -> None:
     """Have the new name on the disk too; some file systems know no sync of a folder."""
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
     except OSError as error:
--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -32,7 +32,7 @@
     WatchEndpoints,
     WorkerState,
 )
-from elderstall.settings import Fields, settings_of
+from elderstall.settings import Fields, parse_settings
 
 ENDINGS = {
     "served": Ending.SERVED,
@@ -175,7 +175,7 @@
             self.lists[e["slot"]] = tuple(listed_of(item, self.live) for item in e["items"])
         elif m == "NewInstance":
             self.live = e["conf"].get("weight_source") == "live"
-            self.dispatchers[e["who"]] = Dispatcher(settings_of(e["conf"]), e["salt"])
+            self.dispatchers[e["who"]] = Dispatcher(parse_settings(e["conf"]), e["salt"])
             return e["who"], Started()
         elif m in UNUSED:
             pass
--- a/elderstall/clocks.py
+++ b/elderstall/clocks.py
@@ -11,23 +11,25 @@
 from dataclasses import dataclass
 from typing import Any
 
-READING_ERROR = 5.0  # ms between two readings of clocks, and of drift, that are not worth following
-READING_TRIES = 5  # readings, of which the tightest counts: the process may be held up between two clocks
-SHARED_VERSION = 1  # of the form in which readings are sent to the other process of an upgrade
+READING_TOLERANCE_MS = 5.0  # ms between two readings of clocks, and of drift, that are not worth following
+MAX_READINGS = 5  # readings, of which the tightest counts: the process may be held up between two clocks
+SHARED_CLOCK_VERSION = 1  # of the form in which readings are sent to the other process of an upgrade
 
 
 def wall_offset(seconds: Callable[[], float], unix_ms: Callable[[], float], known: float) -> float:
     """Measure how far the wall clock is ahead of the monotonic one, ms; ``known`` where that still holds."""
-    best, narrowest = known, float("inf")
-    for _ in range(READING_TRIES):
+    best = known
+    narrowest = float("inf")
+    for _ in range(MAX_READINGS):
         before = seconds() * 1000
         wall = unix_ms()
         width = seconds() * 1000 - before
         if width < narrowest:
-            best, narrowest = wall - before - width / 2, width
-        if width < READING_ERROR:
+            best = wall - before - width / 2
+            narrowest = width
+        if width < READING_TOLERANCE_MS:
             break
-    return known if abs(best - known) < READING_ERROR else best
+    return known if abs(best - known) < READING_TOLERANCE_MS else best
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,11 +65,11 @@
 
     def encode(self) -> dict[str, float]:
         """Write the offset for a message."""
-        return {"version": SHARED_VERSION, "offset_ms": self.offset_ms or 0.0}
+        return {"version": SHARED_CLOCK_VERSION, "offset_ms": self.offset_ms or 0.0}
 
     @classmethod
     def of_message(cls, message: dict[str, Any], local_offset_ms: float) -> SharedClock:
         """Take the offset from a message; none where it comes from a process that does not send it."""
         clock = message.get("clock") or {}
-        told = clock.get("version") == SHARED_VERSION
-        return cls(float(clock["offset_ms"]) if told else None, local_offset_ms)
+        is_known_version = clock.get("version") == SHARED_CLOCK_VERSION
+        return cls(float(clock["offset_ms"]) if is_known_version else None, local_offset_ms)
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -12,7 +12,7 @@
 from elderstall.interface import Settings
 from elderstall.net.console import CALLERS
 from elderstall.net.discovery import ListError, list_of
-from elderstall.settings import settings_of
+from elderstall.settings import parse_settings
 
 IDLE_PART = 0.8  # of the workers' conn_idle that our connections stay idle: clearly earlier
 OWN_PART = 16  # one descriptor in so many, and 16 at least, is for the program itself
@@ -147,7 +147,7 @@
     rules, limits = table(settings_raw, "rules", "settings."), table(settings_raw, "limits", "settings.")
     report = table(settings_raw, "load_report", "settings.")
     try:
-        settings = settings_of(settings_raw)
+        settings = parse_settings(settings_raw)
         # On sockets a watch is the only way to changes, also where an agent pushes them: what it has counts
         # as told whether or not we watch.
         settings = replace(settings, watches_list=True, list_is_pushed=not settings.watches_list)
--- a/elderstall/engine/__init__.py
+++ b/elderstall/engine/__init__.py
@@ -1,7 +1,8 @@
-"""The engine: it owns jobs and attempts and keeps the rules; it knows no wire.
+"""The engine: owns jobs and attempts and enforces the rules, independently of any wire protocol.
 
-A front hands in jobs and is told their answers. A transport takes attempts to workers. The decisions
-(``elderstall.decisions``) are fed events, and their actions are carried out, each checked against the rules.
+A listener submits jobs and receives their answers. A transport sends attempts to workers. The engine feeds
+events to the decisions (``elderstall.decisions``) and carries out their actions, each checked against the
+rules.
 """
 
 from elderstall.engine.engine import Engine
--- a/elderstall/engine/answers.py
+++ b/elderstall/engine/answers.py
@@ -1,4 +1,4 @@
-"""Gives jobs their one final answer."""
+"""Sends each job exactly one final answer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Answers:
-    """Closes jobs: with an answer, or without where the client has left."""
+    """Closes jobs: with an answer, or without one if the client has disconnected."""
 
     def __init__(
         self,
@@ -28,65 +28,73 @@
         log: Log,
         abort_attempt: Callable[[Attempt], None],
     ) -> None:
-        self.jobs, self.rules, self.decisions, self.figures = jobs, rules, decisions, figures
-        self.deadlines, self.log, self.abort_attempt = deadlines, log, abort_attempt
-        self.slack = 0.0  # ms past its deadline that an answer may come
-        self.on_idle: Callable[[], None] = lambda: None  # no job is left
+        self.jobs = jobs
+        self.rules = rules
+        self.decisions = decisions
+        self.figures = figures
+        self.deadlines = deadlines
+        self.log = log
+        self.abort_attempt = abort_attempt
+        self.answer_slack_ms = 0.0  # ms after the deadline within which an answer still counts
+        self.on_idle: Callable[[], None] = lambda: None  # called when the last job is closed
 
-    def guard(self, job: Job) -> None:
-        """Make sure of an answer whatever the decisions do: at half the slack past the deadline."""
-        job.guard = self.deadlines.at(job.deadline + self.slack / 2, self._overdue, job)
+    def start_deadline_guard(self, job: Job) -> None:
+        """Schedule a final answer, independent of the decisions, at half the slack after the deadline."""
+        job.deadline_guard = self.deadlines.at(job.deadline + self.answer_slack_ms / 2, self._overdue, job)
 
     def _overdue(self, job: Job) -> None:
-        """Answer a job that the decisions have not."""
+        """Answer a job that the decisions have left unanswered past its deadline."""
         if job.closed:
             return
         name = job.request.job_class
-        self.log.write("guard", f"job {job.request.request_id} of {name} had no answer at its deadline")
+        self.log.write(
+            "guard", f"job {job.request.request_id} of {name} unanswered at its deadline; answering it now"
+        )
         self.decisions.feed(JobReleased(job.number))
         if not job.closed:
-            harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Rejected() if harmless else Failed(timed_out=True))
+            retry_safe = self.rules.is_retry_safe(job)
+            self.close(job, Rejected() if retry_safe else Failed(timed_out=True))
 
     def reject(self, action: RejectJob) -> None:
-        """Carry out Refuse; what may have run fails instead."""
+        """Reject a job; fail it instead if a retry could run it twice."""
         job = self.jobs.get(action.job)
         if job is not None:
-            harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Rejected(action.retry_after) if harmless else Failed(), action.why)
+            retry_safe = self.rules.is_retry_safe(job)
+            self.close(job, Rejected(action.retry_after) if retry_safe else Failed(), action.why)
 
     def fail(self, action: FailJob) -> None:
-        """Carry out Fail."""
+        """Fail a job."""
         job = self.jobs.get(action.job)
         if job is not None:
             self.close(job, Failed(timed_out=self.deadlines.now() >= job.deadline))
 
-    def cannot_cancel(self, job: Job) -> None:
-        """Answer a job that a worker may still have, which could not be told to give it up."""
+    def answer_unconfirmed_cancel(self, job: Job) -> None:
+        """Answer a job that a worker may still run, as that worker has not confirmed its cancel."""
         self.decisions.feed(JobReleased(job.number))
         if not job.closed:
-            harmless = self.rules.harmless_to_reject(job)
-            self.close(job, Rejected() if harmless else Failed(), "not to be given up")
+            retry_safe = self.rules.is_retry_safe(job)
+            self.close(job, Rejected() if retry_safe else Failed(), "not to be given up")
 
-    def client_left(self, number: int) -> None:
-        """Note that the client of a job has left: nothing is owed, its attempt is given up."""
+    def client_disconnected(self, number: int) -> None:
+        """Close a job without an answer, as its client has disconnected, and cancel its attempt."""
         job = self.jobs.get(number)
         if job is not None:
             self.decisions.feed(JobReleased(number))
             self.close(job, None)
 
     def close(self, job: Job, answer: Answer | None, why: str = "") -> None:
-        """Give a job its one final answer, if its client is there, and give up what is still in flight."""
+        """Close a job, send its answer unless that is None, and cancel its attempt in flight."""
         if job.closed:
             return
         job.advance(JobEvent.CLOSED)
-        deferred, job.deferred_send = job.deferred_send, None
-        if deferred is not None:  # the decisions count it as in flight
+        deferred = job.deferred_send
+        job.deferred_send = None
+        if deferred is not None:  # the decisions count this attempt as in flight
             ended = AttemptEnded(job.number, job.attempts, deferred.worker, Ending.NEVER_SENT, True)
             self.decisions.feed(ended)
         self.jobs.remove(job)
-        if job.guard is not None:
-            job.guard.cancel()
+        if job.deadline_guard is not None:
+            job.deadline_guard.cancel()
         if answer is not None:
             self._count(job, answer, why)
             job.client.answered(answer)
@@ -96,7 +104,7 @@
             self.on_idle()
 
     def _count(self, job: Job, answer: Answer, why: str) -> None:
-        """Count an answer, and log a failure."""
+        """Count an answer, and log it if it is a failure."""
         name = job.cls.name
         if isinstance(answer, Served):
             self.figures.served[name] += 1
@@ -108,5 +116,5 @@
         self.figures.failed[name] += 1
         after = self.deadlines.now() - job.arrived
         self.log.write(
-            "failed", f"job {job.request.request_id} of {name} after {after:.0f} ms: {job.last_end}"
+            "failed", f"job {job.request.request_id} of {name} after {after:.0f} ms: {job.last_ending_detail}"
         )
--- a/elderstall/engine/attempts.py
+++ b/elderstall/engine/attempts.py
@@ -1,4 +1,4 @@
-"""Starts attempts, follows them, and makes sure that no two of one job are with workers at once."""
+"""Starts, tracks and cancels attempts; a job has at most one attempt with workers at a time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Attempts:
-    """Carries out sends."""
+    """Carries out the decisions' sends and follows each attempt to its end."""
 
     def __init__(
         self,
@@ -32,69 +32,81 @@
         deadlines: Deadlines,
         log: Log,
     ) -> None:
-        self.settings, self.jobs, self.rules, self.answers = settings, jobs, rules, answers
-        self.transport, self.decisions, self.endpoints = transport, decisions, endpoints
-        self.deadlines, self.log = deadlines, log
+        self.settings = settings
+        self.jobs = jobs
+        self.rules = rules
+        self.answers = answers
+        self.transport = transport
+        self.decisions = decisions
+        self.endpoints = endpoints
+        self.deadlines = deadlines
+        self.log = log
 
     # ---- starting ----
 
     def send(self, action: SendAttempt) -> None:
-        """Carry out Send, once every earlier attempt is known to be given up."""
+        """Start an attempt once every earlier one of the job is known to be cancelled."""
         job = self.jobs.get(action.job)
         if job is None:
             return
-        if job.cancel_first is not None:
-            worker, job.cancel_first = job.cancel_first, None
-            self._cancel_at(job, worker, must=False)
-        if job.cancels:
+        if job.cancel_before_send is not None:
+            worker = job.cancel_before_send
+            job.cancel_before_send = None
+            self._cancel_on_worker(job, worker, confirmation_required=False)
+        if job.pending_cancels:
             job.advance(JobEvent.SEND_DECIDED)
             job.deferred_send = action
             return
-        number, job.attempts = job.attempts, job.attempts + 1
-        violation = self.rules.forbids(job, action)
+        number = job.attempts
+        job.attempts = job.attempts + 1
+        violation = self.rules.find_violation(job, action)
         if violation is None:
             self._start(job, number, action)
         else:
             self._not_sent(job, number, action.worker, violation)
 
     def _not_sent(self, job: Job, number: int, worker: str, violation: Violation) -> None:
-        """Tell the decisions of an attempt that a rule forbids."""
-        self.log.write("rule", f"job {job.request.request_id} not sent to {worker}: {violation.value}")
-        if violation is Violation.CLIENT_LEFT:
-            self.answers.client_left(job.number)
+        """Report to the decisions that a rule forbids an attempt."""
+        self.log.write(
+            "rule",
+            f"job {job.request.request_id} not sent to {worker}: {violation.value}; attempt skipped",
+        )
+        if violation is Violation.CLIENT_DISCONNECTED:
+            self.answers.client_disconnected(job.number)
         self.decisions.feed(AttemptEnded(job.number, number, worker, Ending.NEVER_SENT, job.closed))
 
     def _start(self, job: Job, number: int, action: SendAttempt) -> None:
-        """Hand an attempt to the transport."""
+        """Create an attempt and pass it to the transport."""
         now = self.deadlines.now()
         ends_at = min(now + action.time_out, job.deadline) if action.time_out > 0 else job.deadline
         attempt = Attempt(job, number, action.worker, now, ends_at)
         job.start_attempt(attempt)
-        self.watch(attempt)
+        self.start_timer(attempt)
         attempt.sending = self.transport.send(
             attempt.worker,
             job.request,
             ends_at,
             lambda share, text: self.progressed(attempt, share, text),
-            lambda: self._forbidden_by_now(attempt),
+            lambda: self._current_violation(attempt),
         )
-        attempt.sending.addCallback(self._sent, attempt).addErrback(self._transport_failed, attempt)
+        attempt.sending.addCallback(self._send_finished, attempt).addErrback(self._transport_failed, attempt)
 
-    def _forbidden_by_now(self, attempt: Attempt) -> str | None:
-        violation = self.rules.forbids_by_now(attempt.job, attempt.worker)
+    def _current_violation(self, attempt: Attempt) -> str | None:
+        violation = self.rules.find_current_violation(attempt.job, attempt.worker)
         return None if violation is None else violation.value
 
-    def watch(self, attempt: Attempt) -> None:
-        """Give an attempt up at its time."""
+    def start_timer(self, attempt: Attempt) -> None:
+        """Schedule the timeout of an attempt."""
         attempt.timer = self.deadlines.at(attempt.ends_at, self.timed_out, attempt)
 
     # ---- following ----
 
-    def _sent(self, outcome: Outcome | None, attempt: Attempt) -> None:
-        """Take the transport's word on an attempt; None: the worker has it.
+    def _send_finished(self, outcome: Outcome | None, attempt: Attempt) -> None:
+        """Handle the transport's outcome of an attempt; None means that the worker accepted it.
 
-        Guards against two copies: a connection that ended without a 202 gives the attempt up only if the
-        worker had not written it, which cannot always be seen. A start that it has called back says it has.
+        A connection that ended without a 202 ends the attempt only if the worker had not written the 202,
+        which cannot always be seen. If the worker has begun an answer, or has reported the start by
+        call-back, it has the job: the attempt is cancelled there, as a retry would be a duplicate execution.
         """
         if outcome is None:
             attempt.advance(AttemptEvent.ACCEPTED)
@@ -104,25 +116,25 @@
             confirmed = attempt.state is AttemptState.CONFIRMED
             if outcome.answer_begun or (broken and confirmed):
                 attempt.advance(AttemptEvent.ACCEPTED)
-                self.give_up(attempt, outcome.ending if broken else Ending.BROKEN)
+                self.cancel(attempt, outcome.ending if broken else Ending.BROKEN)
                 return
             if outcome.maybe_accepted:
-                attempt.job.cancel_first = attempt.worker
+                attempt.job.cancel_before_send = attempt.worker
         self._ended(attempt, outcome)
 
     def _transport_failed(self, failure: Failure, attempt: Attempt) -> None:
-        """Take an error in the transport, which knows all outcomes; what it can't tell may have run."""
+        """Handle an exception in the transport: without an outcome, the job may have run."""
         if attempt.job.attempt is attempt:
             self.log.failure("carrier", failure.value)
             self._ended(attempt, Outcome(Ending.BROKEN))
 
     def worker_started(self, attempt: Attempt, share: float, *, started: bool) -> None:
-        """Take a start, or progress, that a worker calls back about."""
+        """Handle a worker's call-back about a start or progress."""
         attempt.advance(AttemptEvent.CONFIRMED)
         self.progressed(attempt, share, started=started)
 
     def progressed(self, attempt: Attempt, share: float, text: str = "", *, started: bool = False) -> None:
-        """Pass on the progress of a live attempt."""
+        """Forward the progress of a live attempt to the decisions and the client."""
         job = attempt.job
         if job.attempt is not attempt:
             return
@@ -132,42 +144,43 @@
             job.client.progressed(share, text)
 
     def worker_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Take the end that a worker calls back about."""
+        """Handle a worker's call-back about the end of an attempt."""
         job = attempt.job
-        attempt.advance(AttemptEvent.ACCEPTED)  # whether or not its 202 has come: the call may be made again
-        earlier = attempt.worker in job.may_still_speak or attempt.worker in job.handed_back
+        attempt.advance(AttemptEvent.ACCEPTED)  # the call-back may arrive before the 202, and may be repeated
+        earlier = attempt.worker in job.may_call_back or attempt.worker in job.returned_by
         if outcome.ending is not Ending.SERVED and earlier:
-            # Guards against two copies: this may be the late end of an earlier attempt at the same worker,
-            # so the live one is given up before it counts as ended, and it may have run.
-            self.give_up(attempt, Ending.BROKEN)
+            # This may be the late call-back of an earlier attempt at the same worker. The live attempt is
+            # cancelled before it counts as ended, and counts as one that may have run; otherwise a retry
+            # could be a duplicate execution.
+            self.cancel(attempt, Ending.BROKEN)
         else:
             self._ended(attempt, outcome)
 
     # ---- ending ----
 
     def timed_out(self, attempt: Attempt) -> None:
-        """Give an attempt up at its time."""
-        self.give_up(attempt, Ending.TIMED_OUT)
+        """Cancel an attempt that has timed out."""
+        self.cancel(attempt, Ending.TIMED_OUT)
 
     def abort(self, attempt: Attempt) -> None:
-        """Give the attempt of a closed job up."""
-        self.give_up(attempt, Ending.CANCELLED)
+        """Cancel the attempt of a closed job."""
+        self.cancel(attempt, Ending.CANCELLED)
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
-        """Stop waiting for an attempt: close its connection, or tell the worker that has accepted it."""
+    def cancel(self, attempt: Attempt, ending: Ending) -> None:
+        """Cancel an attempt: close its connection, and notify the worker if it has accepted it."""
         job = attempt.job
         if job.attempt is not attempt:
             return
         job.end_attempt(attempt, ending)
         if attempt.sending is not None:
-            attempt.sending.cancel()  # may show that the worker had accepted it
+            attempt.sending.cancel()  # may reveal that the worker had accepted it
         if attempt.accepted:
-            self._cancel_at(job, attempt.worker, must=True)
+            self._cancel_on_worker(job, attempt.worker, confirmation_required=True)
         attempt.advance(AttemptEvent.ENDED)
         self.decisions.feed(AttemptEnded(job.number, attempt.number, attempt.worker, ending, job.closed))
 
     def _ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Take the end of an attempt; the first result is the job's answer."""
+        """Handle the end of an attempt; the first result becomes the job's answer."""
         job = attempt.job
         if job.attempt is not attempt:
             return
@@ -184,28 +197,37 @@
 
     # ---- cancelling ----
 
-    def _cancel_at(self, job: Job, worker: str, *, must: bool) -> None:
-        """Tell a worker to give a job up; ``must``: without its word the job is not sent again."""
+    def _cancel_on_worker(self, job: Job, worker: str, *, confirmation_required: bool) -> None:
+        """Cancel a job on a worker.
+
+        With ``confirmation_required``, the job is not sent again unless the worker confirms the cancel.
+        """
         job.advance(JobEvent.CANCEL_STARTED)
-        job.cancels += 1
+        job.pending_cancels += 1
         if self.settings.cancels:
-            cancelled: Deferred[bool] = self.transport.cancel_job(worker, job.request.request_id, must)
-            cancelled.addBoth(self._cancelled, job, must=must)
-        else:  # the settings have no such word: as if it could not be told
-            self.deadlines.after(0.0, lambda: self._cancelled(None, job, must=must))
+            cancelled: Deferred[bool] = self.transport.cancel_job(
+                worker, job.request.request_id, confirmation_required
+            )
+            cancelled.addBoth(self._cancel_finished, job, confirmation_required=confirmation_required)
+        else:  # workers do not support cancels: handled as an unconfirmed cancel
+            self.deadlines.after(
+                0.0, lambda: self._cancel_finished(None, job, confirmation_required=confirmation_required)
+            )
 
-    def _cancelled(self, confirmed: object, job: Job, *, must: bool) -> None:
-        """Go on with a send that waited for a worker's word.
+    def _cancel_finished(self, confirmed: object, job: Job, *, confirmation_required: bool) -> None:
+        """Continue a send that was deferred until the worker confirmed a cancel.
 
-        Guards against two copies: a worker that could not be told may still have the job.
+        If the confirmation is required and missing, the job is answered instead: the worker may still run
+        it, and another attempt could be a duplicate execution.
         """
-        job.cancels -= 1
+        job.pending_cancels -= 1
         if job.closed:
             return
-        if must and confirmed is not True:
-            self.answers.cannot_cancel(job)
-        elif job.cancels == 0:
+        if confirmation_required and confirmed is not True:
+            self.answers.answer_unconfirmed_cancel(job)
+        elif job.pending_cancels == 0:
             job.advance(JobEvent.CANCELS_DONE)
-            deferred, job.deferred_send = job.deferred_send, None
+            deferred = job.deferred_send
+            job.deferred_send = None
             if deferred is not None:
                 self.send(deferred)
--- a/elderstall/engine/decision_feed.py
+++ b/elderstall/engine/decision_feed.py
@@ -1,4 +1,4 @@
-"""Feeds the decisions events, one after the other, and has their actions carried out."""
+"""Feeds events to the decisions one at a time and dispatches the resulting actions."""
 
 from __future__ import annotations
 
@@ -15,16 +15,18 @@
 
 
 class DecisionFeed:
-    """The way to the decisions and back."""
+    """Queue of events to the decisions, with the handlers of their actions."""
 
     def __init__(self, decisions: Dispatcher, deadlines: Deadlines, log: Log) -> None:
-        self.decisions, self.deadlines, self.log = decisions, deadlines, log
+        self.decisions = decisions
+        self.deadlines = deadlines
+        self.log = log
         self.handlers: ActionHandlers = {}
         self._events: deque[Event] = deque()
         self._feeding = False
 
     def feed(self, event: Event) -> None:
-        """Hand over an event, after those before it, and carry out the actions."""
+        """Process an event and carry out its actions; an event fed meanwhile is queued."""
         self._events.append(event)
         if self._feeding:
             return
@@ -40,5 +42,5 @@
             for action in self.decisions.handle(self.deadlines.now(), event):
                 self.handlers[type(action)](action)
         except Exception as error:
-            # Guards the other jobs against one bad event; the job's own guard still answers it.
+            # One faulty event must not affect other jobs; the job's deadline guard still answers it.
             self.log.failure(f"event {type(event).__name__}", error)
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Keeps the view of the fleet, and tells the decisions what changes in it."""
+"""Updates the view of the fleet and feeds its changes to the decisions."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from elderstall.messages import Outcome
 from elderstall.routing.view import FleetView
 
-DISPATCHERS_PER_WORKER_TOLERANCE = 1 / 8  # of a change in how many share a worker, before decisions get it
+DISPATCHERS_PER_WORKER_TOLERANCE = 1 / 8  # relative change below which the decisions are not updated
 
 
 class EndpointFeed:
-    """Takes watch events, bans, and what attempts show of zones."""
+    """Applies list updates, bans and the reachability of zones to the view."""
 
     def __init__(
         self,
@@ -27,67 +27,72 @@
         figures: Figures,
         drop_idle: Callable[[str], None],
     ) -> None:
-        self.settings, self.view, self.deadlines = settings, view, deadlines
-        self.decisions, self.figures, self.drop_idle = decisions, figures, drop_idle
-        self.follow: Callable[[], None] = lambda: None  # asks for the list's changes
-        self.started = False  # the list known at the start has been taken
-        self.budget_fraction = 1.0  # of the dispatcher's slow-start budget, of this process
-        self._dispatchers_per_worker = 0.0  # as last sent to the decisions; 0: all know all workers
-        self._calling = False  # a call for the list is out, of whose answer the decisions have not heard
-        self._settling: Deadline | None = None  # when workers may enter the view again
+        self.settings = settings
+        self.view = view
+        self.deadlines = deadlines
+        self.decisions = decisions
+        self.figures = figures
+        self.drop_idle = drop_idle
+        self.follow: Callable[[], None] = lambda: None  # opens a watch, or calls discovery for changes
+        self.started = False  # the list known at the start has been applied
+        self.budget_fraction = 1.0  # this process's fraction of the slow-start budget
+        self._dispatchers_per_worker = 0.0  # as last sent to the decisions; 0: each has all workers
+        self._call_pending = False  # a list call whose answer the decisions have not received
+        self._admission_timer: Deadline | None = None  # next time that workers may enter the view
 
     def call(self) -> None:
-        """Ask discovery for the list's changes, and count it."""
+        """Call discovery for changes to the list, and count the call."""
         self.figures.list_calls += 1
-        self._calling = True
+        self._call_pending = True
         self.follow()
 
     def take(self, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> None:
-        """Take a watch event, or that a call or a watch has failed."""
+        """Handle a list update, or the failure of a call or a watch."""
         now = self.deadlines.now()
         if scope in (ListScope.FAILED, ListScope.SILENT):
             self.figures.list_calls_failed += 1
         elif self.started:  # the list known at the start is not from discovery
             self.figures.list_updated_at = now
         events: Sequence[Event] = self.view.update(now, scope, entries)
-        if not events and self._calling:
+        if not events and self._call_pending:
             events = [
                 EndpointListUpdate(ListScope.CHANGES)
-            ]  # discovery has answered, with nothing for the decisions
-        self._calling = False
+            ]  # discovery has answered, without a change that the decisions need
+        self._call_pending = False
         self.notify(events)
 
     def notify(self, events: Sequence[Event]) -> None:
-        """Tell of changes; before that, by how many dispatchers the view is shared, where that changed."""
+        """Feed events to the decisions, after a changed number of dispatchers per worker."""
         if not events:
             return
-        old, new = self._dispatchers_per_worker, self.view.subset_dispatchers_per_worker
+        old = self._dispatchers_per_worker
+        new = self.view.subset_dispatchers_per_worker
         if bool(old) != bool(new) or abs(new - old) > DISPATCHERS_PER_WORKER_TOLERANCE * old:
             self._dispatchers_per_worker = new
             self.set_budget_fraction(self.budget_fraction)
         for event in events:
             self.decisions.feed(event)
         due = self.view.due
-        if due is not None and self._settling is None:
-            self._settling = self.deadlines.at(due, self._settle)
+        if due is not None and self._admission_timer is None:
+            self._admission_timer = self.deadlines.at(due, self._admit_waiting)
 
-    def _settle(self) -> None:
-        """Let workers into the view that wait for it."""
-        self._settling = None
+    def _admit_waiting(self) -> None:
+        """Admit workers that wait to enter the view."""
+        self._admission_timer = None
         self.notify(self.view.admit_waiting(self.deadlines.now()))
 
     def change_settings(self, settings: Settings) -> None:
-        """Take new settings."""
+        """Apply new settings to the view and the decisions."""
         self.settings = settings
         changes = self.view.change_settings(settings, self.deadlines.now())
         self._dispatchers_per_worker = self.view.subset_dispatchers_per_worker
         self.set_budget_fraction(self.budget_fraction)
         self.notify(changes)
 
-    def set_budget_fraction(self, part: float) -> None:
-        """Keep to a part of what cold workers may be sent: the other process of an upgrade has the rest."""
-        self.budget_fraction = part
-        multiple = self.settings.slow_start_multiple * part
+    def set_budget_fraction(self, fraction: float) -> None:
+        """Limit this process to a fraction of the slow-start budget; the peer process has the rest."""
+        self.budget_fraction = fraction
+        multiple = self.settings.slow_start_multiple * fraction
         settings = replace(
             self.settings,
             slow_start_multiple=multiple,
@@ -96,7 +101,7 @@
         self.decisions.feed(SettingsChanged(settings))
 
     def ban(self, worker: str) -> bool:
-        """Send nothing new to a worker until its ban ends; says no if it was never listed."""
+        """Ban a worker from new attempts; return False if it was never listed."""
         if not self.view.is_known(worker):
             return False
         now = self.deadlines.now()
@@ -105,7 +110,7 @@
         return True
 
     def end_ban(self, worker: str) -> bool:
-        """End a ban: the worker is a new process, with nothing held against it."""
+        """End a ban and treat the worker as newly started; return False if it was never listed."""
         if not self.view.is_known(worker):
             return False
         now = self.deadlines.now()
@@ -115,6 +120,6 @@
         return True
 
     def learn_reach(self, worker: str, outcome: Outcome) -> None:
-        """Learn whether a worker's zone is in reach."""
+        """Update the reachability of a worker's zone from an outcome."""
         now = self.deadlines.now()
         self.notify(self.view.record_ending(worker, outcome.ending, outcome.worker_unreachable, now))
--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -1,4 +1,4 @@
-"""One dispatcher's engine: puts the parts together, and is what the fronts and the program speak to."""
+"""The engine of one dispatcher: builds its components and is their interface to listeners and program."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 from elderstall.messages import AttemptTransport, Client, Failed, JobRequest, Outcome, Rejected
 from elderstall.routing.view import MAX_LIST_ENTRIES, FleetView
 
-NO_CAPACITY = "no room"  # why a front rejected a job, for the figures
+NO_CAPACITY = "no room"  # reason of a listener's rejections in the figures
 
 
 class Engine:
-    """One dispatcher: its decisions, its jobs and the rules."""
+    """Decisions, jobs and rules of one dispatcher."""
 
     def __init__(
         self,
@@ -60,7 +60,10 @@
         max_open: int = 20_000,
         max_list_entries: int = MAX_LIST_ENTRIES,
     ) -> None:
-        self.settings, self.deadlines, self.transport, self.log = settings, deadlines, transport, log
+        self.settings = settings
+        self.deadlines = deadlines
+        self.transport = transport
+        self.log = log
         self.decisions = Dispatcher(settings, seed)
         self.feed = DecisionFeed(self.decisions, deadlines, log)
         self.counters = Figures([job_class.name for job_class in settings.classes])
@@ -90,8 +93,8 @@
             deadlines,
             log,
         )
-        self.answers.slack = slack
-        self._take_names(settings)
+        self.answers.answer_slack_ms = slack
+        self._update_names(settings)
         self.feed.handlers = {
             SendAttempt: self.attempts.send,
             PollLoad: self._poll,
@@ -103,17 +106,17 @@
         }
 
     def _abort_attempt(self, attempt: Attempt) -> None:
-        """Give the attempt of a closed job up; ``Answers`` stands below ``Attempts``, and is handed this."""
+        """Cancel the attempt of a closed job; a callback, as ``Answers`` is built before ``Attempts``."""
         self.attempts.abort(attempt)
 
-    def _take_names(self, settings: Settings) -> None:
+    def _update_names(self, settings: Settings) -> None:
         self.classes = {job_class.name: job_class for job_class in settings.classes}
         self.tenants = {tenant.name for tenant in settings.tenants}
 
     # ---- start and settings ----
 
     def start(self, known: tuple[Endpoint, ...], learned: dict[str, Any] | None = None) -> None:
-        """Begin, with the list as this dispatcher last had it, and what the former process had learned."""
+        """Start with the last known endpoint list and the state that the predecessor had learned."""
         self.feed.feed(Started())
         self.endpoints.take(ListScope.WHOLE, known)
         self.endpoints.started = True
@@ -121,26 +124,29 @@
             self.feed.feed(LearnedStateReceived(learned))
 
     def change_settings(self, settings: Settings, slack: float, max_open: int) -> None:
-        """Take new settings; jobs under way keep their class."""
+        """Apply new settings; accepted jobs keep their class."""
         self.settings = self.rules.settings = self.attempts.settings = settings
-        self.answers.slack = slack
-        self.jobs.limit(max_open)
-        self._take_names(settings)
+        self.answers.answer_slack_ms = slack
+        self.jobs.set_max_open(max_open)
+        self._update_names(settings)
         known = self.counters.classes
         known += [name for name in self.classes if name not in known]
         self.endpoints.change_settings(settings)
 
     def _set_timer(self, action: SetTimer) -> None:
-        """Carry out SetTimer."""
+        """Schedule a timer of the decisions, no sooner than one tick."""
         delay = max(self.settings.tick, action.delay)
         self.deadlines.after(delay, self.feed.feed, TimerFired(action.token))
 
     # ---- figures ----
 
     def figures(self) -> Figures:
-        """Give the figures as they stand."""
-        figures, view, now = self.counters, self.view, self.deadlines.now()
-        figures.jobs, figures.workers_listed = len(self.jobs), len(view.entries)
+        """Return the current figures."""
+        figures = self.counters
+        view = self.view
+        now = self.deadlines.now()
+        figures.jobs = len(self.jobs)
+        figures.workers_listed = len(view.entries)
         figures.workers_skipped = sum(name in view.entries for name in self.decisions.unavailable(now))
         figures.workers_in_view = len(view.entries) if view.subset is None else len(view.members)
         figures.workers_widened = 0 if view.subset is None else view.subset.widened
@@ -152,18 +158,18 @@
         return figures
 
     def count_written(self) -> None:
-        """Count an attempt whose last byte the transport has written."""
+        """Count an attempt that the transport has written completely."""
         self.counters.attempts_written += 1
 
     def count_rejected(self, job_class: str) -> None:
-        """Count a job that a front has rejected for want of capacity."""
+        """Count a job that a listener has rejected for lack of capacity."""
         self.counters.rejected[job_class] += 1
         self.counters.reasons[job_class, NO_CAPACITY] += 1
 
     # ---- jobs ----
 
     def accept(self, request: JobRequest, client: Client) -> int:
-        """Take a job on; from here it is owed one final answer. Gives its number.
+        """Accept a job, which then gets exactly one final answer; return its number.
 
         Raises RepeatedIdError or TooManyJobsError.
         """
@@ -171,7 +177,7 @@
         now = self.deadlines.now()
         job = Job(request, client, self.classes[request.job_class], now, now + request.budget)
         self.jobs.add(job)
-        self.answers.guard(job)
+        self.answers.start_deadline_guard(job)
         self.feed.feed(
             JobArrived(
                 job.number,
@@ -185,27 +191,27 @@
         )
         return job.number
 
-    def client_left(self, number: int) -> None:
-        """Note that the client of a job has left."""
-        self.answers.client_left(number)
+    def client_disconnected(self, number: int) -> None:
+        """Close a job whose client has disconnected."""
+        self.answers.client_disconnected(number)
 
-    # ---- an upgrade: jobs that move from one process to the next ----
+    # ---- upgrade: transfer of jobs between processes ----
 
     def export_job(self, number: int) -> JobTransfer | None:
-        """Let go of a job for the process that takes over, and give its state.
+        """Release a job to the successor and return its state.
 
-        Not of one whose attempt no worker has confirmed, or whose worker is yet to be told to give one up.
+        Returns None if its attempt is not yet accepted by a worker, or if a cancel is still pending.
         """
         job = self.jobs.get(number)
-        if job is None or job.cancels or job.deferred_send is not None:
+        if job is None or job.pending_cancels or job.deferred_send is not None:
             return None
         attempt = job.attempt
-        if attempt is not None and not self._movable(attempt):
+        if attempt is not None and not self._is_transferable(attempt):
             return None
-        transfer = JobTransfer.of(job)
+        transfer = JobTransfer.from_job(job)
         job.advance(JobEvent.CLOSED)
         job.attempt = None
-        for timer in (job.guard, attempt.timer if attempt is not None else None):
+        for timer in (job.deadline_guard, attempt.timer if attempt is not None else None):
             if timer is not None:
                 timer.cancel()
         self.jobs.export_job(job)
@@ -217,20 +223,20 @@
         return transfer
 
     @staticmethod
-    def _movable(attempt: Attempt) -> bool:
-        """Say whether a worker has an attempt for sure, with nothing of it left on a connection here."""
+    def _is_transferable(attempt: Attempt) -> bool:
+        """Return whether a worker has accepted an attempt and its exchange here has finished."""
         return attempt.accepted and attempt.sending is not None and attempt.sending.called
 
     def import_job(self, transfer: JobTransfer, original: object, client: Client) -> int:
-        """Take over a job that another process has let go of. Gives its number."""
+        """Take over a job that the peer process has released; return its number."""
         job = transfer.to_job(original, client)
         self.jobs.import_job(job)
-        self.answers.guard(job)
+        self.answers.start_deadline_guard(job)
         attempt = transfer.to_attempt(job)
         if attempt is not None:
             attempt.advance(AttemptEvent.ACCEPTED)
             job.start_attempt(attempt)
-            self.attempts.watch(attempt)
+            self.attempts.start_timer(attempt)
         self.feed.feed(
             JobTakenOver(
                 job.number,
@@ -241,7 +247,7 @@
                 job.request.work_hint,
                 job.request.slots,
                 job.attempts,
-                min(job.may_still_speak, default=None),
+                min(job.may_call_back, default=None),
                 None if attempt is None else attempt.worker,
                 0.0 if attempt is None else attempt.sent_at,
             )
@@ -249,30 +255,31 @@
         return job.number
 
     def encode_transfer(self, transfer: JobTransfer) -> dict[str, Any]:
-        """Write a job for a message to the other process."""
+        """Return a transferred job as a message to the peer process."""
         return transfer.encode(self.deadlines.shared())
 
     def decode_transfer(self, message: dict[str, Any]) -> JobTransfer:
-        """Read a job from a message of the other process."""
+        """Return the transferred job of a message from the peer process."""
         return JobTransfer.decode(message, self.deadlines.offset, self.deadlines.now())
 
     def abandon_transfer(self, transfer: JobTransfer) -> None:
-        """Give up the attempt of a job that moves, as its client has left."""
+        """Cancel the attempt of a transferred job whose client has disconnected."""
         if transfer.attempt is not None and self.settings.cancels:
             self.transport.cancel_job(transfer.attempt.worker, transfer.request_id)
 
     def reject_transfer(self, transfer: JobTransfer, client: Client) -> None:
-        """Answer a job that has come from another process where no more are taken, and end its attempt."""
-        name, harmless = transfer.cls.name, transfer.harmless_to_reject
-        (self.counters.rejected if harmless else self.counters.failed)[name] += 1
+        """Answer a job from the peer process that exceeds the job limit, and cancel its attempt."""
+        name = transfer.cls.name
+        retry_safe = transfer.is_retry_safe
+        (self.counters.rejected if retry_safe else self.counters.failed)[name] += 1
         self.counters.reasons[name, NO_CAPACITY] += 1
-        client.answered(Rejected() if harmless else Failed())
+        client.answered(Rejected() if retry_safe else Failed())
         self.abandon_transfer(transfer)
 
     # ---- load reports ----
 
     def _poll(self, action: PollLoad) -> None:
-        """Carry out Probe; a worker that is notified as draining or gone is left alone."""
+        """Poll a worker for its load report, unless it is listed as draining or gone."""
         if self.view.state(action.worker) is not WorkerState.UP:
             self.feed.feed(LoadPolled(action.worker, Ending.NEVER_SENT))
             return
@@ -281,11 +288,11 @@
         polling.addCallback(self._polled, action.worker).addErrback(self._not_polled, action.worker)
 
     def _polled(self, outcome: Outcome, worker: str) -> None:
-        """Take a worker's load report."""
+        """Handle the outcome of a poll."""
         self.endpoints.learn_reach(worker, outcome)
         self.feed.feed(LoadPolled(worker, outcome.ending, outcome.report))
 
     def _not_polled(self, failure: Failure, worker: str) -> None:
-        """Take an error in the transport: jobs wait for this report."""
+        """Handle an exception in the transport as a broken poll, as jobs may wait for the report."""
         self.log.failure("carrier", failure.value)
         self.feed.feed(LoadPolled(worker, Ending.BROKEN))
--- a/elderstall/engine/job_transfer.py
+++ b/elderstall/engine/job_transfer.py
@@ -1,7 +1,7 @@
-"""A job on its way to the other process of an upgrade: its state as a record, with one codec.
+"""State of a job that is handed over to the peer process of an upgrade, with its codec.
 
-The message's keys are fixed, as processes of two versions meet there. Times are sent as the shared clock
-writes them; a key that an earlier version does not send has its default.
+The keys of the message are fixed, as the two processes may run different versions. Times are encoded by the
+shared clock. A key that an earlier version does not send gets its default.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from elderstall.interface import DeduplicationScope, Effect, JobClass
 from elderstall.messages import Client, JobRequest
 
-CLOCK_SLACK = 500.0  # ms by which readings of a process of an earlier version may be off with no step
-LEFT_UNKNOWN = 400.0  # ms left to a job whose deadline is not known; it is lost 500 ms past that
+CLOCK_TOLERANCE_MS = 500.0  # a larger difference of an earlier version's readings is a clock step
+UNKNOWN_DEADLINE_BUDGET_MS = 400.0  # below the 500 ms after which a job with an unknown deadline is lost
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptTransfer:
-    """An attempt in flight. Times are readings of this process's clock, ms."""
+    """Attempt in flight of a transferred job. Times are readings of this process's clock, ms."""
 
     worker: str
     sent_at: float
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobTransfer:
-    """A job that one process exports and another imports. Times are readings of this process's clock, ms."""
+    """State of a transferred job. Times are readings of this process's clock, ms."""
 
     request_id: str
     cls: JobClass
@@ -42,15 +42,16 @@
     attempts: int
     may_have_run: bool
     ran_at: float | None
-    may_still_speak: tuple[str, ...]
-    handed_back: tuple[str, ...]
-    cancel_first: str | None
+    may_call_back: tuple[str, ...]
+    returned_by: tuple[str, ...]
+    cancel_before_send: str | None
     attempt: AttemptTransfer | None
 
     @classmethod
-    def of(cls, job: Job) -> JobTransfer:
-        """Describe a job."""
-        request, attempt = job.request, job.attempt
+    def from_job(cls, job: Job) -> JobTransfer:
+        """Return the state of a job and of its attempt in flight."""
+        request = job.request
+        attempt = job.attempt
         in_flight = (
             None if attempt is None else AttemptTransfer(attempt.worker, attempt.sent_at, attempt.ends_at)
         )
@@ -66,15 +67,15 @@
             attempts=job.attempts,
             may_have_run=job.may_have_run,
             ran_at=job.ran_at if job.may_have_run else None,
-            may_still_speak=tuple(sorted(job.may_still_speak)),
-            handed_back=tuple(sorted(job.handed_back)),
-            cancel_first=job.cancel_first,
+            may_call_back=tuple(sorted(job.may_call_back)),
+            returned_by=tuple(sorted(job.returned_by)),
+            cancel_before_send=job.cancel_before_send,
             attempt=in_flight,
         )
 
     @property
-    def harmless_to_reject(self) -> bool:
-        """Whether its client may be promised that trying again does no harm."""
+    def is_retry_safe(self) -> bool:
+        """Whether a retry by the client is harmless."""
         if self.cls.effect is Effect.IDEMPOTENT:
             return True
         if self.cls.effect is Effect.IDEMPOTENCY_KEY and self.cls.scope is DeduplicationScope.ALL:
@@ -82,7 +83,7 @@
         return not self.may_have_run and self.attempt is None
 
     def to_job(self, original: object, client: Client) -> Job:
-        """Make a job of it; ``original`` is the client's request as its front keeps it."""
+        """Return the job; ``original`` is the client's request in the listener's form."""
         request = JobRequest(
             self.request_id,
             self.cls.name,
@@ -96,21 +97,23 @@
         )
         job = Job(request, client, self.cls, self.arrived, self.deadline, attempts=self.attempts)
         job.may_have_run = self.may_have_run
-        if self.may_have_run:  # a process of an earlier version does not say when: at the earliest
+        if self.may_have_run:  # an earlier version does not send the time: assume the earliest
             job.ran_at = self.ran_at or self.arrived
-        job.may_still_speak, job.handed_back = set(self.may_still_speak), set(self.handed_back)
-        job.cancel_first = self.cancel_first
+        job.may_call_back = set(self.may_call_back)
+        job.returned_by = set(self.returned_by)
+        job.cancel_before_send = self.cancel_before_send
         return job
 
     def to_attempt(self, job: Job) -> Attempt | None:
-        """Make an attempt of the one that is in flight."""
+        """Return the attempt in flight, or None."""
         if self.attempt is None:
             return None
-        sent_at, ends_at = self.attempt.sent_at, self.attempt.ends_at
+        sent_at = self.attempt.sent_at
+        ends_at = self.attempt.ends_at
         return Attempt(job, self.attempts - 1, self.attempt.worker, sent_at, ends_at)
 
     def encode(self, clock: SharedClock) -> dict[str, Any]:
-        """Write it as plain data for a message."""
+        """Return the state as plain data for a message."""
         attempt = self.attempt
         return {
             "cid": self.request_id,
@@ -125,9 +128,9 @@
             "deadline": clock.encode_reading(self.deadline),
             "ran": self.may_have_run,
             "ran_at": None if self.ran_at is None else clock.encode_reading(self.ran_at),
-            "unsure": list(self.may_still_speak),
-            "back": list(self.handed_back),
-            "to_tell": self.cancel_first,
+            "unsure": list(self.may_call_back),
+            "back": list(self.returned_by),
+            "to_tell": self.cancel_before_send,
             "attempt": None
             if attempt is None
             else [
@@ -139,22 +142,21 @@
 
     @classmethod
     def decode(cls, message: dict[str, Any], local_offset: float, now: float) -> JobTransfer:
-        """Read it from a message; raises KeyError, TypeError or ValueError where that is malformed."""
+        """Return the state of a message; raises KeyError, TypeError or ValueError if it is malformed."""
         clock = SharedClock.of_message(message, local_offset)
-        arrived, deadline = (
-            clock.decode_reading(message["arrived"]),
-            clock.decode_reading(message["deadline"]),
-        )
+        arrived = clock.decode_reading(message["arrived"])
+        deadline = clock.decode_reading(message["deadline"])
         ran_at = None if message.get("ran_at") is None else clock.decode_reading(message["ran_at"])
         attempt = None
         if message["attempt"] is not None:
             worker, sent_at, ends_at = message["attempt"]
             attempt = AttemptTransfer(worker, clock.decode_reading(sent_at), clock.decode_reading(ends_at))
-        in_step = arrived <= now + CLOCK_SLACK and now <= deadline + CLOCK_SLACK
+        in_step = arrived <= now + CLOCK_TOLERANCE_MS and now <= deadline + CLOCK_TOLERANCE_MS
         if not clock.has_sender_offset and not in_step:
-            # Guards its one answer where a process of an earlier version has run through a step of the wall
-            # clock: its readings say nothing here, and its client may wait for only a moment longer.
-            arrived, deadline = now + LEFT_UNKNOWN - (deadline - arrived), now + LEFT_UNKNOWN
+            # The sender is of an earlier version and the wall clock was stepped: its readings are meaningless
+            # here, and the deadline may be near. A short budget ensures that the job is answered in time.
+            arrived = now + UNKNOWN_DEADLINE_BUDGET_MS - (deadline - arrived)
+            deadline = now + UNKNOWN_DEADLINE_BUDGET_MS
             ran_at = None
             attempt = None if attempt is None else AttemptTransfer(attempt.worker, arrived, deadline)
         return cls(
@@ -169,14 +171,14 @@
             attempts=message["sent"],
             may_have_run=message["ran"],
             ran_at=ran_at,
-            may_still_speak=tuple(message["unsure"]),
-            handed_back=tuple(message.get("back", ())),
-            cancel_first=message.get("to_tell"),
+            may_call_back=tuple(message["unsure"]),
+            returned_by=tuple(message.get("back", ())),
+            cancel_before_send=message.get("to_tell"),
             attempt=attempt,
         )
 
 
-# The names of a class's fields in messages, in order.
+# Message key of each field of a job class, in order.
 CLASS_KEYS = {
     "name": "name",
     "worth": "priority_weight",
@@ -193,13 +195,14 @@
 
 
 def encode_class(job_class: JobClass) -> dict[str, Any]:
-    """Write a class as plain data."""
+    """Return a job class as plain data."""
     values = {key: getattr(job_class, name) for key, name in CLASS_KEYS.items()}
     return {**values, "effect": job_class.effect.value, "scope": job_class.scope.value}
 
 
 def decode_class(message: dict[str, Any]) -> JobClass:
-    """Read a class."""
+    """Return the job class of plain data."""
     values = {CLASS_KEYS[key]: value for key, value in message.items()}
-    values["effect"], values["scope"] = Effect(message["effect"]), DeduplicationScope(message["scope"])
+    values["effect"] = Effect(message["effect"])
+    values["scope"] = DeduplicationScope(message["scope"])
     return JobClass(**values)
--- a/elderstall/engine/jobs.py
+++ b/elderstall/engine/jobs.py
@@ -1,4 +1,4 @@
-"""The jobs that are owed an answer, and the ids of those that were taken here or elsewhere."""
+"""Live jobs, and the ids of jobs that this process or its peer has accepted."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 from elderstall.messages import Client, JobRequest, Outcome
 from elderstall.slots import SLOT_MASK, Slots
 
-REMEMBERED_IDS = 4_096  # of answered jobs: minutes of them at the rates known
+MAX_RECENT_IDS = 4_096  # ids of answered jobs: minutes' worth at usual rates
 
 
 class TooManyJobsError(Exception):
-    """No more jobs are taken."""
+    """The limit of live jobs is reached."""
 
 
 class RepeatedIdError(Exception):
-    """The id is that of a live job, or of one that has had its answer."""
+    """The id belongs to a live job, or to one that has been answered."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """The attempt of a job that is in flight. Times are readings of the clock, ms."""
+    """An attempt in flight. Times are clock readings, ms."""
 
     job: Job
     number: int
@@ -48,18 +48,18 @@
     timer: Deadline | None = None
 
     def advance(self, event: AttemptEvent) -> None:
-        """Change its state."""
+        """Apply an event to the state; raises IllegalTransitionError."""
         self.state = next_state(ATTEMPT_TRANSITIONS, self.state, event)
 
     @property
     def accepted(self) -> bool:
-        """Whether the worker has said, in any way, that it has the job."""
+        """Whether the worker has accepted the job, by its answer or by a call-back."""
         return self.state in (AttemptState.ACCEPTED, AttemptState.CONFIRMED)
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job that is owed an answer. Times are readings of the clock, ms."""
+    """A job that has not been answered. Times are clock readings, ms."""
 
     request: JobRequest
     client: Client
@@ -67,55 +67,58 @@
     arrived: float
     deadline: float
     number: int = 0
-    attempts: int = 0  # made so far
+    attempts: int = 0  # so far
     state: JobState = JobState.PENDING
     attempt: Attempt | None = None  # in flight
-    deferred_send: SendAttempt | None = None  # decided, and waits for cancels
-    cancels: int = 0  # attempts given up whose workers have not yet confirmed it
-    cancel_first: str | None = None  # a worker that said nothing is told before the next attempt
+    deferred_send: SendAttempt | None = None  # decided, but waits for pending cancels
+    pending_cancels: int = 0  # cancels that workers have not yet confirmed
+    cancel_before_send: str | None = None  # silent worker to cancel on before the next attempt
     may_have_run: bool = False
     ran_at: float = math.inf  # when the first attempt that may have run was sent
-    may_still_speak: set[str] = field(default_factory=set)  # workers, of an earlier attempt
-    handed_back: set[str] = field(default_factory=set)  # workers that have, and may say so again
-    guard: Deadline | None = None
-    last_end: str = "never sent"  # how its latest attempt ended, and where; for the log
-    last_ending: str = "no time"  # the same in a word, for the figures; before any: why it had to go
+    may_call_back: set[str] = field(default_factory=set)  # workers of earlier attempts that may have run
+    returned_by: set[str] = field(
+        default_factory=set
+    )  # workers that returned it unstarted, and may repeat that call-back
+    deadline_guard: Deadline | None = None
+    last_ending_detail: str = "never sent"  # how and where the latest attempt ended, for the log
+    last_ending: str = "no time"  # reason in the figures; "no time" if no attempt was made
 
     def advance(self, event: JobEvent) -> None:
-        """Change its state."""
+        """Apply an event to the state; raises IllegalTransitionError."""
         self.state = next_state(JOB_TRANSITIONS, self.state, event)
 
     @property
     def closed(self) -> bool:
-        """Whether nothing is owed any more."""
+        """Whether the job is finished here."""
         return self.state is JobState.CLOSED
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Take a new attempt."""
+        """Set the attempt in flight."""
         self.advance(JobEvent.FORWARDED)
         self.attempt = attempt
 
     def end_attempt(self, attempt: Attempt, ending: Ending) -> None:
-        """Take the attempt off, and note what its end leaves open."""
+        """Clear the attempt in flight, and record whether the job may have run."""
         self.advance(JobEvent.ATTEMPT_ENDED)
         self.attempt = None
-        self.last_end = f"{ending.value}, attempt {attempt.number} at {attempt.worker}"
+        self.last_ending_detail = f"{ending.value}, attempt {attempt.number} at {attempt.worker}"
         self.last_ending = ending.value
         if attempt.timer is not None:
             attempt.timer.cancel()
         if ending not in NEVER_RAN:
-            self.may_have_run, self.ran_at = True, min(self.ran_at, attempt.sent_at)
-            self.may_still_speak.add(attempt.worker)
+            self.may_have_run = True
+            self.ran_at = min(self.ran_at, attempt.sent_at)
+            self.may_call_back.add(attempt.worker)
         elif attempt.accepted:
-            self.handed_back.add(attempt.worker)  # it calls again until it is answered
+            self.returned_by.add(attempt.worker)  # it repeats the call-back until it is acknowledged
 
 
 class RecentIds:
-    """The latest ids of some kind, up to a bound."""
+    """A bounded set of the most recent request ids."""
 
-    def __init__(self, most: int = REMEMBERED_IDS) -> None:
-        self.most = most
-        self._ids: OrderedDict[str, None] = OrderedDict()  # the latest last
+    def __init__(self, max_ids: int = MAX_RECENT_IDS) -> None:
+        self.max_ids = max_ids
+        self._ids: OrderedDict[str, None] = OrderedDict()  # newest last
 
     def __contains__(self, request_id: str) -> bool:
         return request_id in self._ids
@@ -124,60 +127,60 @@
         return iter(self._ids)
 
     def add(self, request_id: str) -> None:
-        """Remember an id; the oldest is forgotten for it."""
+        """Add an id, evicting the oldest if the set is full."""
         self._ids[request_id] = None
-        if len(self._ids) > self.most:
+        if len(self._ids) > self.max_ids:
             self._ids.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget all ids."""
+        """Remove all ids."""
         self._ids.clear()
 
     def discard(self, request_id: str) -> None:
-        """Forget an id."""
+        """Remove an id, if present."""
         self._ids.pop(request_id, None)
 
 
 class JobTable:
-    """All live jobs by number and by their clients' ids, and the ids of others that must not run again."""
+    """Live jobs by number and by request id, and recent ids whose jobs must not run again."""
 
     def __init__(self, max_open: int) -> None:
         self.live: Slots[Job] = Slots(max_open)
         self.by_request_id: dict[str, Job] = {}
         self.answered = RecentIds()
-        self.taken_by_other_process = RecentIds()  # by the other process of an upgrade
-        self.on_taken: Callable[[str], None] = lambda request_id: None
+        self.taken_by_other_process = RecentIds()  # the peer process of an upgrade
+        self.on_accepted: Callable[[str], None] = lambda request_id: None
 
     def __len__(self) -> int:
         return len(self.live)
 
-    def limit(self, max_open: int) -> None:
-        """Take no more than so many jobs at once."""
+    def set_max_open(self, max_open: int) -> None:
+        """Set the maximum number of live jobs."""
         self.live.max_items = min(max_open, SLOT_MASK)
 
     def get(self, number: int) -> Job | None:
-        """Find a live job by its number."""
+        """Return the live job of a number, or None."""
         return self.live.get(number)
 
     def knows(self, request_id: str) -> bool:
-        """Say whether this process took an id."""
+        """Return whether this process has accepted an id."""
         return request_id in self.by_request_id or request_id in self.answered
 
     def check_new(self, request_id: str) -> None:
-        """Raise RepeatedIdError or TooManyJobsError where a new job cannot be taken."""
+        """Raise RepeatedIdError or TooManyJobsError if a new job cannot be accepted."""
         if self.knows(request_id) or request_id in self.taken_by_other_process:
-            # Guards against a second run under another client's id: every request, a retry too, has its own.
+            # Every request, even a retry, has an id of its own; a repeated id could run a job twice.
             raise RepeatedIdError(request_id)
         if self.live.full:
             raise TooManyJobsError
 
     def add(self, job: Job) -> None:
-        """Add a job that this process took, and number it."""
+        """Add a job that this process has accepted, and assign its number."""
         self._insert(job)
-        self.on_taken(job.request.request_id)
+        self.on_accepted(job.request.request_id)
 
     def import_job(self, job: Job) -> None:
-        """Add a job that another process took, and number it."""
+        """Add a job that the peer process accepted, and assign its number."""
         self._insert(job)
         self.taken_by_other_process.discard(job.request.request_id)
 
@@ -186,21 +189,21 @@
         self.by_request_id[job.request.request_id] = job
 
     def remove(self, job: Job) -> None:
-        """Take a job off that has had its answer."""
-        self._take_off(job)
+        """Remove a closed job and record its id."""
+        self._remove(job)
         self.answered.add(job.request.request_id)
 
     def export_job(self, job: Job) -> None:
-        """Take a job off that another process goes on with."""
-        self._take_off(job)
+        """Remove a job that the peer process takes over."""
+        self._remove(job)
         self.taken_by_other_process.add(job.request.request_id)
 
-    def _take_off(self, job: Job) -> None:
+    def _remove(self, job: Job) -> None:
         self.live.remove(job.number)
         del self.by_request_id[job.request.request_id]
 
     def live_attempt(self, request_id: str, worker: str) -> Attempt | None:
-        """Find the attempt in flight of a client's id at a worker, for what the worker calls back."""
+        """Return a request's attempt in flight at a worker, to match the worker's call-back, or None."""
         job = self.by_request_id.get(request_id)
         if job is None or job.attempt is None or job.attempt.worker != worker:
             return None
--- a/elderstall/engine/learned_transfer.py
+++ b/elderstall/engine/learned_transfer.py
@@ -1,7 +1,7 @@
-"""What the decisions have learned, on its way to the other process of an upgrade.
+"""Codec of the decisions' learned state for the peer process of an upgrade.
 
-Starts are sent as the endpoint list has them, and times as the shared clock writes them: the two processes'
-own readings differ once the wall clock has been stepped. The keys are fixed, as two versions meet there.
+Starts are sent as listed and other times are encoded by the shared clock, as the two processes' own readings
+differ once the wall clock has been stepped. The keys are fixed, as the processes may run different versions.
 """
 
 from __future__ import annotations
@@ -15,30 +15,31 @@
 from elderstall.routing.view import FleetView
 
 
-def write_learned(data: dict[str, Any], view: FleetView, clock: SharedClock) -> dict[str, Any]:
-    """Write what ``Dispatcher.learned`` gave for the other process; changes the data in place."""
+def encode_learned(data: dict[str, Any], view: FleetView, clock: SharedClock) -> dict[str, Any]:
+    """Encode the result of ``Dispatcher.learned`` in place and return it."""
     for name, worker in data["workers"].items():
-        entry, started = view.entries.get(name), worker["started"]
+        entry = view.entries.get(name)
+        started = worker["started"]
         if entry is not None and started == entry.started:
             worker["started"] = entry.since_ms
         elif started is not None:
-            worker["started"] = clock.encode_reading(started)  # its ban was ended then
+            worker["started"] = clock.encode_reading(started)  # the end of its ban
         worker["skip_until"] = clock.encode_reading(worker["skip_until"])
         worker["pushed"] = [(clock.encode_reading(at), work) for at, work in worker["pushed"]]
     return data
 
 
-def read_learned(
+def decode_learned(
     data: dict[str, Any],
     entries: Iterable[Endpoint],
     bans_ended: Mapping[str, Sequence[float]],
     view: FleetView,
     clock: SharedClock,
 ) -> None:
-    """Read what another process has written: its workers' starts become those that the view shows here.
+    """Decode learned state in place: starts become those of the view's effective entries.
 
-    ``bans_ended`` has the times of bans that have ended, as they were sent. What was learned of another
-    process of a worker gets a start that is no worker's.
+    ``bans_ended`` holds the times of ended bans as sent. State learned from another process of the same
+    worker gets the start NaN, which matches no worker.
     """
     workers = data["workers"]
     for entry in entries:
--- a/elderstall/engine/lifecycle.py
+++ b/elderstall/engine/lifecycle.py
@@ -1,7 +1,7 @@
-"""The states of a job and of an attempt, and every change of state that there is.
+"""State machines of a job and of an attempt.
 
-The tables are printed into docs/architecture.md by a test. An event that a state does not know is an error in
-the program, not in what a client or a worker sent.
+A test compares the tables with docs/architecture.md. An event without a transition is a bug in the program,
+never the fault of a client or a worker.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 
 
 class JobState(Enum):
-    """What a job waits for."""
+    """State of a job."""
 
-    PENDING = "pending"  # no attempt is in flight: the decisions have it
-    IN_FLIGHT = "in flight"  # one attempt is with a worker, or on its way to one
-    CANCELLING = "cancelling"  # a worker is being told to give up an attempt that it may still have
-    SEND_DEFERRED = "send deferred"  # the same, and the next attempt is decided and waits for that
-    CLOSED = "closed"  # it has had its answer, its client has left, or another process has it
+    PENDING = "pending"  # without an attempt in flight; the decisions choose the next step
+    IN_FLIGHT = "in flight"  # one attempt is with a worker, or being sent to one
+    CANCELLING = "cancelling"  # a cancel of an attempt that a worker may still have is pending
+    SEND_DEFERRED = "send deferred"  # the next attempt is decided and waits for pending cancels
+    CLOSED = "closed"  # answered, client disconnected, or taken over by the peer process
 
 
 class JobEvent(Enum):
-    """What changes the state of a job."""
+    """Event in the life of a job."""
 
     FORWARDED = "forwarded"
     ATTEMPT_ENDED = "attempt ended"
     CANCEL_STARTED = "cancel started"
-    SEND_DECIDED = "send decided"  # while a cancel is under way
-    CANCELS_DONE = "cancels done"  # the last of them
+    SEND_DECIDED = "send decided"  # while a cancel is pending
+    CANCELS_DONE = "cancels done"  # the last pending cancel has finished
     CLOSED = "closed"
 
 
 class AttemptState(Enum):
-    """What is known of an attempt."""
+    """State of an attempt."""
 
-    SENT = "sent"  # handed to the transport; the worker has not said that it has the job
-    ACCEPTED = "accepted"  # the worker has said so in its answer
-    CONFIRMED = "confirmed"  # it has said so by a call-back, whatever becomes of its connection
+    SENT = "sent"  # passed to the transport; not yet accepted by the worker
+    ACCEPTED = "accepted"  # accepted by the worker: its answer, progress or end was received
+    CONFIRMED = "confirmed"  # start reported by a call-back, which holds even if the connection breaks
     ENDED = "ended"
 
 
 class AttemptEvent(Enum):
-    """What changes the state of an attempt."""
+    """Event in the life of an attempt."""
 
     ACCEPTED = "accepted"
     CONFIRMED = "confirmed"
@@ -78,7 +78,10 @@
     (AttemptState.CONFIRMED, AttemptEvent.ACCEPTED): AttemptState.CONFIRMED,
     (AttemptState.CONFIRMED, AttemptEvent.CONFIRMED): AttemptState.CONFIRMED,
     (AttemptState.CONFIRMED, AttemptEvent.ENDED): AttemptState.ENDED,
-    (AttemptState.ENDED, AttemptEvent.ACCEPTED): AttemptState.ENDED,  # an answer read after the call-back
+    (
+        AttemptState.ENDED,
+        AttemptEvent.ACCEPTED,
+    ): AttemptState.ENDED,  # an answer read after the final call-back
     (AttemptState.ENDED, AttemptEvent.ENDED): AttemptState.ENDED,
 }
 
@@ -87,19 +90,21 @@
 
 
 class IllegalTransitionError(Exception):
-    """An event came in a state that does not know it."""
+    """The state has no transition for the event."""
 
 
 def next_state(transitions: Mapping[tuple[State, Event], State], state: State, event: Event) -> State:
-    """Give the state after an event; raises IllegalTransitionError where the table has none."""
+    """Return the state after an event; raises IllegalTransitionError if there is no transition."""
     try:
         return transitions[state, event]
     except KeyError:
-        raise IllegalTransitionError(f"{event.value} while {state.value}") from None
+        raise IllegalTransitionError(
+            f"event '{event.value}' is not allowed in state '{state.value}'"
+        ) from None
 
 
 def as_markdown(transitions: Mapping[tuple[State, Event], State]) -> str:
-    """Print a table of transitions: a row a state, a column an event, ``-`` where there is none."""
+    """Return the transitions as a Markdown table: one row per state, one column per event, ``-`` for none."""
     states = list(dict.fromkeys(state for state, _ in transitions))
     events = list(dict.fromkeys(event for _, event in transitions))
     head = ["state", *(event.value for event in events)]
--- a/elderstall/engine/rules.py
+++ b/elderstall/engine/rules.py
@@ -1,4 +1,4 @@
-"""The rules that hold whatever the decisions ask for, each as a named check."""
+"""The rules that every attempt must satisfy, whatever the decisions request."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 from elderstall.interface import DeduplicationScope, Effect, SendAttempt, Settings
 from elderstall.routing.view import FleetView
 
-DRAIN_PART = 0.75  # of the time that the rule on draining workers allows; after that nothing is sent
-HELD_UP = 150.0  # ms for which the process may be held up between reading its clock and writing
+DRAIN_SEND_FRACTION = 0.75  # of the time allowed by the rule on draining workers
+MAX_PROCESS_PAUSE_MS = 150.0  # between reading the clock and writing to a socket
 
 
 class Violation(Enum):
-    """Why an attempt is not sent."""
+    """Rule that forbids an attempt; the values appear in the log."""
 
-    ATTEMPT_IN_FLIGHT = "an attempt is out"
-    TOO_MANY_ATTEMPTS = "too many attempts"
-    UNKNOWN_WORKER = "unknown worker"
-    MAY_HAVE_RUN = "may have run"
-    WORKER_DRAINING = "worker told draining or gone"
-    NOT_DEDUPLICATED = "its repeat would not be dropped any more"
-    CLIENT_LEFT = "its client has left"
-    NO_TIME = "no time left"
+    ATTEMPT_IN_FLIGHT = "another attempt is in flight"
+    TOO_MANY_ATTEMPTS = "the maximum of attempts is reached"
+    UNKNOWN_WORKER = "the worker is unknown"
+    MAY_HAVE_RUN = "it may have run and is not idempotent"
+    WORKER_DRAINING = "the worker is draining or gone"
+    NOT_DEDUPLICATED = "its deduplication window has passed"
+    CLIENT_DISCONNECTED = "its client has disconnected"
+    DEADLINE_PASSED = "its deadline has passed"
 
 
 class Rules:
     """Checks attempts and rejections against the rules."""
 
     def __init__(self, settings: Settings, deadlines: Deadlines, view: FleetView) -> None:
-        self.settings, self.deadlines, self.view = settings, deadlines, view
+        self.settings = settings
+        self.deadlines = deadlines
+        self.view = view
 
-    def forbids(self, job: Job, send: SendAttempt) -> Violation | None:
-        """Name the rule that forbids an attempt which is about to begin."""
+    def find_violation(self, job: Job, send: SendAttempt) -> Violation | None:
+        """Return the rule that forbids an attempt which is about to start, or None."""
         if job.attempt is not None:
             return Violation.ATTEMPT_IN_FLIGHT
         if job.attempts > self.settings.max_attempts:  # this one is counted
@@ -42,31 +44,31 @@
             return Violation.UNKNOWN_WORKER
         if job.may_have_run and job.cls.effect is Effect.NOT_IDEMPOTENT:
             return Violation.MAY_HAVE_RUN
-        return self.forbids_by_now(job, send.worker)
+        return self.find_current_violation(job, send.worker)
 
-    def forbids_by_now(self, job: Job, worker: str) -> Violation | None:
-        """Name the rule that time has brought against an attempt, up to its first byte."""
+    def find_current_violation(self, job: Job, worker: str) -> Violation | None:
+        """Return the time-dependent rule that forbids an attempt, or None; holds up to its first byte."""
         now = self.deadlines.now()
         if not self.view.may_send(worker, now, self._drain_grace):
             return Violation.WORKER_DRAINING
         if (
             job.cls.effect is Effect.IDEMPOTENCY_KEY
-            and now - job.ran_at >= job.cls.deduplication_window - HELD_UP
+            and now - job.ran_at >= job.cls.deduplication_window - MAX_PROCESS_PAUSE_MS
         ):
             return Violation.NOT_DEDUPLICATED
         if not job.client.is_connected():
-            return Violation.CLIENT_LEFT
-        return None if now < job.deadline else Violation.NO_TIME
+            return Violation.CLIENT_DISCONNECTED
+        return None if now < job.deadline else Violation.DEADLINE_PASSED
 
     @property
     def _drain_grace(self) -> float:
-        """How long a worker that is notified as draining may still be sent attempts, ms."""
+        """Time in ms for which a worker listed as draining may still be sent attempts."""
         allowed = self.settings.stop_sending_within
-        return max(0.0, min(DRAIN_PART * allowed, allowed - HELD_UP))
+        return max(0.0, min(DRAIN_SEND_FRACTION * allowed, allowed - MAX_PROCESS_PAUSE_MS))
 
     @staticmethod
-    def harmless_to_reject(job: Job) -> bool:
-        """Say whether a client may be promised that trying again does no harm."""
+    def is_retry_safe(job: Job) -> bool:
+        """Return whether a retry by the client is harmless."""
         if job.cls.effect is Effect.IDEMPOTENT:
             return True
         if job.cls.effect is Effect.IDEMPOTENCY_KEY and job.cls.scope is DeduplicationScope.ALL:
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -257,7 +257,7 @@
         if not self.fits(scope, len(pairs)):
             return None
         names = {listed.worker for listed, _ in pairs}
-        self.starts.look()
+        self.starts.check_wall_clock()
         oldest = math.inf if told_by is None else self.deadlines.now() - self.listed_at
         if scope is ListScope.WHOLE:
             for name in [name for name in self.addresses if name not in names]:
@@ -294,7 +294,7 @@
         self.keep_only(call)
         fresh, self.fresh, self.fell_silent = self.fresh, False, False
         if value is None:
-            self.starts.look()
+            self.starts.check_wall_clock()
         news = self.take(value, connection) if value is not None else None
         if value is None or news is not None:
             self.listed_at = self.deadlines.now()
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -79,7 +79,7 @@
         job, self.job = self.job, None
         if job is not None:
             self.reason = CloseReason.CLIENT_GONE
-            self.server.engine.client_left(job)
+            self.server.engine.client_disconnected(job)
         self.body_size = 0
         self.count_kept_bytes()
         table.set_activity(self, None)
--- a/elderstall/settings.py
+++ b/elderstall/settings.py
@@ -10,14 +10,14 @@
 Fields = dict[str, Any]
 
 
-def positive(value: Any, name: str) -> Any:
+def require_positive(value: Any, name: str) -> Any:
     """Check a number that must be above zero."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
         raise ValueError(f"{name}: {value!r} is no positive number")
     return value
 
 
-def flag(fields: Fields, name: str, default: bool = False) -> bool:
+def read_flag(fields: Fields, name: str, default: bool = False) -> bool:
     """Read a yes or no; what is neither is turned down, as a word like "no" would count for a yes."""
     value = fields.get(name)
     if value is not None and not isinstance(value, bool):
@@ -25,12 +25,16 @@
     return default if value is None else value
 
 
-def settings_of(conf: Fields) -> Settings:
+def parse_settings(conf: Fields) -> Settings:
     """Build the settings from the wire's; keys that are not known here are ignored."""
-    rules, limits = conf.get("rules") or {}, conf.get("limits") or {}
-    extras, fees = conf.get("specifics") or {}, conf.get("fees") or {}
-    kinds, fields = conf.get("skus") or [], (conf.get("load_report") or {}).get("fields") or []
-    bound, stretches = extras.get("class_kind") or [], extras.get("class_stretch") or []
+    rules = conf.get("rules") or {}
+    limits = conf.get("limits") or {}
+    extras = conf.get("specifics") or {}
+    fees = conf.get("fees") or {}
+    kinds = conf.get("skus") or []
+    fields = (conf.get("load_report") or {}).get("fields") or []
+    bound = extras.get("class_kind") or []
+    stretches = extras.get("class_stretch") or []
     classes = []
     for n, c in enumerate(conf["classes"]):
         kind = bound[n] if n < len(bound) else -1
@@ -40,14 +44,14 @@
                 name=c["name"],
                 priority_weight=c["points"],
                 latency_objective=c["aim"],
-                deadline=positive(c["deadline"], "deadline"),
+                deadline=require_positive(c["deadline"], "deadline"),
                 effect=Effect(c["effect"]),
                 scope=DeduplicationScope(c.get("key_scope") or "all"),
                 deduplication_window=c.get("memory_span") or 0.0,
                 stretch=stretch,
                 late_share=c.get("late_share") or 0.0,
                 kind=kinds[kind] if 0 <= kind < len(kinds) else None,
-                streamed=flag(c, "streamed"),
+                streamed=read_flag(c, "streamed"),
             )
         )
     free = next((f for f in ("x0", "x1") if f in fields and extras.get(f"report_{f}") == "free slots"), None)
@@ -66,16 +70,16 @@
         slow_start_multiple=rules.get("fall_multiple") or 3.0,
         slow_start_window=rules.get("overload_for") or 2_000.0,
         stop_sending_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,  # none told: at once
-        max_attempts=positive(limits.get("max_attempts", 1), "max_attempts"),
+        max_attempts=require_positive(limits.get("max_attempts", 1), "max_attempts"),
         cpu_us_per_s=limits.get("cpu_us_per_s") or 0.0,
         cpu_us_per_job=limits.get("cpu_us_per_request") or 0.0,
         connect_timeout=limits.get("connect_timeout") or 0.0,
-        notifies_start=flag(extras, "tells_start"),
+        notifies_start=read_flag(extras, "tells_start"),
         report_free_slots=fields.index(free) if free else None,
         tick=conf.get("tick") or 1.0,
         cross_zone_price=fees.get("cross_zone") or 0.0,
         fetch_price=fees.get("origin") or 0.0,
-        probes=flag(limits, "probes"),
-        cancels=flag(limits, "cancel", True),
+        probes=read_flag(limits, "probes"),
+        cancels=read_flag(limits, "cancel", True),
         reports_only_when_polled=(conf.get("load_report") or {}).get("source") == "pull",
     )
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -16,11 +16,15 @@
 from elderstall.net.server.listener import Server
 from elderstall.upgrade import Upgrade
 
-SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
-DEADLINE_LIMIT = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
-LET_GO_AFTER = 2_000.0  # ms after SIGTERM: dispatchers end 3 s apart, and clients should find the next one
-KILL_MARGIN = 300.0  # ms before that by which all is answered, however busy the machine is
-CHECK_INTERVAL = 50.0  # ms between looks whether all is answered
+SERVING_PERIOD_MS = 700.0  # ms after SIGTERM for which new jobs are taken as always
+MAX_COUNTED_DEADLINE_MS = (
+    3_000.0  # ms that the longest deadline counts for: SERVING_PERIOD_MS later the platform may kill
+)
+CLOSE_IDLE_AFTER_MS = (
+    2_000.0  # ms after SIGTERM: dispatchers end 3 s apart, and clients should find the next one
+)
+KILL_MARGIN_MS = 300.0  # ms before that by which all is answered, however busy the machine is
+CHECK_INTERVAL_MS = 50.0  # ms between looks whether all is answered
 
 
 class Program(Protocol):
@@ -43,8 +47,14 @@
         upgrade: Upgrade,
         finish: Callable[[], None],
     ) -> None:
-        self.program, self.deadlines, self.log, self.finish = program, deadlines, log, finish
-        self.engine, self.server, self.console, self.upgrade = engine, server, console, upgrade
+        self.program = program
+        self.deadlines = deadlines
+        self.log = log
+        self.finish = finish
+        self.engine = engine
+        self.server = server
+        self.console = console
+        self.upgrade = upgrade
         self.begun = False
         self.earliest_end = 0.0
 
@@ -55,12 +65,12 @@
         self.begun = True
         self.log.write("drain", f"{len(self.engine.jobs)} jobs are out")
         self.server.drain()
-        longest = min(max(c.deadline for c in self.engine.classes.values()), DEADLINE_LIMIT)
-        all_answered_after = longest + SERVE_FOR - KILL_MARGIN
+        longest = min(max(c.deadline for c in self.engine.classes.values()), MAX_COUNTED_DEADLINE_MS)
+        all_answered_after = longest + SERVING_PERIOD_MS - KILL_MARGIN_MS
         self.server.until = self.deadlines.now() + all_answered_after
-        self.earliest_end = self.deadlines.now() + SERVE_FOR
-        self.deadlines.after(SERVE_FOR, self.shorten_budgets)
-        self.deadlines.after(min(LET_GO_AFTER, all_answered_after), self.server.close_idle_clients)
+        self.earliest_end = self.deadlines.now() + SERVING_PERIOD_MS
+        self.deadlines.after(SERVING_PERIOD_MS, self.shorten_budgets)
+        self.deadlines.after(min(CLOSE_IDLE_AFTER_MS, all_answered_after), self.server.close_idle_clients)
         self.check()
 
     def shorten_budgets(self) -> None:
@@ -69,13 +79,13 @@
 
     def check(self) -> None:
         """End once nothing is owed and every client's connection is closed."""
-        if self.owes_something() or not self.nothing_unread():
-            self.deadlines.after(CHECK_INTERVAL, self.check)
+        if self.has_unfinished_work() or not self.is_input_drained():
+            self.deadlines.after(CHECK_INTERVAL_MS, self.check)
             return
         self.log.write("exit", "all that was taken is answered")
         self.finish()
 
-    def owes_something(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Say whether an answer is due, or a connection is a client's or on its way to the next process."""
         handover = self.upgrade.handover
         return bool(
@@ -87,7 +97,7 @@
             or self.console.answering
         )
 
-    def nothing_unread(self) -> bool:
+    def is_input_drained(self) -> bool:
         """Say that nothing waits in the system that clients hold for taken, as far as can be seen.
 
         New connections keep coming for a while after SIGTERM. What lies in the listener's queue, or unread
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -250,7 +250,7 @@
             if tried is not None and not tried.over and tried.process is not None and tried.process.alive:
                 tried.over = True
                 self.world.audit.left(tried)
-                tried.process.engine.client_left(tried.job)
+                tried.process.engine.client_disconnected(tried.job)
                 tried.process.answered.append(tried.request_id)
 
     def close(self, request: Request, ending: str, at: float) -> None:
--- a/elderstall/starts.py
+++ b/elderstall/starts.py
@@ -16,10 +16,10 @@
 from elderstall.clocks import SharedClock
 from elderstall.deadlines import Deadlines
 
-OFFSETS_KEPT = 8  # of the wall clock, the latest last: entries may be stamped by any of them
-SLEW_MOST = 500.0  # ms by which the wall clock drifts between two looks at it; more is a step
-GONE_KEPT = 4_096  # starts of workers that are listed no more, and may come back as they were
-LEARNED_WITHIN = 10_000.0  # ms in which the list tells of a worker's start, at the latest
+MAX_OFFSETS = 8  # of the wall clock, the latest last: entries may be stamped by any of them
+MAX_SLEW_MS = 500.0  # ms by which the wall clock drifts between two looks at it; more is a step
+MAX_GONE_STARTS = 4_096  # starts of workers that are listed no more, and may come back as they were
+MAX_LISTING_DELAY_MS = 10_000.0  # ms in which the list tells of a worker's start, at the latest
 
 
 class Start(NamedTuple):
@@ -36,12 +36,12 @@
         self.deadlines = deadlines
         self.listed: dict[str, Start] = {}
         self.gone: OrderedDict[str, Start] = OrderedDict()
-        self.offsets: deque[float] = deque([deadlines.offset], maxlen=OFFSETS_KEPT)
+        self.offsets: deque[float] = deque([deadlines.offset], maxlen=MAX_OFFSETS)
 
-    def look(self) -> None:
+    def check_wall_clock(self) -> None:
         """Look whether the wall clock has been stepped since the last look."""
         offset = self.deadlines.wall_offset(self.offsets[-1])
-        same = [known for known in self.offsets if abs(offset - known) < SLEW_MOST]
+        same = [known for known in self.offsets if abs(offset - known) < MAX_SLEW_MS]
         for known in same:  # the wall clock has drifted, or was set right again
             self.offsets.remove(known)
         self.offsets.append(offset)
@@ -55,22 +55,22 @@
             return None
         before = self.listed.get(worker) or self.gone.pop(worker, None)
         if before is None or before.since_ms != since_ms:
-            reading = self.derived(since_ms, oldest)
+            reading = self.derive_reading(since_ms, oldest)
             if before is not None and reading == before.reading:
                 reading = math.nextafter(reading, math.inf)  # another start, so another reading
             before = Start(since_ms, reading)
         self.listed[worker] = before
         return before.reading
 
-    def derived(self, since_ms: float, oldest: float) -> float:
+    def derive_reading(self, since_ms: float, oldest: float) -> float:
         """Work out a start that is new here: the latest that a wall clock seen of late makes possible."""
         now = self.deadlines.now()
         readings = [since_ms - (offset - self.deadlines.offset) for offset in self.offsets]
         latest = max((reading for reading in readings if reading <= now), default=now)
         # Guards rule 4 where a clock elsewhere was stepped: what the list has just told cannot be old.
-        return now if now - latest > oldest + LEARNED_WITHIN else latest
+        return now if now - latest > oldest + MAX_LISTING_DELAY_MS else latest
 
-    def written(self, clock: SharedClock) -> dict[str, tuple[float, float]]:
+    def encode(self, clock: SharedClock) -> dict[str, tuple[float, float]]:
         """Give the starts that another process would not derive alike, for the hand-over to it."""
         starts = (
             (name, start.since_ms, clock.encode_reading(start.reading)) for name, start in self.listed.items()
@@ -87,5 +87,5 @@
         start = self.listed.pop(worker, None)
         if start is not None:
             self.gone[worker] = start
-        if len(self.gone) > GONE_KEPT:
+        if len(self.gone) > MAX_GONE_STARTS:
             self.gone.popitem(last=False)
--- a/elderstall/upgrade/state_transfer.py
+++ b/elderstall/upgrade/state_transfer.py
@@ -6,7 +6,7 @@
 
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine
-from elderstall.engine.learned_transfer import read_learned, write_learned
+from elderstall.engine.learned_transfer import decode_learned, encode_learned
 from elderstall.interface import Endpoint
 from elderstall.net.discovery import Discovery, encode_list
 from elderstall.net.handover.process_state import ProcessState
@@ -24,7 +24,7 @@
         view, jobs, clock = self.engine.view, self.engine.jobs, self.deadlines.shared()
         return ProcessState(
             clock=clock,
-            starts=self.discovery.starts.written(clock),
+            starts=self.discovery.starts.encode(clock),
             endpoints=encode_list(self.discovery.index, view.entries.values(), self.discovery.addresses),
             discovery=discovery_address,
             banned={worker: clock.encode_reading(since) for worker, since in view.banned.items()},
@@ -34,7 +34,7 @@
             },
             request_ids=[*jobs.taken_by_other_process, *jobs.answered, *jobs.by_request_id],
             streamed=self.server.streamed(),
-            learned=write_learned(self.engine.decisions.learned(), view, clock),
+            learned=encode_learned(self.engine.decisions.learned(), view, clock),
             connections=len(self.server.connections),
         )
 
@@ -55,4 +55,4 @@
     def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
         """Read what the process that runs has learned, of the listed endpoints; changes it in place."""
         if state.learned is not None:
-            read_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
+            decode_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
--- a/elderstall/upgrade/upgrade.py
+++ b/elderstall/upgrade/upgrade.py
@@ -78,7 +78,7 @@
         """Put the parts together."""
         self.handover = handover
         handover.program = self
-        self.engine.jobs.on_taken = lambda request_id: handover.announce(RequestTaken(request_id))
+        self.engine.jobs.on_accepted = lambda request_id: handover.announce(RequestTaken(request_id))
         self.server.can_hand_over = lambda: handover.may_send_connection
         self.server.send_connection = self.send_connection
         self.server.take_back_connection = lambda descriptor, fields: self.adoption.adopt(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -25,13 +25,13 @@
 from elderstall.config import config_of
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine
-from elderstall.engine.job_transfer import CLOCK_SLACK, LEFT_UNKNOWN
+from elderstall.engine.job_transfer import CLOCK_TOLERANCE_MS, UNKNOWN_DEADLINE_BUDGET_MS
 from elderstall.interface import Endpoint, ListScope
 from elderstall.net import http
 from elderstall.net.discovery import encode_list
 from elderstall.net.handover.search import Offer
 from elderstall.net.monotonic_reactor import MonotonicReactor
-from elderstall.starts import GONE_KEPT, LEARNED_WITHIN, StartTimes
+from elderstall.starts import MAX_GONE_STARTS, MAX_LISTING_DELAY_MS, StartTimes
 from tests.loopback import CHUNKED, Loopback, address_of
 from tests.scenario import RULES, entry
 from tests.test_core import Client, One
@@ -146,14 +146,14 @@
         self.starts = StartTimes(self.deadlines)
 
     def age(self, worker: str, since_ms: float, oldest: float = float("inf")) -> float:
-        self.starts.look()
+        self.starts.check_wall_clock()
         reading = self.starts.reading(worker, since_ms, oldest)
         assert reading is not None
         return self.deadlines.now() - reading
 
     def test_with_no_step_they_are_the_lists_to_the_last_digit(self) -> None:
         for since_ms in (self.clocks.wall() - HOUR, self.clocks.wall() - 1_234.5678, 7.0):
-            self.starts.look()
+            self.starts.check_wall_clock()
             self.assertEqual(since_ms, self.starts.reading(f"w{since_ms}", since_ms))
         self.assertIsNone(self.starts.reading("w", None))
 
@@ -166,7 +166,7 @@
     def test_a_start_before_the_step_that_is_listed_after_it(self) -> None:
         for step in STEPS:
             with self.subTest(step):
-                self.starts.look()
+                self.starts.check_wall_clock()
                 since_ms = self.clocks.wall() - 1_000.0
                 self.clocks.off_by += step
                 self.assertAlmostEqual(1_000.0, self.age(f"w{step}", since_ms), 1)
@@ -176,7 +176,7 @@
             with self.subTest(step):
                 before = self.clocks.off_by
                 self.clocks.off_by = UNIX_AT_START + step
-                self.starts.look()
+                self.starts.check_wall_clock()
                 since_ms = self.clocks.clock.seconds() * 1000 + before - 3_000.0
                 self.assertTrue(-0.1 <= self.age(f"w{step}", since_ms) <= 3_000.1)
                 self.clocks.off_by = before
@@ -186,7 +186,9 @@
             since_ms = self.clocks.wall() + step
             self.assertEqual(0.0, self.age(f"w{step}", since_ms, oldest=2_000.0))
         self.assertAlmostEqual(
-            LEARNED_WITHIN, self.age("late", self.clocks.wall() - LEARNED_WITHIN, oldest=2_000.0), 1
+            MAX_LISTING_DELAY_MS,
+            self.age("late", self.clocks.wall() - MAX_LISTING_DELAY_MS, oldest=2_000.0),
+            1,
         )
 
     def test_an_entry_read_again_keeps_its_start_through_any_step(self) -> None:
@@ -194,7 +196,7 @@
         first = self.starts.reading("w1", since_ms)
         for step in (*STEPS, 100.0):  # as the last, a drift
             self.clocks.off_by += step
-            self.starts.look()
+            self.starts.check_wall_clock()
             self.assertEqual(first, self.starts.reading("w1", since_ms, 0.0))
             self.starts.drop("w1")  # and comes back as it was
             self.assertEqual(first, self.starts.reading("w1", since_ms, 0.0))
@@ -205,10 +207,10 @@
         self.assertNotEqual(first, second)
 
     def test_what_is_kept_of_workers_that_are_gone_is_bounded(self) -> None:
-        for n in range(GONE_KEPT + 100):
+        for n in range(MAX_GONE_STARTS + 100):
             self.starts.reading(f"w{n}", 7.0)
             self.starts.drop(f"w{n}")
-        self.assertEqual((0, GONE_KEPT), (len(self.starts.listed), len(self.starts.gone)))
+        self.assertEqual((0, MAX_GONE_STARTS), (len(self.starts.listed), len(self.starts.gone)))
 
 
 class Joining(Loopback):
@@ -457,9 +459,9 @@
                 del state["clock"]
                 engine.import_job(engine.decode_transfer(state), None, client)
                 self.assertEqual([], client.answers)
-                self.clock.advance((LEFT_UNKNOWN + 8) / 1000)
+                self.clock.advance((UNKNOWN_DEADLINE_BUDGET_MS + 8) / 1000)
                 self.assertEqual(1, len(client.answers))
-        self.assertLess(LEFT_UNKNOWN + 8, CLOCK_SLACK)
+        self.assertLess(UNKNOWN_DEADLINE_BUDGET_MS + 8, CLOCK_TOLERANCE_MS)
 
 
 class Process(Program):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -91,7 +91,9 @@
     """One job, and a module that the test speaks for."""
 
     def setUp(self) -> None:
-        self.clock, self.carrier, self.client = Clock(), AttemptTransport(), Client()
+        self.clock = Clock()
+        self.carrier = AttemptTransport()
+        self.client = Client()
         deadlines = Deadlines(self.clock, self.clock.seconds, 0.0)
         log = Log(deadlines.now)
         log.print = lambda now, code, text: None  # type: ignore[method-assign]
@@ -103,7 +105,8 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append(event)
-        actions, self.asked = self.asked, []
+        actions = self.asked
+        self.asked = []
         return actions
 
     def job(self, job_class: str) -> int:
@@ -191,7 +194,7 @@
         self.carrier.sent[0][1].callback(None)
         self.clock.advance(0.31)
         self.ask(SendAttempt(job, "v"))
-        self.engine.client_left(job)
+        self.engine.client_disconnected(job)
         ends = [e for e in self.events if isinstance(e, AttemptEnded) and e.number == 1]
         self.assertEqual([("v", Ending.NEVER_SENT, True)], [(e.worker, e.ending, e.final) for e in ends])
         self.carrier.recalls[0].callback(True)
@@ -287,7 +290,7 @@
         self.engine.attempts.worker_ended(live, Outcome(Ending.FULL))
         other, events = self.next_process(number)
         self.assertEqual([None], [e.ran_on for e in events if isinstance(e, JobTakenOver)])
-        self.assertEqual({"w"}, other.jobs.by_request_id["a1"].handed_back)
+        self.assertEqual({"w"}, other.jobs.by_request_id["a1"].returned_by)
 
     def test_with_its_client_gone_its_worker_is_told(self) -> None:
         number = self.job("unsafe")
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -10,7 +10,7 @@
 import unittest
 from typing import Any
 
-from elderstall.engine.rules import HELD_UP
+from elderstall.engine.rules import MAX_PROCESS_PAUSE_MS
 from elderstall.net import http
 from elderstall.recovery.listing import RETRY_MOST, ListCalls
 from tests.loopback import Loopback, Side
@@ -264,7 +264,7 @@
                 side.send(self.job("a1", "deck-build"))
                 self.until(lambda: bool(self.held))
                 self.tell(42, w1="draining")
-                self.jump(within - HELD_UP + 1)
+                self.jump(within - MAX_PROCESS_PAUSE_MS + 1)
                 self.let_up()
                 self.nothing()
 
@@ -275,7 +275,7 @@
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
         self.tell(42, w1="draining")
-        self.jump(440 - HELD_UP - 1)
+        self.jump(440 - MAX_PROCESS_PAUSE_MS - 1)
         self.let_up()
         self.take("POST a1")
 
@@ -288,7 +288,7 @@
         self.held = []
         worker.sock.close()  # it may have run
         self.until(lambda: bool(self.held))
-        self.wait(KEYED["memory_span"] - HELD_UP - 100 + 1)  # type: ignore[operator]
+        self.wait(KEYED["memory_span"] - MAX_PROCESS_PAUSE_MS - 100 + 1)  # type: ignore[operator]
         self.let_up()
         self.nothing()
         self.wait(5_000)
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -23,7 +23,7 @@
     Settings,
     Started,
 )
-from elderstall.settings import settings_of
+from elderstall.settings import parse_settings
 
 CLASSES = (JobClass("build", 3.0, 300.0, 5_000.0, stretch=1.75),)
 
@@ -97,9 +97,9 @@
             "balancers": 2,
             "load_report": {"fields": ["x0"], "source": "pull"},
         }
-        self.assertTrue(settings_of(raw).reports_only_when_polled)
+        self.assertTrue(parse_settings(raw).reports_only_when_polled)
         raw["load_report"] = {"fields": ["x0"], "source": "piggyback"}
-        self.assertFalse(settings_of(raw).reports_only_when_polled)
+        self.assertFalse(parse_settings(raw).reports_only_when_polled)
 
 
 if __name__ == "__main__":
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -11,10 +11,10 @@
 from elderstall.net import http
 from tests.loopback import Loopback, Side
 
-COUNTED_MOST = 3_000.0  # ms that the longest deadline counts for
-GRACE = 700.0  # ms that SIGKILL comes later than that, and for which jobs are taken as always
-STEP = 50.0  # ms between requests of one client
-HELD_UP = 150.0  # ms for which the process may be held up
+MAX_COUNTED_DEADLINE_MS = 3_000.0  # ms that the longest deadline counts for
+SERVING_PERIOD_MS = 700.0  # ms that SIGKILL comes later than that, and for which jobs are taken as always
+REQUEST_INTERVAL_MS = 50.0  # ms between requests of one client
+PROCESS_PAUSE_MS = 150.0  # ms for which the process may be held up
 
 
 @dataclass
@@ -43,7 +43,7 @@
         ]
         self.begin(workers=2, classes=classes)
         self.deadline = deadline
-        self.kill_at = min(deadline, COUNTED_MOST) + GRACE
+        self.kill_at = min(deadline, MAX_COUNTED_DEADLINE_MS) + SERVING_PERIOD_MS
         self.asked: list[Asked] = []
         self.count = 0
 
@@ -83,10 +83,10 @@
             self.send(client)
         self.app.sigterm()
         self.collect(serve)
-        while self.since_term() < self.kill_at - STEP and not self.loop.stopped:
-            self.wait(STEP)
-            if held_up and self.kill_at - self.since_term() < 2 * HELD_UP:
-                self.jump(HELD_UP)  # once, just before the end
+        while self.since_term() < self.kill_at - REQUEST_INTERVAL_MS and not self.loop.stopped:
+            self.wait(REQUEST_INTERVAL_MS)
+            if held_up and self.kill_at - self.since_term() < 2 * PROCESS_PAUSE_MS:
+                self.jump(PROCESS_PAUSE_MS)  # once, just before the end
                 self.turn()
                 held_up = False
             self.collect(serve)
@@ -95,7 +95,12 @@
                 own = [a for a in self.asked if a.client is client]
                 begins = bool(own) or n * self.kill_at / len(clients) < self.since_term()
                 out = own and not own[-1].answered
-                if begins and not out and not client.ended and self.since_term() < self.kill_at - STEP:
+                if (
+                    begins
+                    and not out
+                    and not client.ended
+                    and self.since_term() < self.kill_at - REQUEST_INTERVAL_MS
+                ):
                     self.send(client)
             self.turn()
         self.collect(serve)
@@ -110,11 +115,11 @@
                 for held_up in (False, True):
                     with self.subTest(deadline=deadline, serve=serve, held_up=held_up):
                         self.play(deadline, serve, held_up)
-                        if deadline <= COUNTED_MOST:
+                        if deadline <= MAX_COUNTED_DEADLINE_MS:
                             self.assertEqual([], self.unanswered(0.0))
                         # A job of the first 0.7 s keeps a deadline that lies behind the earliest SIGKILL.
-                        self.assertEqual([], self.unanswered(GRACE + 1))
-                        self.assertGreater(len([a for a in self.asked if a.at > GRACE]), 1)
+                        self.assertEqual([], self.unanswered(SERVING_PERIOD_MS + 1))
+                        self.assertGreater(len([a for a in self.asked if a.at > SERVING_PERIOD_MS]), 1)
 
     def test_request_that_comes_late_on_an_open_connection_is_answered(self) -> None:
         """One just before the earliest SIGKILL, on a connection that had no request before."""
@@ -127,11 +132,11 @@
                 self.take("POST j1").send(http.response(202))
                 self.turn()
                 self.app.sigterm()
-                self.wait(self.kill_at - HELD_UP - 60)
+                self.wait(self.kill_at - PROCESS_PAUSE_MS - 60)
                 late.read()
                 if not late.ended and not self.loop.stopped:
                     self.send(late)
-                    self.jump(HELD_UP)
+                    self.jump(PROCESS_PAUSE_MS)
                     self.turn()
                     self.assertEqual(503, self.answer(late).status)
                     self.assertLessEqual(self.since_term(), self.kill_at)
