--- a/elderstall/__init__.py
+++ b/elderstall/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a dispatcher that pushes jobs to workers."""
+"""A job dispatcher that pushes jobs to workers."""
 
 from elderstall.decisions import Dispatcher
 
--- a/elderstall/__main__.py
+++ b/elderstall/__main__.py
@@ -1,19 +1,19 @@
-"""The command line's door: a dispatcher by itself, or one of the tools."""
+"""Entry point of the command line: runs the dispatcher or one of the tools."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-DISPATCHER_COMMANDS = ("run", "check")  # the arguments that ``cli/run.py`` knows
+DISPATCHER_COMMANDS = ("run", "check")  # commands of ``cli/run.py``
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command given; without one, a dispatcher."""
+    """Run the given command, or the dispatcher if there is none; return the exit status."""
     arguments = sys.argv[1:] if argv is None else argv
     if not arguments or arguments[0].startswith("-") or arguments[0] in DISPATCHER_COMMANDS:
-        # A dispatcher loads none of the tools, nor their libraries: its start and memory are the platform's.
-        # What is to be read anew has not been read yet: SIGHUP would end a program that is still starting.
+        # The tools and their libraries are not imported here, as they would cost the dispatcher start-up time
+        # and memory. SIGHUP is ignored until the settings are read: it would end a starting process.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         from elderstall.cli.run import main as run_dispatcher
 
--- a/elderstall/atomic_file.py
+++ b/elderstall/atomic_file.py
@@ -1,8 +1,8 @@
-"""Files that are whole or not there: what tools write is either the former content or the new one.
+"""Atomic writes of the tools' files: a file has either its previous content or the new one.
 
-The text goes to a temporary file in the same folder, is synced, and takes the place by a rename. Whatever
-fails on the way leaves the former file as it was and no temporary one; a process that is killed in between
-may leave a hidden ``.tmp`` file. No part of the dispatcher itself, which keeps nothing on a disk.
+The data is written to a temporary file in the same directory, synced, and renamed over the target. After any
+failure the previous file is unchanged and the temporary one removed; a process that is killed meanwhile may
+leave a hidden ``.tmp`` file. The dispatcher itself stores nothing on disk and does not use this module.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 import os
 from pathlib import Path
 
-FILE_MODE = 0o666  # less the process's mask
+FILE_MODE = 0o666  # reduced by the process's umask
 
 
 def write_text_atomically(path: str | Path, text: str) -> None:
-    """Write a text in UTF-8; see ``write_bytes_atomically``."""
+    """Write a text as UTF-8; see ``write_bytes_atomically``."""
     write_bytes_atomically(path, text.encode("utf-8"))
 
 
 def write_bytes_atomically(path: str | Path, data: bytes) -> None:
-    """Replace a file, or make it; an OSError names the file that was to be written.
+    """Replace or create a file; raises OSError naming the target file.
 
-    What is no regular file, such as a terminal or a pipe, has no content to keep and is written to directly.
+    A target that is not a regular file, such as a terminal or a pipe, is written to directly, as it has no
+    content to preserve.
     """
-    target = Path(os.path.realpath(path))  # a link stays one
+    target = Path(os.path.realpath(path))  # a symbolic link is kept
     try:
         if target.exists() and not target.is_file():
             target.write_bytes(data)
@@ -36,14 +37,14 @@
 
 
 def replace_file(target: Path, data: bytes) -> None:
-    """Write a temporary file beside the target, and rename it."""
+    """Write a temporary file beside the target and rename it over the target."""
     temporary = target.with_name(f".{target.name}.{os.getpid()}.tmp")
     try:
         write_synced(temporary, data)
         if target.exists():
             temporary.chmod(target.stat().st_mode & 0o7777)
         temporary.replace(target)
-    except BaseException:  # also where the command is interrupted
+    except BaseException:  # including KeyboardInterrupt
         with contextlib.suppress(OSError):
             temporary.unlink()
         raise
@@ -51,7 +52,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Write a file, and return once its content is on the disk."""
+    """Write a file and sync its content to the disk."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
     try:
         remaining = memoryview(data)
@@ -63,7 +64,7 @@
 
 
 def sync_directory(directory: Path) -> None:
-    """Have the new name on the disk too; some file systems know no sync of a folder."""
+    """Sync a directory's entries to the disk, unless the file system does not support it."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/elderstall/clocks.py
+++ b/elderstall/clocks.py
@@ -1,8 +1,8 @@
-"""The wall clock beside the monotonic one, and readings that another process can use.
+"""Offset of the wall clock from the monotonic clock, and clock readings for another process.
 
-The wall clock may be stepped by any amount at any time. Deadlines, windows and ages are kept as readings of
-`Deadlines.now`, which only the monotonic clock moves. The wall clock is read where a time comes from another
-machine, and for what is sent to a process that understands nothing else.
+The wall clock may be stepped by any amount at any time. Deadlines, windows and ages are therefore readings of
+`Deadlines.now`, which follows the monotonic clock alone. The wall clock is read only for times from other
+machines, and for messages to a process that understands no other times.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-READING_TOLERANCE_MS = 5.0  # ms between two readings of clocks, and of drift, that are not worth following
-MAX_READINGS = 5  # readings, of which the tightest counts: the process may be held up between two clocks
-SHARED_CLOCK_VERSION = 1  # of the form in which readings are sent to the other process of an upgrade
+READING_TOLERANCE_MS = 5.0  # smaller errors of measurement and drifts are ignored
+MAX_READINGS = 5  # the tightest is used: the process may pause between reading two clocks
+SHARED_CLOCK_VERSION = 1  # version of the encoding for the peer process of an upgrade
 
 
 def wall_offset(seconds: Callable[[], float], unix_ms: Callable[[], float], known: float) -> float:
-    """Measure how far the wall clock is ahead of the monotonic one, ms; ``known`` where that still holds."""
+    """Return the wall clock's lead over the monotonic clock in ms, or ``known`` if that is still accurate."""
     best = known
     narrowest = float("inf")
     for _ in range(MAX_READINGS):
@@ -34,16 +34,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SharedClock:
-    """How readings are written for, and read from, the other process of an upgrade.
+    """Codec of clock readings that are exchanged with the peer process of an upgrade.
 
-    Both read the same monotonic clock, and each adds an offset of its own. What is sent is the monotonic
-    clock plus ``offset_ms``, the sender's offset, which goes with it. A process of an earlier version ignores
-    the offset, and takes what is sent for readings of its own: so the offset is the wall clock's at the
-    moment, which is what such a process has measured at its start.
+    Both processes read the same monotonic clock and each adds its own offset. A reading is sent as the
+    monotonic clock plus ``offset_ms``, the sender's offset, which is sent too. A process of an earlier
+    version ignores the offset and takes the readings for its own. Therefore the current offset of the wall
+    clock is sent, which such a process has measured at its start.
     """
 
-    offset_ms: float | None  # None: the sender is of an earlier version and does not say
-    local_offset_ms: float  # what this process adds
+    offset_ms: float | None  # None: the sender is of an earlier version, which sends none
+    local_offset_ms: float  # added by this process
 
     @property
     def has_sender_offset(self) -> bool:
@@ -52,24 +52,24 @@
 
     @property
     def shift(self) -> float:
-        """What is added to this process's readings to give those that are sent."""
+        """Difference in ms between readings as sent and this process's own."""
         return 0.0 if self.offset_ms is None else self.offset_ms - self.local_offset_ms
 
     def encode_reading(self, reading: float) -> float:
-        """Give a reading of this process's clock as it is sent."""
+        """Convert a reading of this process's clock to the form that is sent."""
         return reading + self.shift
 
     def decode_reading(self, reading: float) -> float:
-        """Give a reading that was sent as one of this process's clock."""
+        """Convert a received reading to one of this process's clock."""
         return reading - self.shift
 
     def encode(self) -> dict[str, float]:
-        """Write the offset for a message."""
+        """Return the offset as part of a message."""
         return {"version": SHARED_CLOCK_VERSION, "offset_ms": self.offset_ms or 0.0}
 
     @classmethod
     def of_message(cls, message: dict[str, Any], local_offset_ms: float) -> SharedClock:
-        """Take the offset from a message; none where it comes from a process that does not send it."""
+        """Return the clock of a message; without an offset if the sender does not send one."""
         clock = message.get("clock") or {}
         is_known_version = clock.get("version") == SHARED_CLOCK_VERSION
         return cls(float(clock["offset_ms"]) if is_known_version else None, local_offset_ms)
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -55,9 +55,8 @@
             self.figures.list_updated_at = now
         events: Sequence[Event] = self.view.update(now, scope, entries)
         if not events and self._call_pending:
-            events = [
-                EndpointListUpdate(ListScope.CHANGES)
-            ]  # discovery has answered, without a change that the decisions need
+            # Discovery has answered without a change; the decisions must learn that the call has ended.
+            events = [EndpointListUpdate(ListScope.CHANGES)]
         self._call_pending = False
         self.notify(events)
 
--- a/elderstall/settings.py
+++ b/elderstall/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a dispatcher, as the simulator and the program's configuration word them."""
+"""Parser of a dispatcher's settings, as given by the simulator and the configuration file."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def require_positive(value: Any, name: str) -> Any:
-    """Check a number that must be above zero."""
+    """Return a number that is positive and finite; raises ValueError otherwise."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
-        raise ValueError(f"{name}: {value!r} is no positive number")
+        raise ValueError(f"{name}: {value!r} is not a positive number")
     return value
 
 
 def read_flag(fields: Fields, name: str, default: bool = False) -> bool:
-    """Read a yes or no; what is neither is turned down, as a word like "no" would count for a yes."""
+    """Return a boolean field; raises ValueError for other types, as a string such as "no" is truthy."""
     value = fields.get(name)
     if value is not None and not isinstance(value, bool):
         raise ValueError(f"{name}: {value!r} is not true or false")
@@ -26,38 +26,42 @@
 
 
 def parse_settings(conf: Fields) -> Settings:
-    """Build the settings from the wire's; keys that are not known here are ignored."""
+    """Return the settings of a configuration; unknown keys are ignored."""
     rules = conf.get("rules") or {}
     limits = conf.get("limits") or {}
     extras = conf.get("specifics") or {}
     fees = conf.get("fees") or {}
     kinds = conf.get("skus") or []
-    fields = (conf.get("load_report") or {}).get("fields") or []
-    bound = extras.get("class_kind") or []
+    report_fields = (conf.get("load_report") or {}).get("fields") or []
+    class_kinds = extras.get("class_kind") or []
     stretches = extras.get("class_stretch") or []
     classes = []
-    for n, c in enumerate(conf["classes"]):
-        kind = bound[n] if n < len(bound) else -1
-        stretch = stretches[n] if n < len(stretches) else c.get("aim_stretch") or 0.0
+    for index, raw_class in enumerate(conf["classes"]):
+        kind_index = class_kinds[index] if index < len(class_kinds) else -1
+        stretch = stretches[index] if index < len(stretches) else raw_class.get("aim_stretch") or 0.0
         classes.append(
             JobClass(
-                name=c["name"],
-                priority_weight=c["points"],
-                latency_objective=c["aim"],
-                deadline=require_positive(c["deadline"], "deadline"),
-                effect=Effect(c["effect"]),
-                scope=DeduplicationScope(c.get("key_scope") or "all"),
-                deduplication_window=c.get("memory_span") or 0.0,
+                name=raw_class["name"],
+                priority_weight=raw_class["points"],
+                latency_objective=raw_class["aim"],
+                deadline=require_positive(raw_class["deadline"], "deadline"),
+                effect=Effect(raw_class["effect"]),
+                scope=DeduplicationScope(raw_class.get("key_scope") or "all"),
+                deduplication_window=raw_class.get("memory_span") or 0.0,
                 stretch=stretch,
-                late_share=c.get("late_share") or 0.0,
-                kind=kinds[kind] if 0 <= kind < len(kinds) else None,
-                streamed=read_flag(c, "streamed"),
+                late_share=raw_class.get("late_share") or 0.0,
+                kind=kinds[kind_index] if 0 <= kind_index < len(kinds) else None,
+                streamed=read_flag(raw_class, "streamed"),
             )
         )
-    free = next((f for f in ("x0", "x1") if f in fields and extras.get(f"report_{f}") == "free slots"), None)
+    free_slots_field = next(
+        (f for f in ("x0", "x1") if f in report_fields and extras.get(f"report_{f}") == "free slots"), None
+    )
     return Settings(
         classes=tuple(classes),
-        tenants=tuple(Tenant(p["name"], p["quota_per_s"]) for p in conf.get("projects") or ()),
+        tenants=tuple(
+            Tenant(project["name"], project["quota_per_s"]) for project in conf.get("projects") or ()
+        ),
         dispatchers=conf["balancers"],
         rank=conf.get("rank") or 0,
         zone=conf.get("locality"),
@@ -69,13 +73,14 @@
         slow_start_duration=rules.get("cold") or 0.0,
         slow_start_multiple=rules.get("fall_multiple") or 3.0,
         slow_start_window=rules.get("overload_for") or 2_000.0,
-        stop_sending_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,  # none told: at once
+        # Not configured: at once, that is within a tick.
+        stop_sending_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,
         max_attempts=require_positive(limits.get("max_attempts", 1), "max_attempts"),
         cpu_us_per_s=limits.get("cpu_us_per_s") or 0.0,
         cpu_us_per_job=limits.get("cpu_us_per_request") or 0.0,
         connect_timeout=limits.get("connect_timeout") or 0.0,
         notifies_start=read_flag(extras, "tells_start"),
-        report_free_slots=fields.index(free) if free else None,
+        report_free_slots=report_fields.index(free_slots_field) if free_slots_field else None,
         tick=conf.get("tick") or 1.0,
         cross_zone_price=fees.get("cross_zone") or 0.0,
         fetch_price=fees.get("origin") or 0.0,
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -1,6 +1,6 @@
-"""The planned end: what was taken is answered, clients are let go, then the process ends.
+"""Graceful shutdown: answers accepted jobs, closes the clients' connections and ends the process.
 
-The platform kills a process some time after SIGTERM; all times here keep a margin to that.
+The platform sends SIGKILL some time after SIGTERM; all times here keep a margin to that.
 """
 
 from __future__ import annotations
@@ -16,25 +16,23 @@
 from elderstall.net.server.listener import Server
 from elderstall.upgrade import Upgrade
 
-SERVING_PERIOD_MS = 700.0  # ms after SIGTERM for which new jobs are taken as always
-MAX_COUNTED_DEADLINE_MS = (
-    3_000.0  # ms that the longest deadline counts for: SERVING_PERIOD_MS later the platform may kill
-)
-CLOSE_IDLE_AFTER_MS = (
-    2_000.0  # ms after SIGTERM: dispatchers end 3 s apart, and clients should find the next one
-)
-KILL_MARGIN_MS = 300.0  # ms before that by which all is answered, however busy the machine is
-CHECK_INTERVAL_MS = 50.0  # ms between looks whether all is answered
+SERVING_PERIOD_MS = 700.0  # after SIGTERM, new jobs are accepted as usual for this time
+# SIGKILL may follow SIGTERM after the longest deadline, counted up to this limit, plus SERVING_PERIOD_MS.
+MAX_COUNTED_DEADLINE_MS = 3_000.0
+# After SIGTERM. Dispatchers are stopped 3 s apart, and clients should reconnect to the next one before that.
+CLOSE_IDLE_AFTER_MS = 2_000.0
+KILL_MARGIN_MS = 300.0  # all jobs are answered this long before SIGKILL, for a busy machine
+CHECK_INTERVAL_MS = 50.0  # between checks whether all jobs are answered
 
 
 class Program(Protocol):
-    """What the planned end needs of the program around it."""
+    """The program, as far as the shutdown uses it."""
 
     port: Any  # the listening port; None until clients are accepted
 
 
 class Shutdown:
-    """Serves on for a while, lets clients go, and ends the process once nothing is owed."""
+    """Keeps serving for a while, closes idle clients, and ends the process once no work is left."""
 
     def __init__(
         self,
@@ -59,11 +57,13 @@
         self.earliest_end = 0.0
 
     def begin(self) -> None:
-        """Begin the planned end, unless it is under way."""
+        """Start the shutdown, unless it has started."""
         if self.begun:
             return
         self.begun = True
-        self.log.write("drain", f"{len(self.engine.jobs)} jobs are out")
+        self.log.write(
+            "drain", f"{len(self.engine.jobs)} jobs in progress; shutting down once they are answered"
+        )
         self.server.drain()
         longest = min(max(c.deadline for c in self.engine.classes.values()), MAX_COUNTED_DEADLINE_MS)
         all_answered_after = longest + SERVING_PERIOD_MS - KILL_MARGIN_MS
@@ -74,19 +74,19 @@
         self.check()
 
     def shorten_budgets(self) -> None:
-        """Take jobs for the time left only: one that comes now and is unanswered at SIGKILL is lost."""
+        """Limit the budgets of new jobs to the time left: a job unanswered at SIGKILL is lost."""
         self.server.shortened = True
 
     def check(self) -> None:
-        """End once nothing is owed and every client's connection is closed."""
+        """End the process once no work or client connection is left; else check again later."""
         if self.has_unfinished_work() or not self.is_input_drained():
             self.deadlines.after(CHECK_INTERVAL_MS, self.check)
             return
-        self.log.write("exit", "all that was taken is answered")
+        self.log.write("exit", "all accepted jobs are answered; exiting")
         self.finish()
 
     def has_unfinished_work(self) -> bool:
-        """Say whether an answer is due, or a connection is a client's or on its way to the next process."""
+        """Return whether jobs, client connections or hand-overs to the successor are unfinished."""
         handover = self.upgrade.handover
         return bool(
             len(self.engine.jobs)
@@ -98,10 +98,10 @@
         )
 
     def is_input_drained(self) -> bool:
-        """Say that nothing waits in the system that clients hold for taken, as far as can be seen.
+        """Return whether no connection or request waits unread in the kernel, as far as can be seen.
 
-        New connections keep coming for a while after SIGTERM. What lies in the listener's queue, or unread
-        on a connection, would be lost with this process; unless another one goes on with the listener.
+        New connections keep arriving for a while after SIGTERM. Those in the listener's queue, and unread
+        requests, would be lost with this process, unless a successor serves the same listener.
         """
         if self.program.port is None or self.upgrade.has_serving_successor:
             return True
--- a/elderstall/slots.py
+++ b/elderstall/slots.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots: a number is a slot and its generation, so a stale number finds nothing."""
+"""A table whose numbers combine a slot and its generation, so that a stale number finds nothing."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Slots(Generic[T]):
-    """Items by number; a freed slot is used again under the next generation."""
+    """Items by number; a freed slot is reused with the next generation."""
 
     def __init__(self, max_items: int = SLOT_MASK) -> None:
         self.max_items = min(max_items, SLOT_MASK)
@@ -27,11 +27,11 @@
 
     @property
     def full(self) -> bool:
-        """Whether no more items fit."""
+        """Whether the table is full."""
         return not self.free and len(self.items) >= self.max_items
 
     def add(self, item: T) -> int:
-        """Store an item and give its number."""
+        """Store an item and return its number; raises OverflowError if the table is full."""
         if self.free:
             slot = self.free.pop()
         elif len(self.items) < self.max_items:
@@ -45,14 +45,14 @@
         return self.generations[slot] << SLOT_BITS | slot
 
     def get(self, number: int) -> T | None:
-        """Give the item of a number, if it is still there."""
+        """Return the item of a number, or None if it was removed."""
         slot = number & SLOT_MASK
         if slot >= len(self.items) or self.generations[slot] != number >> SLOT_BITS:
             return None
         return self.items[slot]
 
     def remove(self, number: int) -> None:
-        """Free the slot of a number; a stale number does nothing."""
+        """Remove the item of a number; a stale number has no effect."""
         if self.get(number) is not None:
             slot = number & SLOT_MASK
             self.items[slot] = None
--- a/elderstall/starts.py
+++ b/elderstall/starts.py
@@ -1,9 +1,9 @@
-"""When workers started, as readings of the monotonic clock.
+"""Start times of workers, as readings of the monotonic clock.
 
-The list gives each start as Unix time, which says how old a worker is only as long as nobody steps a clock.
-Here a start is turned into a reading of `Deadlines.now` when it first arrives, and keeps it for as long as
-the list gives the same Unix time. A doubtful start is taken for a late one: its worker counts as cold, and at
-most as cold as one that starts now.
+The endpoint list has each start as Unix time, which shows a worker's age only until a clock is stepped. Here
+a start is converted to a reading of `Deadlines.now` when first listed, and keeps it as long as the list has
+the same Unix time. An uncertain start is taken for a late one: its worker counts as cold, but no colder than
+one that starts now.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from elderstall.clocks import SharedClock
 from elderstall.deadlines import Deadlines
 
-MAX_OFFSETS = 8  # of the wall clock, the latest last: entries may be stamped by any of them
-MAX_SLEW_MS = 500.0  # ms by which the wall clock drifts between two looks at it; more is a step
-MAX_GONE_STARTS = 4_096  # starts of workers that are listed no more, and may come back as they were
-MAX_LISTING_DELAY_MS = 10_000.0  # ms in which the list tells of a worker's start, at the latest
+MAX_OFFSETS = 8  # recent offsets of the wall clock: an entry may be stamped with any of them
+MAX_SLEW_MS = 500.0  # drift of the wall clock between two checks; more is a step
+MAX_GONE_STARTS = 4_096  # starts of unlisted workers, which may be listed again unchanged
+MAX_LISTING_DELAY_MS = 10_000.0  # until a started worker is listed, at the latest
 
 
 class Start(NamedTuple):
-    """A worker's start as the list gives it, Unix ms, and as a reading of the monotonic clock."""
+    """A worker's start as listed, Unix ms, and as a reading of the monotonic clock, ms."""
 
     since_ms: float
     reading: float
 
 
 class StartTimes:
-    """The starts of all listed workers, and of some that were listed."""
+    """Start times of all listed workers, and of some that were listed before."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
@@ -39,17 +39,17 @@
         self.offsets: deque[float] = deque([deadlines.offset], maxlen=MAX_OFFSETS)
 
     def check_wall_clock(self) -> None:
-        """Look whether the wall clock has been stepped since the last look."""
+        """Record the wall clock's offset, as a new one if the clock was stepped since the last check."""
         offset = self.deadlines.wall_offset(self.offsets[-1])
         same = [known for known in self.offsets if abs(offset - known) < MAX_SLEW_MS]
-        for known in same:  # the wall clock has drifted, or was set right again
+        for known in same:  # the wall clock has drifted, or was stepped back
             self.offsets.remove(known)
         self.offsets.append(offset)
 
     def reading(self, worker: str, since_ms: float | None, oldest: float = math.inf) -> float | None:
-        """Give when a worker started; at most ``oldest`` ms ago, apart from how late the list tells of it.
+        """Return when a worker started, at most ``oldest`` plus ``MAX_LISTING_DELAY_MS`` ago if new.
 
-        None where the list gives no start, as it is long past.
+        Returns None if the list has no start, as it is long past.
         """
         if since_ms is None:
             return None
@@ -57,33 +57,34 @@
         if before is None or before.since_ms != since_ms:
             reading = self.derive_reading(since_ms, oldest)
             if before is not None and reading == before.reading:
-                reading = math.nextafter(reading, math.inf)  # another start, so another reading
+                reading = math.nextafter(reading, math.inf)  # a different start needs a different reading
             before = Start(since_ms, reading)
         self.listed[worker] = before
         return before.reading
 
     def derive_reading(self, since_ms: float, oldest: float) -> float:
-        """Work out a start that is new here: the latest that a wall clock seen of late makes possible."""
+        """Return the reading of a new start: the latest past one that a recent offset allows, else now."""
         now = self.deadlines.now()
         readings = [since_ms - (offset - self.deadlines.offset) for offset in self.offsets]
         latest = max((reading for reading in readings if reading <= now), default=now)
-        # Guards rule 4 where a clock elsewhere was stepped: what the list has just told cannot be old.
+        # A start that is older than the list allows comes from a machine whose clock was stepped. It counts
+        # as now, so that the worker is sent no more than a cold one may get (rule 4).
         return now if now - latest > oldest + MAX_LISTING_DELAY_MS else latest
 
     def encode(self, clock: SharedClock) -> dict[str, tuple[float, float]]:
-        """Give the starts that another process would not derive alike, for the hand-over to it."""
+        """Return the starts that the successor would not derive by itself, for the hand-over."""
         starts = (
             (name, start.since_ms, clock.encode_reading(start.reading)) for name, start in self.listed.items()
         )
         return {name: (since_ms, reading) for name, since_ms, reading in starts if reading != since_ms}
 
     def inherit(self, starts: Mapping[str, Sequence[float]], clock: SharedClock) -> None:
-        """Take starts as the process that hands over had them."""
+        """Adopt the starts of the process that hands over."""
         for name, (since_ms, reading) in starts.items():
             self.listed[name] = Start(float(since_ms), clock.decode_reading(float(reading)))
 
     def drop(self, worker: str) -> None:
-        """Note that a worker is listed no more."""
+        """Handle the removal of a worker from the list; its start is retained for a while."""
         start = self.listed.pop(worker, None)
         if start is not None:
             self.gone[worker] = start
