--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -1,4 +1,4 @@
-"""Files that tools write: whole or not there, whatever the disk answers and whenever the writer is ended."""
+"""The tools' files are written atomically, even if a system call fails or the writer is interrupted."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from elderstall.simulation.serve import Stage
 from tests.test_simulation_script import TEXT
 
-FORMER, NEW = "former\n", "new " * 1_000
-STEPS = ("open", "write", "fsync", "replace")  # each comes before the new content is in place
+PREVIOUS, NEW = "former\n", "new " * 1_000
+STEPS = ("open", "write", "fsync", "replace")  # each precedes or is the rename
 
 
-def failing(monkeypatch: pytest.MonkeyPatch, step: str, error: BaseException, after: int = 0) -> None:
-    """Have a system call fail from its call number ``after`` on."""
+def make_fail(monkeypatch: pytest.MonkeyPatch, step: str, error: BaseException, after: int = 0) -> None:
+    """Make a system call fail after its first ``after`` calls."""
     call: Callable[..., Any] = getattr(os, step)
     calls: list[Any] = []
 
@@ -43,8 +43,8 @@
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EDQUOT, errno.EROFS])
 @pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize("former", [FORMER, None])
-def test_a_failed_step_leaves_what_was_there_and_nothing_else(
+@pytest.mark.parametrize("former", [PREVIOUS, None])
+def test_a_failed_step_keeps_the_previous_file_and_leaves_no_other(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str, number: int, former: str | None
 ) -> None:
     path = tmp_path / "report.html"
@@ -52,7 +52,7 @@
         path.write_text(former)
     before = open_descriptors()
     with monkeypatch.context() as patch:
-        failing(patch, step, OSError(number, os.strerror(number)))
+        make_fail(patch, step, OSError(number, os.strerror(number)))
         with pytest.raises(OSError, match=r"report\.html") as raised:
             write_text_atomically(path, NEW)
     assert (raised.value.errno, raised.value.filename) == (number, str(path))
@@ -60,20 +60,20 @@
     assert os.listdir(tmp_path) == ([path.name] if former is not None else [])
     if former is not None:
         assert path.read_text() == former
-    write_text_atomically(path, NEW)  # once the disk is well again
+    write_text_atomically(path, NEW)  # once the system call works again
     assert path.read_text() == NEW
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_an_interrupt_before_the_rename_leaves_what_was_there(
+def test_an_interrupt_before_the_rename_keeps_the_previous_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     path = tmp_path / "figures.json"
-    path.write_text(FORMER)
-    failing(monkeypatch, step, KeyboardInterrupt())
+    path.write_text(PREVIOUS)
+    make_fail(monkeypatch, step, KeyboardInterrupt())
     with pytest.raises(KeyboardInterrupt):
         write_text_atomically(path, NEW)
-    assert (os.listdir(tmp_path), path.read_text()) == ([path.name], FORMER)
+    assert (os.listdir(tmp_path), path.read_text()) == ([path.name], PREVIOUS)
 
 
 KILLED = """
@@ -85,16 +85,16 @@
 
 
 @pytest.mark.parametrize("step", ["fsync", "replace"])
-def test_a_process_killed_before_the_rename_leaves_no_half_file(tmp_path: Path, step: str) -> None:
+def test_a_process_killed_before_the_rename_leaves_no_partial_file(tmp_path: Path, step: str) -> None:
     path = tmp_path / "figures.json"
-    path.write_text(FORMER)
+    path.write_text(PREVIOUS)
     done = subprocess.run([sys.executable, "-c", KILLED.format(step=step), str(path)], check=False)
     assert done.returncode == -9
-    assert path.read_text() == FORMER
+    assert path.read_text() == PREVIOUS
     assert [name for name in os.listdir(tmp_path) if not name.startswith(".")] == [path.name]
 
 
-def test_short_writes_are_gone_on_with(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_short_writes_are_continued(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     write = os.write
     monkeypatch.setattr(os, "write", lambda fd, data: write(fd, data[:7]))
     write_bytes_atomically(tmp_path / "a", b"0123456789" * 3)
@@ -107,16 +107,16 @@
     steps: list[str] = []
     fsync, replace = os.fsync, os.replace
 
-    def note_fsync(fd: int) -> None:
+    def record_fsync(fd: int) -> None:
         steps.append("fsync folder" if os.path.isdir(f"/proc/self/fd/{fd}") else "fsync file")
         fsync(fd)
 
-    def note_replace(old: Path, new: Path) -> None:
+    def record_replace(old: Path, new: Path) -> None:
         steps.append("replace")
         replace(old, new)
 
-    monkeypatch.setattr(os, "fsync", note_fsync)
-    monkeypatch.setattr(os, "replace", note_replace)
+    monkeypatch.setattr(os, "fsync", record_fsync)
+    monkeypatch.setattr(os, "replace", record_replace)
     write_text_atomically(tmp_path / "a", NEW)
     assert steps == ["fsync file", "replace", "fsync folder"]
 
@@ -124,11 +124,11 @@
 @pytest.mark.parametrize(
     "number,fails", [(errno.EIO, True), (errno.ENOSPC, True), (errno.EINVAL, False), (errno.ENOTSUP, False)]
 )
-def test_a_failed_sync_of_the_folder_is_said_and_the_file_is_whole(
+def test_a_failed_sync_of_the_directory_is_raised_and_the_file_is_complete(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int, fails: bool
 ) -> None:
     path = tmp_path / "a"
-    failing(monkeypatch, "fsync", OSError(number, os.strerror(number)), after=1)
+    make_fail(monkeypatch, "fsync", OSError(number, os.strerror(number)), after=1)
     if fails:
         with pytest.raises(OSError, match=os.strerror(number)):
             write_text_atomically(path, NEW)
@@ -139,7 +139,7 @@
 
 def test_modes_links_and_devices_are_kept(tmp_path: Path) -> None:
     path, link = tmp_path / "a", tmp_path / "link"
-    path.write_text(FORMER)
+    path.write_text(PREVIOUS)
     path.chmod(0o640)
     link.symlink_to(path)
     write_text_atomically(link, NEW)
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("command", ["figures", "report", "comparison"])
 @pytest.mark.parametrize("step", ["fsync", "replace"])
-def test_a_command_whose_file_cannot_be_written_says_so_and_fails(
+def test_a_command_that_cannot_write_its_file_prints_an_error_and_fails(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capfd: pytest.CaptureFixture[str],
@@ -170,27 +170,27 @@
     command: str,
 ) -> None:
     words = commands(tmp_path)[command]
-    failing(monkeypatch, step, OSError(errno.ENOSPC, os.strerror(errno.ENOSPC)))
+    make_fail(monkeypatch, step, OSError(errno.ENOSPC, os.strerror(errno.ENOSPC)))
     assert group.main(words) == output.FAILED
     assert f"elderstall: {tmp_path / 'out'}: No space left on device" in capfd.readouterr().err
     assert os.listdir(tmp_path) == ["night.conf"]
 
 
-def test_a_configuration_that_cannot_be_written_is_an_error_and_leaves_the_former_one(
+def test_a_configuration_that_cannot_be_written_is_an_error_and_the_previous_one_is_kept(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     stage: Any = SimpleNamespace(callers=[SimpleNamespace(rank=0)], platform=lambda caller: {"name": NEW})
-    (tmp_path / "n1.json").write_text(FORMER)
+    (tmp_path / "n1.json").write_text(PREVIOUS)
     write = os.write
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda fd, data: write(fd, data[:100]))  # so it fails half-way
-        failing(patch, "write", OSError(errno.EIO, os.strerror(errno.EIO)), after=1)
+        make_fail(patch, "write", OSError(errno.EIO, os.strerror(errno.EIO)), after=1)
         with pytest.raises(OSError, match=r"n1\.json"):
             Stage.write(stage, tmp_path)
-    assert (os.listdir(tmp_path), (tmp_path / "n1.json").read_text()) == (["n1.json"], FORMER)
+    assert (os.listdir(tmp_path), (tmp_path / "n1.json").read_text()) == (["n1.json"], PREVIOUS)
     assert [json.loads(path.read_text()) for path in Stage.write(stage, tmp_path)] == [{"name": NEW}]
 
 
-def test_a_dispatchers_start_imports_none_of_it() -> None:
+def test_the_dispatcher_does_not_import_the_module() -> None:
     code = "import sys, elderstall.cli.run; sys.exit('elderstall.atomic_file' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,6 +1,6 @@
-"""The wall clock is stepped, by seconds or an hour, either way; the monotonic clock runs on.
+"""Behaviour while the wall clock is stepped forwards or backwards; the monotonic clock is not affected.
 
-The clocks are handed in. At the end the program itself runs through steps, as a process.
+Most tests pass in simulated clocks; the last ones run the program as a process whose wall clock is stepped.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from elderstall.starts import MAX_GONE_STARTS, MAX_LISTING_DELAY_MS, StartTimes
 from tests.loopback import CHUNKED, Loopback, address_of
 from tests.scenario import RULES, entry
-from tests.test_core import Client, One
+from tests.test_core import Client, EngineCase
 from tests.test_program import PATIENCE, ROOT, Line, Peer, Program
 
 HOUR = 3_600_000.0  # ms
@@ -45,30 +45,30 @@
 
 
 class Clocks:
-    """A monotonic clock that the test moves, and a wall clock that it steps beside."""
+    """A simulated monotonic clock, and a wall clock that the test steps."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.clock.advance(1_000.0)
-        self.off_by = UNIX_AT_START  # of the wall clock, ms
+        self.wall_offset_ms = UNIX_AT_START  # offset of the wall clock, ms
 
     def wall(self) -> float:
-        return self.clock.seconds() * 1000 + self.off_by
+        return self.clock.seconds() * 1000 + self.wall_offset_ms
 
     def deadlines(self) -> Deadlines:
-        """Give what a process has that starts now."""
+        """Return the deadlines of a process that starts now."""
         deadlines = Deadlines(self.clock, self.clock.seconds, self.wall())
         deadlines.unix = self.wall
         return deadlines
 
 
-class Timers(unittest.TestCase):
+class ReactorTimers(unittest.TestCase):
     """The reactor's delayed calls."""
 
     def setUp(self) -> None:
         self.reactor = MonotonicReactor()  # type: ignore[no-untyped-call]
         self.addCleanup(self.reactor.removeAll)
-        self.off_by, self.monotonic = 0.0, 1_000.0
+        self.wall_offset_ms, self.monotonic = 0.0, 1_000.0
         for patched in (
             mock.patch.object(ReactorBase, "seconds", staticmethod(self.wall)),
             mock.patch("twisted.internet.base.runtimeSeconds", self.wall),
@@ -78,9 +78,9 @@
             self.addCleanup(patched.stop)
 
     def wall(self) -> float:
-        return self.monotonic + self.off_by
+        return self.monotonic + self.wall_offset_ms
 
-    def test_they_are_kept_by_the_monotonic_clock_alone(self) -> None:
+    def test_they_use_the_monotonic_clock_alone(self) -> None:
         def no_wall_clock() -> float:
             raise AssertionError("the wall clock was read")
 
@@ -102,16 +102,16 @@
         self.assertEqual(["now"], fired)
 
     def stepped_clock(self) -> Any:
-        """Have the reactor read the test's clock."""
+        """Patch the reactor to read the test's clock."""
         return mock.patch.object(MonotonicReactor, "seconds", side_effect=self.clock)
 
-    def test_a_step_neither_fires_them_early_nor_holds_them_up(self) -> None:
+    def test_a_step_neither_fires_nor_delays_them(self) -> None:
         for step in (3_600.0, -3_600.0, -5.0):
             with self.subTest(step), self.stepped_clock():
                 fired: list[str] = []
                 self.reactor.callLater(1, fired.append, "in a second")
                 hour = self.reactor.callLater(3_600, fired.append, "in an hour")
-                self.off_by += step
+                self.wall_offset_ms += step
                 self.reactor.runUntilCurrent()
                 self.assertEqual([], fired)
                 self.assertAlmostEqual(1.0, self.reactor.timeout() or 0.0)
@@ -124,7 +124,7 @@
         return self.monotonic
 
     def test_the_wall_clock_is_read_in_two_places(self) -> None:
-        """What else is read from it would follow its steps."""
+        """Any other reader of it would follow its steps."""
         reading = {
             str(path.relative_to(ROOT))
             for path in (ROOT / "elderstall").rglob("*.py")
@@ -132,13 +132,13 @@
         }
         self.assertEqual({"elderstall/deadlines.py", "elderstall/cli/simulate.py"}, reading)
 
-    def test_a_process_held_up_between_its_clocks_sees_no_step(self) -> None:
+    def test_a_process_paused_between_reading_its_clocks_sees_no_step(self) -> None:
         held = iter([0.0, 0.15, 1.0, 1.0])
         self.assertEqual(500.0, wall_offset(lambda: next(held), lambda: 1_500.0, 500.0))
 
 
 class Starts(unittest.TestCase):
-    """When a worker started, by the list's Unix time and a wall clock that is stepped."""
+    """Start times of workers, from the list's Unix time while the wall clock is stepped."""
 
     def setUp(self) -> None:
         self.clocks = Clocks()
@@ -151,7 +151,7 @@
         assert reading is not None
         return self.deadlines.now() - reading
 
-    def test_with_no_step_they_are_the_lists_to_the_last_digit(self) -> None:
+    def test_without_a_step_they_equal_the_listed_ones_exactly(self) -> None:
         for since_ms in (self.clocks.wall() - HOUR, self.clocks.wall() - 1_234.5678, 7.0):
             self.starts.check_wall_clock()
             self.assertEqual(since_ms, self.starts.reading(f"w{since_ms}", since_ms))
@@ -160,7 +160,7 @@
     def test_a_start_after_the_step(self) -> None:
         for step in STEPS:
             with self.subTest(step):
-                self.clocks.off_by += step
+                self.clocks.wall_offset_ms += step
                 self.assertAlmostEqual(2_000.0, self.age(f"w{step}", self.clocks.wall() - 2_000.0), 1)
 
     def test_a_start_before_the_step_that_is_listed_after_it(self) -> None:
@@ -168,20 +168,20 @@
             with self.subTest(step):
                 self.starts.check_wall_clock()
                 since_ms = self.clocks.wall() - 1_000.0
-                self.clocks.off_by += step
+                self.clocks.wall_offset_ms += step
                 self.assertAlmostEqual(1_000.0, self.age(f"w{step}", since_ms), 1)
 
     def test_a_step_of_this_machine_alone(self) -> None:
         for step in STEPS:
             with self.subTest(step):
-                before = self.clocks.off_by
-                self.clocks.off_by = UNIX_AT_START + step
+                before = self.clocks.wall_offset_ms
+                self.clocks.wall_offset_ms = UNIX_AT_START + step
                 self.starts.check_wall_clock()
                 since_ms = self.clocks.clock.seconds() * 1000 + before - 3_000.0
                 self.assertTrue(-0.1 <= self.age(f"w{step}", since_ms) <= 3_000.1)
-                self.clocks.off_by = before
+                self.clocks.wall_offset_ms = before
 
-    def test_a_step_elsewhere_alone_leaves_what_a_live_watch_tells_young(self) -> None:
+    def test_after_a_step_elsewhere_a_start_from_a_live_watch_counts_as_recent(self) -> None:
         for step in (HOUR, -HOUR):
             since_ms = self.clocks.wall() + step
             self.assertEqual(0.0, self.age(f"w{step}", since_ms, oldest=2_000.0))
@@ -191,14 +191,14 @@
             1,
         )
 
-    def test_an_entry_read_again_keeps_its_start_through_any_step(self) -> None:
+    def test_an_entry_listed_again_keeps_its_start_through_any_step(self) -> None:
         since_ms = self.clocks.wall() - 4_000.0
         first = self.starts.reading("w1", since_ms)
-        for step in (*STEPS, 100.0):  # as the last, a drift
-            self.clocks.off_by += step
+        for step in (*STEPS, 100.0):  # the last one is a drift
+            self.clocks.wall_offset_ms += step
             self.starts.check_wall_clock()
             self.assertEqual(first, self.starts.reading("w1", since_ms, 0.0))
-            self.starts.drop("w1")  # and comes back as it was
+            self.starts.drop("w1")  # and is listed again unchanged
             self.assertEqual(first, self.starts.reading("w1", since_ms, 0.0))
 
     def test_another_start_is_another_reading_even_where_both_are_now(self) -> None:
@@ -206,7 +206,7 @@
         second = self.starts.reading("w1", self.clocks.wall() + HOUR + 1)
         self.assertNotEqual(first, second)
 
-    def test_what_is_kept_of_workers_that_are_gone_is_bounded(self) -> None:
+    def test_the_number_of_retained_starts_of_gone_workers_is_bounded(self) -> None:
         for n in range(MAX_GONE_STARTS + 100):
             self.starts.reading(f"w{n}", 7.0)
             self.starts.drop(f"w{n}")
@@ -214,18 +214,18 @@
 
 
 class Joining(Loopback):
-    """A worker joins after a step: its slow start lasts as long as the settings say."""
+    """A worker that joins after a step is in slow start as long as the settings say."""
 
     def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
         super().begin(workers, progress, folder, **more)
-        self.off_by = 0.0
+        self.wall_offset_ms = 0.0
         self.app.deadlines.unix = self.wall
 
     def wall(self) -> float:
-        return self.app.deadlines.now() + self.off_by
+        return self.app.deadlines.now() + self.wall_offset_ms
 
     def list_starts(self, index: int, whole: bool = False, **since: float) -> None:
-        """Tell workers with their starts, Unix ms."""
+        """Send a list of workers with their starts, Unix ms."""
         side = self.watches[-1]
         head = b"" if side.message.status else http.head_of("HTTP/1.1 200 OK", CHUNKED)
         side.message.status = 200
@@ -241,13 +241,13 @@
         module.context.now = self.app.deadlines.now()
         return module.slow_start.binds(module.endpoints.workers[worker])
 
-    def test_it_is_cold_for_the_settings_span_and_no_longer(self) -> None:
+    def test_it_is_in_slow_start_for_the_configured_duration_and_no_longer(self) -> None:
         span = RULES["cold"] + RULES["overload_for"]
         for step in (HOUR, -QUARTER, -5_000.0, 5_000.0):
             with self.subTest(step):
                 self.begin(workers=2)
                 self.list_starts(42, whole=True, w1=0)
-                self.off_by = step
+                self.wall_offset_ms = step
                 self.list_starts(43, w2=self.wall())
                 self.assertTrue(self.cold("w2"))
                 self.jump(span - 100)
@@ -263,7 +263,7 @@
             self.app.engine.decisions.endpoints.workers["w2"].started,
             self.app.workers.addresses["w2"],
         )
-        self.off_by = -QUARTER
+        self.wall_offset_ms = -QUARTER
         self.watches[-1].sock.close()
         count = len(self.asked_lists())
         self.until(lambda: self.wait(50) or len(self.asked_lists()) > count)  # type: ignore[func-returns-value]
@@ -271,14 +271,14 @@
         self.assertEqual(started, self.app.engine.decisions.endpoints.workers["w2"].started)
         self.assertIs(place, self.app.workers.addresses["w2"])
 
-    def test_a_ban_lifted_after_a_step(self) -> None:
-        """Starts and bans are compared: a step back had a new process pass for one of before the ban."""
+    def test_a_ban_that_ends_after_a_step(self) -> None:
+        """Starts are compared with bans: a step back could make a new process look older than the ban."""
         self.begin()
         self.list_starts(42, whole=True, w1=0)
         self.app.engine.endpoints.ban("w1")
         self.jump(1_000.0)
-        self.off_by = -QUARTER
-        self.list_starts(43, w1=self.wall())  # started anew while banned
+        self.wall_offset_ms = -QUARTER
+        self.list_starts(43, w1=self.wall())  # restarted while banned
         self.jump(500.0)
         self.app.engine.endpoints.end_ban("w1")
         started = self.app.engine.decisions.endpoints.workers["w1"].started
@@ -286,16 +286,16 @@
 
 
 class HandingOver(Loopback):
-    """Two processes of one dispatcher whose offsets differ, as the clock was stepped between their starts."""
+    """Hand-over between processes whose offsets differ, as the clock was stepped between their starts."""
 
-    def after(self, step: float, of_before: bool = False) -> App:
-        """Have a next process start after a step, with what the first one hands over."""
+    def after(self, step: float, earlier_version: bool = False) -> App:
+        """Start a successor after a step, with the state that the first process hands over."""
         first = self.app
-        self.off_by = step
-        first.deadlines.unix = lambda: first.deadlines.now() + self.off_by
+        self.wall_offset_ms = step
+        first.deadlines.unix = lambda: first.deadlines.now() + self.wall_offset_ms
         offer = first.upgrade.make_offer()
         state = offer.state
-        if of_before:
+        if earlier_version:
             del state["clock"], state["starts"]
         next_app = App(config_of(self.raw, {}), self.loop)
         next_app.deadlines.seconds = self.loop.clock.seconds
@@ -332,7 +332,7 @@
         worker.backoff_until, worker.peak_slots = now + 10, 7
         self.app.engine.decisions.endpoints.workers["w3"].peak_slots = 9
 
-    def test_bans_starts_and_what_was_learned(self) -> None:
+    def test_bans_starts_and_learned_state(self) -> None:
         for step in (0.0, *STEPS):
             with self.subTest(step):
                 self.prepare()
@@ -362,9 +362,9 @@
                     1,
                 )
 
-    def test_with_no_step_a_process_of_the_version_before_is_understood(self) -> None:
+    def test_without_a_step_the_state_of_an_earlier_version_is_understood(self) -> None:
         self.prepare()
-        new = self.after(0.0, of_before=True)
+        new = self.after(0.0, earlier_version=True)
         self.assertEqual(self.app.engine.view.banned, new.engine.view.banned)
         self.assertEqual(self.app.engine.view.ended_bans, new.engine.view.ended_bans)
         for name in ("w1", "w3"):
@@ -377,8 +377,8 @@
                 (now.started, now.peak_slots, now.warm_up_sends),
             )
 
-    def test_a_process_of_the_version_before_understands_what_it_is_sent(self) -> None:
-        """It takes all readings for Unix time by its own, as its clock was when it started: just now."""
+    def test_an_earlier_version_understands_the_state_that_it_is_sent(self) -> None:
+        """It takes all readings for Unix time by its own clock, which it read at its start, just now."""
         self.prepare()
         old = self.app.deadlines
         for step in (0.0, *STEPS):
@@ -393,29 +393,29 @@
             self.assertEqual(state["back"]["w3"][1], learned["w3"]["started"])
             self.assertAlmostEqual(old.now() + step, state["back"]["w3"][1], 1)
 
-    def test_the_list_is_written_with_the_starts_that_it_came_with(self) -> None:
+    def test_the_list_is_encoded_with_its_original_starts(self) -> None:
         entries = [Endpoint("w1", started=500.0, since_ms=7.0), Endpoint("w2", started=9.0), Endpoint("w3")]
         told = encode_list(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
         self.assertEqual([7.0, 9.0, 0], [e["since_ms"] for e in told["endpoints"]])
 
 
-class MovingJobs(One):
-    """A job moves to a process whose clock readings differ, after a step."""
+class JobTransfers(EngineCase):
+    """A job is transferred to a process whose clock readings differ, after a step."""
 
-    def next_core(self, step: float) -> Engine:
+    def next_engine(self, step: float) -> Engine:
         old = self.engine.deadlines
         old.unix = lambda: old.now() + step
         deadlines = Deadlines(self.clock, self.clock.seconds, old.now() + step)
-        engine = Engine(self.engine.settings, 1, deadlines, self.carrier, self.engine.log)
+        engine = Engine(self.engine.settings, 1, deadlines, self.transport, self.engine.log)
         engine.endpoints.take(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
         engine.decisions.handle = lambda now, event: []  # type: ignore[method-assign]
         return engine
 
     def moved(self, step: float, **changes: Any) -> tuple[dict[str, Any], Engine, Client]:
-        """Release a job 300 ms after its arrival, and have the next process adopt it."""
+        """Release a job 300 ms after its arrival and import it into the successor."""
         number = self.job("safe")
         self.clock.advance(0.3)
-        engine = self.next_core(step)
+        engine = self.next_engine(step)
         transfer = self.engine.export_job(number)
         assert transfer is not None
         state = self.engine.encode_transfer(transfer)
@@ -425,7 +425,7 @@
         engine.import_job(engine.decode_transfer(told), None, client)
         return state, engine, client
 
-    def test_it_keeps_the_time_that_it_has_left(self) -> None:
+    def test_it_keeps_its_remaining_time(self) -> None:
         for step in (0.0, *STEPS):
             with self.subTest(step):
                 self.setUp()
@@ -433,26 +433,28 @@
                 job = engine.jobs.by_request_id["a1"]
                 self.assertAlmostEqual(1_700.0, job.deadline - engine.deadlines.now(), 1)
                 self.assertAlmostEqual(300.0, engine.deadlines.now() - job.arrived, 1)
-                # As a process of the version before reads it, which takes it for a reading of its own:
+                # An earlier version takes the value for a reading of its own clock:
                 self.assertAlmostEqual(engine.deadlines.now() - 300.0, state["arrived"], 1)
                 self.clock.advance(1.65)
                 self.assertEqual([], client.answers)
                 self.clock.advance(0.1)
                 self.assertEqual(1, len(client.answers))
 
-    def test_with_no_step_one_of_the_version_before_is_understood(self) -> None:
+    def test_without_a_step_a_job_of_an_earlier_version_is_understood(self) -> None:
         _, engine, _ = self.moved(0.0, clock="left out")
         self.assertAlmostEqual(1_700.0, engine.jobs.by_request_id["a1"].deadline - engine.deadlines.now(), 1)
 
-    def test_one_of_the_version_before_with_a_step_still_has_its_answer_in_time(self) -> None:
-        """Its time left is not known: it is answered before it could be lost."""
+    def test_a_job_of_an_earlier_version_is_answered_in_time_despite_a_step(self) -> None:
+        """Its deadline is unknown; it is answered before it could be lost."""
         for step in (HOUR, -HOUR, -5_000.0):
             with self.subTest(step):
                 self.setUp()
                 number = self.job("safe")
                 self.clock.advance(0.3)
-                engine, client = self.next_core(step), Client()
-                self.engine.deadlines.unix = self.engine.deadlines.now  # it knows of no step
+                engine, client = self.next_engine(step), Client()
+                self.engine.deadlines.unix = (
+                    self.engine.deadlines.now
+                )  # an earlier version does not notice the step
                 transfer = self.engine.export_job(number)
                 assert transfer is not None
                 state = self.engine.encode_transfer(transfer)
@@ -465,7 +467,7 @@
 
 
 class Process(Program):
-    """The program itself, its wall clock stepped while it runs."""
+    """The program as a process whose wall clock is stepped while it runs."""
 
     command = ("-m", "tests.stepped_program")
 
@@ -475,10 +477,10 @@
 
     def watch(self, line: Line) -> None:
         self.watched.release()
-        super().watch(line)  # one line, and then silence
+        super().watch(line)  # sends one line, then nothing
 
     def begin_stepped(self, step: float, budget: int = 15_000) -> Line:
-        """Start the program with a job out, and step its clock."""
+        """Start the program with a job in progress, and step its clock."""
         self.file_of_step = Path(self.enterContext(tempfile.TemporaryDirectory()), "step")
         os.environ["STEP_FILE"] = str(self.file_of_step)
         self.addCleanup(os.environ.pop, "STEP_FILE", None)
@@ -502,7 +504,7 @@
                 self.setUp()
                 test(step)
 
-    def test_deadlines_hold_and_a_job_that_is_out_is_answered(self) -> None:
+    def test_deadlines_hold_and_a_job_in_progress_is_answered(self) -> None:
         def stepped(step: float) -> None:
             line = self.begin_stepped(step)
             self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
@@ -529,10 +531,10 @@
 
         self.for_each_step(stepped)
 
-    def test_a_watch_that_falls_silent_is_opened_anew_also_where_sighup_has_moved_it(self) -> None:
+    def test_a_silent_watch_is_reopened_even_if_sighup_has_changed_its_address(self) -> None:
         def stepped(step: float) -> None:
             line = self.begin_stepped(step)
-            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the first has said one line only
+            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the first watch sends one line only
             moved = threading.Semaphore(0)
 
             def silent(there: Line) -> None:
@@ -544,7 +546,7 @@
             self.addCleanup(other.close)
             self.file.write_text(json.dumps({**self.raw, "discovery": other.address}))
             self.program.send_signal(signal.SIGHUP)
-            for _ in range(2):  # a call, and the second beside it
+            for _ in range(2):  # a call, and a second one in parallel
                 self.assertTrue(moved.acquire(timeout=PATIENCE))
             self.call_back("held")
             self.assertEqual(b"deck held", line.read().body)
@@ -578,7 +580,7 @@
             self.stepped_by, self.second = step, Peer(work)
             self.addCleanup(self.second.close)
             self.discovery.serve = watch
-            line = self.begin_stepped(step)  # its job holds the one worker there is
+            line = self.begin_stepped(step)  # its job occupies the only worker
             joined.set()
             more = [self.connect() for _ in range(4)]
             for n, other in enumerate(more):
@@ -607,13 +609,13 @@
         self.for_each_step(stepped)
 
     def upgraded(self, step: float, budget: int) -> Line:
-        """Have a next process take over, after the step, from one with a job out."""
+        """Start a successor after the step, which takes over from a process with a job in progress."""
         held = self.begin_stepped(step, budget)
-        os.environ["STEP_AT_START"] = str(step)  # the machine's clock is stepped for the next one too
+        os.environ["STEP_AT_START"] = str(step)  # the successor's clock is stepped too
         self.addCleanup(os.environ.pop, "STEP_AT_START", None)
         self.launch()
         while not any("it gets the connections" in call for call in self.calls):
             self.ask(http.request("GET", "/up", "x"))
         self.program.send_signal(signal.SIGTERM)
-        self.assertEqual(0, self.program.wait(PATIENCE))  # its job has moved
+        self.assertEqual(0, self.program.wait(PATIENCE))  # its job was handed over
         return held
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The transition tables of jobs and attempts, and their copy in the page on the architecture."""
+"""The transition tables of jobs and attempts, and their copy in docs/architecture.md."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Tables(unittest.TestCase):
-    """What the tables allow."""
+    """Transitions that the tables allow."""
 
-    def test_they_are_printed_in_the_page_on_the_architecture(self) -> None:
+    def test_the_architecture_page_contains_them(self) -> None:
         page = PAGE.read_text()
         self.assertIn(as_markdown(JOB_TRANSITIONS), page)
         self.assertIn(as_markdown(ATTEMPT_TRANSITIONS), page)
 
-    def test_every_state_and_event_stands_in_them(self) -> None:
+    def test_they_contain_every_state_and_event(self) -> None:
         for transitions, states, events in (
             (JOB_TRANSITIONS, JobState, JobEvent),
             (ATTEMPT_TRANSITIONS, AttemptState, AttemptEvent),
@@ -36,7 +36,7 @@
             self.assertEqual(set(states), {state for state, _ in transitions} | set(transitions.values()))
             self.assertEqual(set(events), {event for _, event in transitions})
 
-    def test_what_is_closed_or_ended_stays_so(self) -> None:
+    def test_closed_and_ended_are_final(self) -> None:
         for event in JobEvent:
             after = JOB_TRANSITIONS.get((JobState.CLOSED, event), JobState.CLOSED)
             self.assertIs(JobState.CLOSED, after)
@@ -45,11 +45,11 @@
             self.assertIs(AttemptState.ENDED, ended)
 
     def test_a_closed_job_is_not_closed_a_second_time(self) -> None:
-        """Guards its one final answer."""
+        """A second close would send a second final answer."""
         with self.assertRaises(IllegalTransitionError):
             next_state(JOB_TRANSITIONS, JobState.CLOSED, JobEvent.CLOSED)
 
-    def test_a_second_attempt_begins_only_where_none_is_in_flight_and_no_cancel_is_under_way(self) -> None:
+    def test_an_attempt_starts_only_if_none_is_in_flight_and_no_cancel_is_pending(self) -> None:
         allowed = {state for state, event in JOB_TRANSITIONS if event is JobEvent.FORWARDED}
         self.assertEqual({JobState.PENDING}, allowed)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules: each by name, and all under random legal event sequences."""
+"""The four rules of dispatching: each by itself, and all under random valid event sequences."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize("left", [0.0, 1.0, 7.0, 25.0])
-def test_rule1_a_job_that_comes_with_hardly_any_time_is_answered_at_once(left: float) -> None:
-    """Clients' repeats come with what is left of their time, down to nothing (lost on incident i35f002)."""
+def test_rule1_a_job_that_arrives_with_hardly_any_budget_is_answered(left: float) -> None:
+    """A client's retry has the rest of its budget, even none; such jobs were lost (incident i35f002)."""
     d = Driver(settings())
     d.arrive(1, SAFE, left=left)
     d.advance(1_000)
@@ -53,7 +53,7 @@
     assert FailJob(1) in d.actions
 
 
-def test_rule1_nothing_goes_out_after_the_client_left() -> None:
+def test_rule1_nothing_is_sent_after_the_client_disconnected() -> None:
     d = Driver(settings())
     d.arrive(1, SAFE)
     d.leave(1)
@@ -71,18 +71,18 @@
     assert FailJob(1) in d.end(d.outs()[0], Ending.ERROR)
 
 
-def test_rule2_keyed_goes_on_only_inside_its_cell() -> None:
+def test_rule2_keyed_is_retried_only_in_its_cell() -> None:
     d = Driver(settings())
     d.listed(fleet(6))
     d.arrive(1, KEYED)
     first = d.outs()[0].worker
     d.end(d.outs()[0], Ending.ERROR)
-    d.advance(600.0)  # the one worker that it may go to is skipped for a while
+    d.advance(600.0)  # the only worker that it may be sent to is in backoff
     assert d.listing[d.outs()[0].worker].cell == d.listing[first].cell
     assert d.jobs[1].sent == 2
 
 
-def test_rule2_keyed_is_not_sent_again_past_its_span() -> None:
+def test_rule2_keyed_is_not_sent_again_after_its_deduplication_window() -> None:
     d = Driver(settings())
     d.listed(fleet(6))
     d.arrive(1, KEYED)
@@ -93,7 +93,7 @@
     assert FailJob(1) in d.actions
 
 
-def test_rule2_keyed_everywhere_may_be_refused() -> None:
+def test_rule2_keyed_in_all_cells_may_be_rejected() -> None:
     d = Driver(settings(max_attempts=1))
     d.listed(fleet(2))
     d.arrive(1, KEYED_ALL)
@@ -119,25 +119,25 @@
     assert {a.worker for a in d.actions if isinstance(a, SendAttempt)} == {"k0"}
 
 
-def test_rule3_a_failing_list_is_asked_again_within_the_deemed_time() -> None:
+def test_rule3_a_failed_list_call_is_retried_within_half_the_poll_interval() -> None:
     d = Driver(settings(watches_list=True))
     d.listed(fleet(2))
-    asked = []
+    call_times = []
     d.tell(EndpointListUpdate(ListScope.FAILED))
     for _ in range(400):
         before = len(d.actions)
         d.advance(100.0)
         if any(isinstance(a, WatchEndpoints) for a in d.actions[before:]):
-            asked.append(d.now)
+            call_times.append(d.now)
             d.tell(EndpointListUpdate(ListScope.FAILED))
-    gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
-    assert len(asked) > 10
+    gaps = [b - a for a, b in zip(call_times, call_times[1:], strict=False)]
+    assert len(call_times) > 10
     assert max(gaps) <= d.s.poll_interval / 2
 
 
 @pytest.mark.parametrize("dispatchers", [1, 3])
 def test_rule4_all_dispatchers_together_keep_the_cold_budget(dispatchers: int) -> None:
-    """Every dispatcher floods one cold worker; the work in any window stays within the budget."""
+    """Every dispatcher has excess jobs for one cold worker; the work in a window stays within the budget."""
     s = settings(dispatchers=dispatchers)
     total = 0.0
     for rank in range(dispatchers):
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -1,7 +1,7 @@
-"""Ways to a second copy, on real sockets, the crossing forced: see docs/design/crossings.md.
+"""Races that could cause a duplicate execution, forced on real sockets: see docs/design/crossings.md.
 
-A second copy is an attempt whose last byte has come while an earlier one has neither ended nor been given up.
-To close a connection gives an attempt up only before the worker has written its 202.
+A duplicate execution is an attempt that arrives completely while an earlier one has neither ended nor been
+cancelled. Closing a connection cancels an attempt only before the worker has written its 202.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 from tests.loopback import Loopback, Side, reactor
 from tests.scenario import CLASSES, CLOSED
 
-WAITING = {"name": "thumbs", "points": 3, "aim": 3000, "deadline": 9000, "effect": "safe"}
-TAKEN = http.response(202)
+THUMBS_CLASS = {"name": "thumbs", "points": 3, "aim": 3000, "deadline": 9000, "effect": "safe"}
+ACCEPTED = http.response(202)
 
 
-class Copies(Loopback):
-    """One job, two workers, and what may go wrong between them."""
+class DuplicateExecutions(Loopback):
+    """One job, two workers, and messages that cross."""
 
     def begin(self, workers: int = 2, **more: Any) -> None:  # type: ignore[override]
-        super().begin(workers, classes=[*CLASSES, WAITING], **more)
+        super().begin(workers, classes=[*CLASSES, THUMBS_CLASS], **more)
 
-    def out(self, request_id: str = "a1", job_class: str = "thumbs") -> tuple[Side, Side]:
-        """Give a client and the worker's connection that its job came over."""
+    def send_job(self, request_id: str = "a1", job_class: str = "thumbs") -> tuple[Side, Side]:
+        """Send a job; return its client and the worker's connection that received it."""
         side = self.client()
         side.send(self.job(request_id, job_class))
         return side, self.take(f"POST {request_id}")
 
-    def kept(self, workers: int = 2) -> None:
-        """Have a connection kept to each worker: an attempt is then written in the turn that decides it."""
+    def open_idle_connections(self, workers: int = 2) -> None:
+        """Open an idle connection to each worker: an attempt is then written in the turn that decides it."""
         for n in range(3 * workers):
-            _, worker = self.out(f"k{n}")
-            worker.send(TAKEN)
+            _, worker = self.send_job(f"k{n}")
+            worker.send(ACCEPTED)
             self.turn()
             self.call_back(f"k{n}", worker=self.name(worker))
         self.turn()
@@ -45,88 +45,88 @@
         ports = [sock.getsockname()[1] for sock in self.listeners]
         return f"w{ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def at_most_one(self, first: Side, request_id: str = "a1", turns: int = 40) -> Side:
-        """See that the next attempt comes only when the first connection has ended; give the next one's."""
+    def next_attempt_after_close(self, first: Side, request_id: str = "a1", turns: int = 40) -> Side:
+        """Check that the next attempt arrives only after the first connection has ended; return its side."""
         for _ in range(turns):
             reactor.iterate(0)
             if f"POST {request_id}" in [name for name, _ in self.came()]:
                 first.read()
-                self.assertTrue(first.ended, "a second copy came while the first connection was open")
+                self.assertTrue(first.ended, "another attempt arrived while the first connection was open")
                 return self.take(f"POST {request_id}")
         return self.fail(f"no second attempt; {self.lines}")
 
-    def in_the_reactor(self, ms: float) -> None:
-        """Let time pass in the reactor's own turn, as it does in the program: timers first, sockets after."""
+    def advance_in_reactor(self, ms: float) -> None:
+        """Advance time within a turn of the reactor, as in the program: timers run before sockets."""
         reactor.callLater(0, self.jump, ms)
 
-    def served(self, side: Side, worker: Side, request_id: str = "a1") -> None:
-        worker.send(TAKEN)
+    def finish_job(self, side: Side, worker: Side, request_id: str = "a1") -> None:
+        worker.send(ACCEPTED)
         self.turn()
         self.call_back(request_id, worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
 
-    def given_up(self, first: Side, request_id: str = "a1") -> None:
-        """See that the worker is told to give the job up before it goes anywhere else."""
+    def confirm_cancel(self, first: Side, request_id: str = "a1") -> None:
+        """Check that the job is cancelled on the worker before it is sent again."""
         self.turn()
         self.assertNotIn(f"POST {request_id}", [name for name, _ in self.came()])
         asked = self.take(f"DELETE /jobs/{request_id}")
         self.assertEqual(self.name(first), self.name(asked))
         asked.send(http.response(200))
 
-    def in_time(self, request_id: str = "a1") -> Side:
-        """Wait until the module sends the job again."""
+    def next_attempt(self, request_id: str = "a1") -> Side:
+        """Wait until the job is sent again; return the connection."""
         for _ in range(200):
             if f"POST {request_id}" in [name for name, _ in self.came()]:
                 break
             self.wait(10)
         return self.take(f"POST {request_id}")
 
-    # ---- the worker's word and the end of our patience cross ----
+    # ---- the worker's answer crosses the attempt's timeout ----
 
-    def test_a_202_that_is_there_unread_when_patience_ends_counts(self) -> None:
+    def test_a_202_that_is_unread_at_the_timeout_counts(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN)
-        self.jump(260)  # the program was in another turn all that time
+        side, worker = self.send_job()
+        worker.send(ACCEPTED)
+        self.jump(260)  # the program was busy in another turn meanwhile
         self.wait(400)
         self.nothing()
         self.call_back("a1", worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
 
-    def test_half_a_202_when_patience_ends_has_the_worker_told_first(self) -> None:
+    def test_half_a_202_at_the_timeout_is_cancelled_before_a_retry(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN[:20])
+        side, worker = self.send_job()
+        worker.send(ACCEPTED[:20])
         self.wait(600)
-        self.given_up(worker)
-        self.served(side, self.take("POST a1"))
+        self.confirm_cancel(worker)
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_where_the_worker_that_began_an_answer_cannot_be_told_the_job_goes_nowhere_else(self) -> None:
+    def test_after_a_begun_answer_an_unconfirmed_cancel_prevents_a_retry(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN[:20])
+        side, worker = self.send_job()
+        worker.send(ACCEPTED[:20])
         self.wait(3_000)  # its DELETE is never answered
         self.assertEqual(503, self.answer(side).status)
         self.assertEqual(["DELETE /jobs/a1"], [name for name, _ in self.came()])
 
-    def test_a_worker_that_says_nothing_is_told_before_the_next_attempt(self) -> None:
-        """Its 202 may be on the way: to close the connection gave nothing up then."""
+    def test_a_silent_worker_is_sent_a_cancel_before_the_next_attempt(self) -> None:
+        """Its 202 may be on the way, so that closing the connection does not cancel the attempt."""
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         self.wait(255)
-        self.given_up(worker)
-        self.served(side, self.take("POST a1"))
+        self.confirm_cancel(worker)
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_one_that_does_not_answer_that_either_holds_the_job_up_for_a_moment_only(self) -> None:
+    def test_a_silent_worker_that_ignores_the_cancel_delays_the_job_only_briefly(self) -> None:
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         self.wait(255)
         self.assertEqual(["DELETE /jobs/a1"], [name for name, _ in self.came()])
         self.wait(120)
-        self.served(side, self.take("POST a1"))
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_patience_begins_when_the_job_is_written_not_when_its_connection_is_asked_for(self) -> None:
-        """Connections come up late: the 202 then met the end of a time that was nearly over."""
+    def test_the_timeout_starts_when_the_job_is_written_not_when_the_connection_is_opened(self) -> None:
+        """A slow connection would use up the timeout, and the 202 would arrive too late."""
         self.begin()
         self.held = []
         side = self.client()
@@ -136,29 +136,29 @@
         self.let_up()
         worker = self.take("POST a1")
         self.wait(200)
-        self.served(side, worker)
+        self.finish_job(side, worker)
         self.nothing()
 
-    def test_an_answer_that_cannot_be_read_has_the_worker_told_first(self) -> None:
-        """It may have been the 202."""
+    def test_an_unreadable_answer_is_cancelled_before_a_retry(self) -> None:
+        """The unreadable answer may have been a 202."""
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         worker.send(b"HTTP/1.1 202 Accepted\r\nno field\r\n\r\n")
-        self.given_up(worker)
-        self.served(side, self.take("POST a1"))
+        self.confirm_cancel(worker)
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_half_a_202_and_the_connections_end_have_the_worker_told_first(self) -> None:
+    def test_half_a_202_and_the_end_of_the_connection_are_cancelled_before_a_retry(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN[:20])
+        side, worker = self.send_job()
+        worker.send(ACCEPTED[:20])
         self.turn()
         worker.sock.shutdown(socket.SHUT_RDWR)
-        self.given_up(worker)
-        self.served(side, self.take("POST a1"))
+        self.confirm_cancel(worker)
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_a_reset_that_may_have_met_the_202_on_its_way_has_the_worker_told_first(self) -> None:
+    def test_a_reset_that_may_have_crossed_the_202_is_cancelled_before_a_retry(self) -> None:
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         name = self.name(worker)
         worker.sock.close()
@@ -167,29 +167,29 @@
         asked = self.take("DELETE /jobs/a1")
         self.assertEqual(name, self.name(asked))
         asked.send(http.response(404))  # it has no such job
-        self.served(side, self.take("POST a1"))
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_where_the_workers_process_is_gone_with_it_the_job_goes_on_at_once(self) -> None:
+    def test_if_the_workers_process_has_ended_the_job_is_retried_at_once(self) -> None:
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         number = int(self.name(worker)[1:]) - 1
         self.listeners[number].close()
         worker.sock.shutdown(socket.SHUT_RDWR)
         again = self.take_elsewhere(number)
-        again.send(TAKEN)
+        again.send(ACCEPTED)
         self.turn()
         self.call_back("a1", worker=f"w{2 - number}")
         self.assertEqual(200, self.answer(side).status)
 
     def take_elsewhere(self, gone: int) -> Side:
-        """Take the job at the other worker, with no time gone by."""
+        """Receive the job at the other worker, without advancing time."""
         del self.listeners[gone]
         return self.take("POST a1")
 
     def test_a_202_read_together_with_the_connections_end_counts(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN)
+        side, worker = self.send_job()
+        worker.send(ACCEPTED)
         worker.sock.shutdown(socket.SHUT_RDWR)
         self.wait(400)
         self.nothing()
@@ -198,98 +198,100 @@
 
     # ---- call-backs cross ----
 
-    def test_a_start_told_before_the_202_and_a_reset_have_the_worker_told_first(self) -> None:
+    def test_a_start_reported_before_the_202_and_a_reset_are_cancelled_before_a_retry(self) -> None:
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         self.call_back("a1", "started", self.name(worker))
         worker.sock.shutdown(socket.SHUT_RDWR)
-        self.given_up(worker)
-        self.served(side, self.take("POST a1"))
+        self.confirm_cancel(worker)
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_a_return_told_again_after_the_job_came_back_to_that_worker_ends_nothing_untold(self) -> None:
-        """Until a call is answered it is tried again, ten times: the repeat may meet the next attempt."""
+    def test_a_repeated_return_during_a_later_attempt_at_the_worker_cancels_that_attempt(self) -> None:
+        """An unanswered call-back is repeated up to ten times: one may arrive during the next attempt."""
         for early in (False, True):  # the call before the 202
             with self.subTest(early=early):
                 self.begin(workers=1)
-                side, worker = self.out()
-                for what in (None, TAKEN) if early else (TAKEN, None):
+                side, worker = self.send_job()
+                for what in (None, ACCEPTED) if early else (ACCEPTED, None):
                     if what is not None:
                         worker.send(what)
                         self.turn()
                     else:
                         self.call_back("a1", "returned")
-                self.in_time().send(TAKEN)
+                self.next_attempt().send(ACCEPTED)
                 self.turn()
                 self.call_back("a1", "returned")
-                self.given_up(worker)
-                self.served(side, self.in_time())
+                self.confirm_cancel(worker)
+                self.finish_job(side, self.next_attempt())
 
     # ---- what is closed, and when ----
 
     def test_the_next_attempt_is_not_written_before_the_silent_connection_is_closed(self) -> None:
-        """abortConnection closes in the reactor's next turn, and a kept connection is written to in this."""
+        """abortConnection closes in the reactor's next turn; an idle connection is written to in this one."""
         self.begin()
-        self.kept()
-        _, worker = self.out()
-        self.in_the_reactor(255)
+        self.open_idle_connections()
+        _, worker = self.send_job()
+        self.advance_in_reactor(255)
         self.turn(2)
         self.assertNotIn("POST a1", [name for name, _ in self.came()])
         worker.read()
         self.assertTrue(worker.ended)
 
-    def test_an_answer_that_may_be_the_second_of_an_earlier_job_closes_its_connection_first(self) -> None:
-        """Second answers come some milliseconds late: a 500 or 503 ended the job that had just gone out."""
+    def test_an_answer_that_may_be_the_second_of_an_earlier_job_closes_the_connection_and_is_cancelled(
+        self,
+    ) -> None:
+        """A second answer to an earlier job, 500 or 503, arrives late and could end the job just sent."""
         for status, more in ((500, ()), (503, (("X-Rejected", "1"),))):
             with self.subTest(status):
                 self.begin()
-                self.kept()
-                side, worker = self.out()
+                self.open_idle_connections()
+                side, worker = self.send_job()
                 worker.send(http.response(status, headers=more))
                 self.turn()
                 worker.read()
                 self.assertTrue(worker.ended)
-                self.given_up(worker)
-                self.served(side, self.take("POST a1"))
+                self.confirm_cancel(worker)
+                self.finish_job(side, self.take("POST a1"))
 
-    def test_on_the_front_for_streams_a_200_that_is_no_stream_may_be_one_too(self) -> None:
+    def test_on_the_streaming_listener_a_200_without_a_stream_may_be_such_an_answer(self) -> None:
         self.begin(progress=True)
-        self.kept()
-        side, worker = self.out()
+        self.open_idle_connections()
+        side, worker = self.send_job()
         worker.send(http.response(200, b"{}"))
-        self.given_up(worker)
-        self.served(side, self.take("POST a1"))
+        self.confirm_cancel(worker)
+        self.finish_job(side, self.take("POST a1"))
 
-    def test_one_with_this_jobs_own_behind_it_does_not_end_the_job(self) -> None:
-        for own in (TAKEN, TAKEN[:20]):
+    def test_such_an_answer_followed_by_this_jobs_own_does_not_end_the_job(self) -> None:
+        for own in (ACCEPTED, ACCEPTED[:20]):
             with self.subTest(own):
                 self.begin()
-                self.kept()
-                side, worker = self.out()
+                self.open_idle_connections()
+                side, worker = self.send_job()
                 worker.send(http.response(503, headers=(("X-Rejected", "1"),)) + own)
-                self.wait(600)  # nobody answers the DELETE, which has to be
+                self.wait(600)  # the DELETE must be confirmed and is not answered
                 self.assertEqual(["DELETE /jobs/a1"], [name for name, _ in self.came()])
-                self.given_up(worker)
-                self.served(side, self.take("POST a1"))
+                self.confirm_cancel(worker)
+                self.finish_job(side, self.take("POST a1"))
 
-    def test_where_it_can_only_be_this_jobs_the_connection_is_kept(self) -> None:
+    def test_an_answer_that_can_only_be_this_jobs_keeps_the_connection(self) -> None:
         self.begin()
-        side, worker = self.out()
+        side, worker = self.send_job()
         worker.send(http.response(503, headers=(("X-Rejected", "1"),)))
-        self.served(side, self.take("POST a1"))
+        self.finish_job(side, self.take("POST a1"))
         worker.read()
         self.assertFalse(worker.ended)
 
-    def test_a_client_that_leaves_as_the_202_comes_has_its_worker_told(self) -> None:
+    def test_a_client_that_disconnects_as_the_202_arrives_has_its_job_cancelled(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN)
+        side, worker = self.send_job()
+        worker.send(ACCEPTED)
         c = next(c for c in self.app.server.connections if c.job is not None)
         side.sock.close()
-        c.transport.connectionLost(CLOSED)  # the reactor comes to the client first
+        c.transport.connectionLost(CLOSED)  # the reactor handles the client first
         self.take("DELETE /jobs/a1")
 
-    def test_a_connection_on_its_way_to_the_process_before_carries_no_job_any_more(self) -> None:
-        """The worker was started anew, at another address: its list says so while the connection comes up."""
+    def test_a_connection_being_opened_to_a_previous_process_carries_no_job(self) -> None:
+        """The list shows the worker as gone, or at another address, while the connection is set up."""
         for change in ("gone", "moved"):
             with self.subTest(change):
                 self.begin()
@@ -308,10 +310,10 @@
                 self.let_up()
                 self.wait(100)
                 self.assertEqual([], [m for s in self.sides[:before] for m in s.messages])
-                self.served(side, self.in_time())
+                self.finish_job(side, self.next_attempt())
 
-    def test_a_job_whose_last_byte_was_not_written_in_time_goes_on_with_nobody_told(self) -> None:
-        """That it never ran is proven: the worker's machine takes no more of it."""
+    def test_a_job_that_was_not_written_completely_is_retried_without_a_cancel(self) -> None:
+        """It cannot have run, as the worker never received all of it."""
         self.begin()
         for sock in self.listeners:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
@@ -324,16 +326,16 @@
         self.came()
         self.held = None
         late.callback(connection)
-        for _ in range(60):  # it comes to nobody who reads
+        for _ in range(60):  # the worker does not read
             self.jump(10)
             for _ in range(3):
                 reactor.iterate(0)
         first = self.sides.pop()
-        self.served(side, self.take("POST a1"))
+        self.finish_job(side, self.take("POST a1"))
         first.sock.close()
         self.nothing()
 
-    def test_one_that_ends_as_it_comes_up_is_not_written_to_and_proves_that_nothing_ran(self) -> None:
+    def test_a_connection_that_ends_as_it_opens_is_not_written_to_and_the_job_never_ran(self) -> None:
         self.begin()
         self.held = []
         side = self.client()
@@ -342,40 +344,40 @@
         self.came()
         self.sides[-1].sock.shutdown(socket.SHUT_RDWR)
         self.let_up()
-        self.served(side, self.in_time())
+        self.finish_job(side, self.next_attempt())
 
-    # ---- settings under which no worker is told to give a job up ----
+    # ---- settings without cancels ----
 
-    def forbid(self) -> None:
-        """Take settings, amid the work, whose `limits.cancel` is false: another customer's."""
+    def disable_cancels(self) -> None:
+        """Reload settings with `limits.cancel` false while a job is in progress."""
         settings = self.raw["settings"]
         self.raw["settings"] = {**settings, "limits": {**settings["limits"], "cancel": False}}
         self.app.sighup()
         self.turn()
 
-    def test_there_a_job_that_a_worker_may_have_goes_nowhere_else(self) -> None:
+    def test_without_cancels_a_job_that_a_worker_may_have_is_not_retried(self) -> None:
         self.begin()
-        side, worker = self.out()
-        self.forbid()
-        worker.send(TAKEN[:20])
+        side, worker = self.send_job()
+        self.disable_cancels()
+        worker.send(ACCEPTED[:20])
         self.wait(600)
         self.assertEqual(503, self.answer(side).status)
         self.nothing()
 
-    def test_there_one_that_a_silent_worker_had_goes_on_once_its_connection_is_closed(self) -> None:
+    def test_without_cancels_a_silent_workers_job_is_retried_once_its_connection_is_closed(self) -> None:
         self.begin()
-        self.kept()
-        side, worker = self.out()
-        self.forbid()
+        self.open_idle_connections()
+        side, worker = self.send_job()
+        self.disable_cancels()
         self.jump(255)
-        self.served(side, self.at_most_one(worker))
+        self.finish_job(side, self.next_attempt_after_close(worker))
 
-    def test_there_a_client_that_leaves_has_no_worker_told(self) -> None:
+    def test_without_cancels_a_client_that_disconnects_causes_no_cancel(self) -> None:
         self.begin()
-        side, worker = self.out()
-        worker.send(TAKEN)
+        side, worker = self.send_job()
+        worker.send(ACCEPTED)
         self.turn()
-        self.forbid()
+        self.disable_cancels()
         side.sock.close()
         self.nothing()
         self.assertNotIn("a1", self.app.engine.jobs.by_request_id)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: what a running program takes on, and what it turns down."""
+"""Reload of the settings at SIGHUP: what a running program applies and what it rejects."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 LATE = {"name": "deck-late", "points": 3, "aim": 300, "deadline": 4000, "effect": "unsafe"}
 
 
-class Retunes(Scenario):
-    """Classes come and go while jobs are under way."""
+class Reloads(Scenario):
+    """Classes are added and removed while jobs are in progress."""
 
-    def retune(self, classes: list[dict[str, Any]], **limits: Any) -> None:
+    def reload_settings(self, classes: list[dict[str, Any]], **limits: Any) -> None:
         raw = copy.deepcopy(self.world.raw)
         raw["settings"]["classes"] = classes
         raw["settings"]["limits"].update(limits)
         self.world.raw = raw
         self.line("hup", "send", "")
 
-    def test_a_new_class_is_taken_and_one_that_is_gone_is_not(self) -> None:
+    def test_a_new_class_is_accepted_and_a_removed_one_is_not(self) -> None:
         self.play("""
             c send job a1 deck-late
             c expect 400
@@ -50,7 +50,7 @@
             w expect POST a2
             w send 202
         """)
-        self.retune([CLASSES[1], LATE])
+        self.reload_settings([CLASSES[1], LATE])
         self.play("""
             log expect reload classes are deck-build, deck-late; 5 attempts
             w send call done a2 hello
@@ -67,8 +67,8 @@
             o expect 200 handled.deck-late.bad_gateway=1
         """)
 
-    def test_jobs_under_way_keep_their_class(self) -> None:
-        """Guards jobs taken as safe, and those taken as not to be repeated, against each other's rule."""
+    def test_accepted_jobs_keep_their_class(self) -> None:
+        """A job is retried, or not, by the effect of its class when it was accepted."""
         self.play(
             """
             c send job a1 deck-fetch
@@ -81,7 +81,7 @@
             workers=3,
         )
         stricter, milder = ({**c, "effect": e} for c, e in zip(CLASSES, ("unsafe", "safe"), strict=True))
-        self.retune([stricter, milder])
+        self.reload_settings([stricter, milder])
         self.play("""
             w2 send call lost a2
             c2 expect 502
@@ -96,7 +96,7 @@
             c3 expect 502
         """)
 
-    def test_fewer_attempts_hold_for_jobs_under_way_too(self) -> None:
+    def test_a_lower_attempt_limit_applies_to_accepted_jobs(self) -> None:
         self.play(
             """
             c send job a1 deck-fetch
@@ -107,7 +107,7 @@
         """,
             workers=3,
         )
-        self.retune(CLASSES, max_attempts=2)
+        self.reload_settings(CLASSES, max_attempts=2)
         self.play("""
             w send call returned a1
             c expect 503
@@ -115,7 +115,7 @@
         """)
 
     def test_a_head_read_under_other_settings_is_checked_again(self) -> None:
-        """Guards against a class that is gone when the body comes: it was a KeyError, and a 500."""
+        """Its class may be gone when the body arrives: that raised KeyError and was answered with 500."""
         head = (
             "POST /deck-fetch HTTP/1.1\\r\\nHost: x\\r\\nX-Call-Id: a1\\r\\nX-Call-Class: deck-fetch"
             "\\r\\nX-Caller: norte\\r\\nX-Budget-Ms: 5000\\r\\nContent-Length: 4\\r\\n\\r\\n"
@@ -123,12 +123,12 @@
         self.play(f"""
             c send raw {head}
         """)
-        self.retune([CLASSES[1]])
+        self.reload_settings([CLASSES[1]])
         self.play("""
             c expect 400
         """)
 
-    def test_what_a_broken_file_says_is_not_taken_in_part(self) -> None:
+    def test_no_part_of_an_invalid_file_is_applied(self) -> None:
         self.begin()
         good = copy.deepcopy(self.world.raw)
         for key, value in (
@@ -143,7 +143,7 @@
             self.world.raw = copy.deepcopy(good)
             self.world.raw["discovery"] = "127.0.0.1:7"
             with self.subTest(key=key, value=value):
-                self.retune(classes)
+                self.reload_settings(classes)
                 self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.engine.classes))
         for name in ("probes", "cancel"):
             with self.subTest(name), self.assertRaisesRegex(ConfigError, name):
@@ -153,7 +153,7 @@
         for attempts in (0, -1, "3", None, 1e999):
             self.world.raw = copy.deepcopy(good)
             with self.subTest(attempts=attempts):
-                self.retune([LATE], max_attempts=attempts)
+                self.reload_settings([LATE], max_attempts=attempts)
                 self.assertEqual({"deck-fetch", "deck-build"}, set(self.world.app.engine.classes))
         self.assertEqual(
             (0, 11),
@@ -162,10 +162,12 @@
                 self.world.app.engine.counters.settings_load_errors,
             ),
         )
-        self.line("d", "expect", "watch 41")  # the one of the start: none at the faulty files' address
+        self.line(
+            "d", "expect", "watch 41"
+        )  # the watch of the start; the rejected files' address was not called
 
-    def test_a_file_that_lacks_a_key_of_the_one_in_use_is_turned_down_by_its_name(self) -> None:
-        """Guards against defaults and the environment: they filled the gaps of a file cut short."""
+    def test_a_file_that_lacks_a_key_in_use_is_rejected_naming_the_key(self) -> None:
+        """A truncated file must not be completed with defaults or the environment."""
         for path in (
             "discovery",
             "seed",
@@ -179,10 +181,10 @@
         ):
             self.begin()
             raw = copy.deepcopy(self.world.raw)
-            *way, last = path.split(".")
+            *parents, last = path.split(".")
             at: Any = raw
-            for word in way:
-                at = at[int(word)] if word.isdigit() else at[word]
+            for key in parents:
+                at = at[int(key)] if key.isdigit() else at[key]
             del at[last]
             self.world.raw = raw
             with self.subTest(path=path):
@@ -193,7 +195,7 @@
                     self.world.lines,
                 )
 
-    def test_a_file_with_what_json_does_not_know_is_no_file(self) -> None:
+    def test_a_file_with_invalid_json_is_rejected(self) -> None:
         with tempfile.NamedTemporaryFile("w") as file:
             raw = platform()
             raw["settings"]["classes"] = [{**CLASSES[0], "deadline": float("nan")}]
@@ -202,22 +204,22 @@
             with self.assertRaisesRegex(ConfigError, "RELAY_CONFIG: .*NaN"):
                 load(file.name, {})
 
-    def test_no_attempts_are_no_default(self) -> None:
+    def test_zero_attempts_are_not_replaced_by_the_default(self) -> None:
         with self.assertRaisesRegex(ConfigError, "max_attempts"):
             config_of(platform(limits={"max_attempts": 0}), {})
 
 
-class Module(unittest.TestCase):
-    """What the module keeps, and what it works out anew."""
+class DecisionState(unittest.TestCase):
+    """State that the decisions keep when the settings change, and state that they derive again."""
 
-    def settings(self, *worths: float, attempts: int = 3) -> Settings:
+    def settings(self, *weights: float, attempts: int = 3) -> Settings:
         classes = (
-            JobClass(f"c{n}", priority_weight=w, latency_objective=100.0, deadline=5_000.0)
-            for n, w in enumerate(worths)
+            JobClass(f"c{n}", priority_weight=weight, latency_objective=100.0, deadline=5_000.0)
+            for n, weight in enumerate(weights)
         )
         return Settings(tuple(classes), max_attempts=attempts)
 
-    def test_what_was_learned_is_kept_and_held_jobs_go_on(self) -> None:
+    def test_learned_state_is_kept_and_held_jobs_continue(self) -> None:
         d = Driver(self.settings(1.0, 10.0), 1)
         d.listed(tuple(Endpoint(f"w{n}", "k") for n in range(4)))
         module = d.dispatcher
@@ -237,8 +239,8 @@
             d.end(d.outs()[0], Ending.SERVED)
         self.assertEqual(0, sum(len([job for job in jobs if job.queued]) for jobs in module.queue.buckets))
 
-    def test_a_held_job_whose_attempts_are_spent_is_answered(self) -> None:
-        """Guards against one attempt too many: a held job is sent without another look at the limit."""
+    def test_a_held_job_at_the_new_attempt_limit_is_answered(self) -> None:
+        """A held job is sent without another check of the limit, which would be one attempt too many."""
         module = Dispatcher(self.settings(1.0), 1)
         module.handle(0.0, Started())
         module.handle(0.0, EndpointListUpdate(ListScope.WHOLE, (Endpoint("w0"),)))
@@ -248,8 +250,8 @@
         actions = module.handle(2.0, SettingsChanged(self.settings(1.0, attempts=1)))
         self.assertEqual([1], [a.job for a in actions if isinstance(a, RejectJob)])
 
-    def test_what_was_learned_goes_over_to_the_next_process(self) -> None:
-        """Guards jobs not to be repeated: a new process knew of no worker that fails jobs."""
+    def test_learned_state_is_handed_over_to_the_successor(self) -> None:
+        """Without the learned state, the successor would send non-idempotent jobs to failing workers."""
         listed = EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(f"w{n}", "k") for n in range(4)))
         old, new = Dispatcher(self.settings(1.0, 10.0), 1), Dispatcher(self.settings(1.0, 10.0), 2)
         for module in (old, new):
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -1,7 +1,7 @@
-"""The time between SIGTERM and the earliest SIGKILL: every request read is answered in it.
+"""Every request read between SIGTERM and the earliest SIGKILL is answered before that.
 
 SIGKILL may come as early as the longest deadline (3 s at most) plus 0.7 s after SIGTERM. Requests of the
-first 0.7 s have their own deadline; of those that come later none may be unanswered then.
+first 0.7 s keep their own deadline; all later ones must be answered by then.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from elderstall.net import http
 from tests.loopback import Loopback, Side
 
-MAX_COUNTED_DEADLINE_MS = 3_000.0  # ms that the longest deadline counts for
-SERVING_PERIOD_MS = 700.0  # ms that SIGKILL comes later than that, and for which jobs are taken as always
-REQUEST_INTERVAL_MS = 50.0  # ms between requests of one client
-PROCESS_PAUSE_MS = 150.0  # ms for which the process may be held up
+MAX_COUNTED_DEADLINE_MS = 3_000.0  # limit up to which the longest deadline counts
+SERVING_PERIOD_MS = 700.0  # SIGKILL comes this long after that; jobs are accepted as usual in it
+REQUEST_INTERVAL_MS = 50.0  # between requests of one client
+PROCESS_PAUSE_MS = 150.0  # for which the process may be paused
 
 
 @dataclass
-class Asked:
-    """A request that is out, on a connection that was open then."""
+class SentRequest:
+    """A request that was sent on an open connection."""
 
     request_id: str
     at: float  # ms after SIGTERM
     client: Side
-    answered: int = 0  # the status
+    answered: int = 0  # status code; 0: none yet
 
 
 class Window(Loopback):
-    """Clients send on every connection that is open, until the earliest SIGKILL."""
+    """Clients send on every open connection until the earliest SIGKILL."""
 
     def start(self, deadline: float) -> None:
         classes = [
@@ -44,7 +44,7 @@
         self.begin(workers=2, classes=classes)
         self.deadline = deadline
         self.kill_at = min(deadline, MAX_COUNTED_DEADLINE_MS) + SERVING_PERIOD_MS
-        self.asked: list[Asked] = []
+        self.sent_requests: list[SentRequest] = []
         self.count = 0
 
     def send(self, client: Side) -> None:
@@ -52,13 +52,13 @@
         request_id = f"j{self.count}"
         job_class = "deck-build" if self.count % 2 else "deck-fetch"
         client.send(self.job(request_id, job_class, int(self.deadline)))
-        self.asked.append(Asked(request_id, self.since_term(), client))
+        self.sent_requests.append(SentRequest(request_id, self.since_term(), client))
 
     def since_term(self) -> float:
         return 1000 * self.loop.clock.seconds() - self.term
 
     def collect(self, serve: bool) -> None:
-        """Read what has come, at workers and at clients."""
+        """Read messages at workers and clients; workers accept jobs, and finish them if ``serve`` is set."""
         for what, worker in self.came():
             worker.messages.pop(0)
             worker.send(http.response(202 if what.startswith("POST") else 200))
@@ -69,12 +69,12 @@
                 if job is not None and job.attempt is not None:
                     self.call_back(request_id, worker=job.attempt.worker)
         self.turn()
-        for asked in self.asked:
-            asked.client.read()
-            if not asked.answered and asked.client.messages:
-                asked.answered = asked.client.messages.pop(0).status
+        for request in self.sent_requests:
+            request.client.read()
+            if not request.answered and request.client.messages:
+                request.answered = request.client.messages.pop(0).status
 
-    def play(self, deadline: float, serve: bool, held_up: bool = False) -> None:
+    def play(self, deadline: float, serve: bool, paused: bool = False) -> None:
         self.start(deadline)
         clients = [self.client() for _ in range(8)]
         self.turn()
@@ -85,19 +85,19 @@
         self.collect(serve)
         while self.since_term() < self.kill_at - REQUEST_INTERVAL_MS and not self.loop.stopped:
             self.wait(REQUEST_INTERVAL_MS)
-            if held_up and self.kill_at - self.since_term() < 2 * PROCESS_PAUSE_MS:
-                self.jump(PROCESS_PAUSE_MS)  # once, just before the end
+            if paused and self.kill_at - self.since_term() < 2 * PROCESS_PAUSE_MS:
+                self.jump(PROCESS_PAUSE_MS)  # one pause, just before the end
                 self.turn()
-                held_up = False
+                paused = False
             self.collect(serve)
             for n, client in enumerate(clients):
                 client.read()
-                own = [a for a in self.asked if a.client is client]
-                begins = bool(own) or n * self.kill_at / len(clients) < self.since_term()
-                out = own and not own[-1].answered
+                own = [a for a in self.sent_requests if a.client is client]
+                may_start = bool(own) or n * self.kill_at / len(clients) < self.since_term()
+                in_progress = own and not own[-1].answered
                 if (
-                    begins
-                    and not out
+                    may_start
+                    and not in_progress
                     and not client.ended
                     and self.since_term() < self.kill_at - REQUEST_INTERVAL_MS
                 ):
@@ -107,28 +107,30 @@
         self.assertLessEqual(self.since_term(), self.kill_at)
 
     def unanswered(self, since: float) -> list[tuple[str, float]]:
-        return [(a.request_id, a.at) for a in self.asked if not a.answered and a.at >= since]
+        return [(a.request_id, a.at) for a in self.sent_requests if not a.answered and a.at >= since]
 
     def test_every_request_read_is_answered_before_sigkill_may_come(self) -> None:
         for deadline in (300.0, 3_000.0, 60_000.0):
-            for serve in (True, False):  # or all workers take jobs and hang
-                for held_up in (False, True):
-                    with self.subTest(deadline=deadline, serve=serve, held_up=held_up):
-                        self.play(deadline, serve, held_up)
+            for serve in (True, False):  # False: all workers accept jobs and hang
+                for paused in (False, True):
+                    with self.subTest(deadline=deadline, serve=serve, paused=paused):
+                        self.play(deadline, serve, paused)
                         if deadline <= MAX_COUNTED_DEADLINE_MS:
                             self.assertEqual([], self.unanswered(0.0))
-                        # A job of the first 0.7 s keeps a deadline that lies behind the earliest SIGKILL.
+                        # A job of the first 0.7 s keeps its deadline, which is after the earliest SIGKILL.
                         self.assertEqual([], self.unanswered(SERVING_PERIOD_MS + 1))
-                        self.assertGreater(len([a for a in self.asked if a.at > SERVING_PERIOD_MS]), 1)
+                        self.assertGreater(
+                            len([a for a in self.sent_requests if a.at > SERVING_PERIOD_MS]), 1
+                        )
 
     def test_request_that_comes_late_on_an_open_connection_is_answered(self) -> None:
-        """One just before the earliest SIGKILL, on a connection that had no request before."""
+        """It is sent just before the earliest SIGKILL, on a connection without earlier requests."""
         for deadline in (300.0, 3_000.0, 60_000.0):
             with self.subTest(deadline=deadline):
                 self.start(deadline)
-                owed, late = self.client(), self.client()
+                unanswered_client, late = self.client(), self.client()
                 self.term = 1000 * self.loop.clock.seconds()
-                self.send(owed)  # its worker hangs: the program stays for it
+                self.send(unanswered_client)  # its worker hangs, which keeps the process running
                 self.take("POST j1").send(http.response(202))
                 self.turn()
                 self.app.sigterm()
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -39,7 +39,7 @@
     FleetView,
 )
 from tests.test_core import CLASSES as CORE_CLASSES
-from tests.test_core import One
+from tests.test_core import EngineCase
 
 CLASSES = (
     JobClass("deck", 2.0, 500.0, 5_000.0),
@@ -352,7 +352,7 @@
             self.assertEqual([], [worker for worker in up if view.state(worker) is not UP])
 
 
-class Attempts(One):
+class Attempts(EngineCase):
     """A worker leaves the subset with an attempt out: the attempt goes on by all rules."""
 
     def setUp(self) -> None:
@@ -365,8 +365,8 @@
 
     def out(self, job_class: str = "safe") -> Deferred[Any]:
         self.number = self.job(job_class)
-        self.ask(SendAttempt(self.number, self.member))
-        return self.carrier.sent[-1][1]
+        self.request(SendAttempt(self.number, self.member))
+        return self.transport.sent[-1][1]
 
     def leave_subset(self) -> None:
         """Have the worker leave the subset while it is up, as when others come back in its place."""
@@ -386,8 +386,8 @@
         sending.callback(None)
         self.leave_subset()
         self.clock.advance(2.1)
-        self.assertEqual(1, len(self.carrier.recalls))
-        self.assertEqual(1, len(self.carrier.sent))
+        self.assertEqual(1, len(self.transport.cancels))
+        self.assertEqual(1, len(self.transport.sent))
         self.assertIsInstance(self.client.answers[0], Failed)
 
     def test_the_clock_of_its_drain_runs_on(self) -> None:
@@ -396,8 +396,8 @@
         self.engine.endpoints.take(ListScope.CHANGES, (entry(number, DRAINING),))
         self.clock.advance(2.1)
         job = self.job("safe")
-        self.ask(SendAttempt(job, self.member))
-        self.assertEqual([], self.carrier.sent)
+        self.request(SendAttempt(job, self.member))
+        self.assertEqual([], self.transport.sent)
 
     def test_the_module_is_told_of_its_dispatchers_per_worker_before_the_list(self) -> None:
         self.engine.endpoints.take(ListScope.WHOLE, entries(2 * LARGE))
