--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -395,8 +395,8 @@
 
     def test_the_list_is_encoded_with_its_original_starts(self) -> None:
         entries = [Endpoint("w1", started=500.0, since_ms=7.0), Endpoint("w2", started=9.0), Endpoint("w3")]
-        told = encode_list(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
-        self.assertEqual([7.0, 9.0, 0], [e["since_ms"] for e in told["endpoints"]])
+        encoded = encode_list(1, entries, {"w1": "a", "w2": "b", "w3": "c"})
+        self.assertEqual([7.0, 9.0, 0], [e["since_ms"] for e in encoded["endpoints"]])
 
 
 class JobTransfers(EngineCase):
@@ -421,8 +421,8 @@
         state = self.engine.encode_transfer(transfer)
         state = json.loads(json.dumps(state)) | changes
         client = Client()
-        told = {name: value for name, value in state.items() if value != "left out"}
-        engine.import_job(engine.decode_transfer(told), None, client)
+        message = {name: value for name, value in state.items() if value != "left out"}
+        engine.import_job(engine.decode_transfer(message), None, client)
         return state, engine, client
 
     def test_it_keeps_its_remaining_time(self) -> None:
@@ -564,8 +564,8 @@
             self.watched.release()
             joined.wait(PATIENCE)
             since = (time.time() + self.stepped_by) * 1000
-            told = entry("w2", address=self.second.address, since=since)
-            text = json.dumps({"index": 43, "snapshot": False, "endpoints": [told]}).encode()
+            endpoint = entry("w2", address=self.second.address, since=since)
+            text = json.dumps({"index": 43, "snapshot": False, "endpoints": [endpoint]}).encode()
             line.sock.sendall(http.chunk(text + b"\n"))
             line.read()
 
