--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -144,7 +144,7 @@
         figures.workers_skipped = sum(name in view.entries for name in self.decisions.unavailable(now))
         figures.workers_in_view = len(view.entries) if view.subset is None else len(view.members)
         figures.workers_widened = 0 if view.subset is None else view.subset.widened
-        figures.zones_out_of_reach = len(view.lost_zones)
+        figures.zones_out_of_reach = len(view.unreachable_zones)
         figures.lists_refused = view.counts.lists_refused
         figures.odd_entries = view.counts.odd_entries.total()
         figures.workers_forgotten = view.counts.forgotten
--- a/elderstall/routing/__init__.py
+++ b/elderstall/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on routes and on what a full fleet takes, without I/O, clock or randomness of their own."""
+"""The view of the fleet: subsets of large fleets and unreachable zones; no I/O, clock or randomness."""
--- a/elderstall/routing/reach.py
+++ b/elderstall/routing/reach.py
@@ -1,55 +1,58 @@
-"""Which zones this dispatcher cannot reach, as its own attempts show: a decision without I/O.
+"""Detection of zones that this dispatcher cannot reach, from the results of its own attempts; no I/O.
 
-The list learns late of a rack or a zone that is lost, and not at all of a cut between regions that lies only
-on some dispatchers' side. Attempts show it at once: no connection comes up, or a question is not answered.
-One worker that fails says little of its zone; several of them with no answer from any in between do. A job
-that took too long says nothing, and neither does a connection that was not tried for want of descriptors.
+The endpoint list shows the loss of a rack or a zone late, and never shows a network partition that affects
+only some dispatchers. Attempts show it at once: a connection cannot be opened, or a poll is not answered.
+A zone counts as unreachable after several of its workers fail with no answer from any of them in between; the
+failure of one worker is not enough. A job that timed out is no evidence either way, and neither is a
+connection that was not attempted because descriptors ran out.
 """
 
 from __future__ import annotations
 
 from elderstall.interface import Ending
 
-ANSWERED = frozenset({Ending.SERVED, Ending.FULL, Ending.ERROR})
-MIN_FAILING_WORKERS = 3  # different workers of a zone that fail in a row, before it counts as out of reach
-SEEN_FOR = 60_000.0  # ms after which a failure says nothing any more
+ANSWERED_ENDINGS = frozenset({Ending.SERVED, Ending.FULL, Ending.ERROR})
+MIN_FAILING_WORKERS = 3  # distinct workers of a zone that fail in a row before it counts as unreachable
+FAILURE_RETENTION_MS = 60_000.0  # older failures are not counted
 
 
-Zones = frozenset[str | None]
+ZoneSet = frozenset[str | None]
 
 
 class ZoneReach:
-    """Failures in a row by zone, and what follows: zones out of reach, and zones surely in reach."""
+    """Consecutive failures by zone, and the zones found unreachable or confirmed reachable from them."""
 
     def __init__(self) -> None:
-        self.failing: dict[str | None, dict[str, float]] = {}  # workers that failed, and when, by zone
-        self.lost: Zones = frozenset()
-        self.answering: Zones = frozenset()  # have answered since the first of them was lost
+        self.failing: dict[
+            str | None, dict[str, float]
+        ] = {}  # by zone: failed workers and the time of each failure
+        self.unreachable: ZoneSet = frozenset()
+        self.answering: ZoneSet = frozenset()  # zones that answered since the first one became unreachable
 
     def record_ending(
         self, worker: str, zone: str | None, ending: Ending, worker_unreachable: bool, now: float
     ) -> bool:
-        """Take the end of an attempt or a question; say whether it has changed what is in reach."""
-        before = self.lost, self.answering
+        """Record the end of an attempt or a poll; return whether the reachable zones have changed."""
+        before = self.unreachable, self.answering
         if worker_unreachable:
-            self.failed(worker, zone, now)
-        elif ending in ANSWERED:
-            self.answered(zone)
-        return before != (self.lost, self.answering)
+            self.record_failure(worker, zone, now)
+        elif ending in ANSWERED_ENDINGS:
+            self.record_answer(zone)
+        return before != (self.unreachable, self.answering)
 
-    def answered(self, zone: str | None) -> None:
-        """Take a worker's answer."""
+    def record_answer(self, zone: str | None) -> None:
+        """Record an answer from a worker of the zone."""
         self.failing.pop(zone, None)
-        self.lost -= {zone}
-        self.answering = self.answering | {zone} if self.lost else frozenset()
+        self.unreachable -= {zone}
+        self.answering = self.answering | {zone} if self.unreachable else frozenset()
 
-    def failed(self, worker: str, zone: str | None, now: float) -> None:
-        """Take a worker that was not reached."""
+    def record_failure(self, worker: str, zone: str | None, now: float) -> None:
+        """Record that a worker could not be reached."""
         failing = self.failing.setdefault(zone, {})
         failing[worker] = now
         while failing and len(failing) > MIN_FAILING_WORKERS:
             del failing[next(iter(failing))]
-        recent = sum(now - at <= SEEN_FOR for at in failing.values())
+        recent = sum(now - failed_at <= FAILURE_RETENTION_MS for failed_at in failing.values())
         if recent >= MIN_FAILING_WORKERS:
-            self.lost |= {zone}
+            self.unreachable |= {zone}
             self.answering -= {zone}
--- a/elderstall/routing/subset.py
+++ b/elderstall/routing/subset.py
@@ -1,14 +1,14 @@
-"""Which workers of a large fleet one dispatcher works with: deterministic, with no talk among dispatchers.
+"""Deterministic subsetting: the workers of a large fleet that one dispatcher uses, without coordination.
 
-Every worker has a fixed position on a ring, by the hash of its name, and every dispatcher a fixed point,
-by its rank. A dispatcher takes the workers that follow its point, as many as `subset_size` says. The
-points of all ranks lie evenly (multiples of an irrational number), so each worker is held by nearly as
-many dispatchers as any other. A worker that comes or goes moves one entry at each dispatcher whose arc
-it lies in, and none elsewhere; a dispatcher that comes or goes moves no other one's point. Each kind of
-worker has a ring of its own, so that none is missing; where crossing zones has a price, one of the own
-zone is taken from as well.
+Every worker has a fixed position on a ring, from the hash of its name, and every dispatcher a fixed point,
+from its rank. A dispatcher uses the next `subset_size` workers after its point. The points of all ranks are
+evenly spaced (multiples of an irrational number), so every worker is in nearly the same number of subsets.
+Adding or removing a worker changes one entry at each dispatcher whose arc contains it, and none elsewhere;
+adding or removing a dispatcher moves no other dispatcher's point. Each kind of worker has its own ring, so
+that no kind is missing from a subset; where crossing zones has a price, workers are also taken from a ring
+of the home zone.
 
-Weighed against others in docs/design/bounded-view.md. No I/O, no clock, no randomness.
+Alternatives are compared in docs/design/bounded-view.md. No I/O, no clock, no randomness.
 """
 
 from __future__ import annotations
@@ -21,243 +21,266 @@
 
 from elderstall.hashing import stable_hash
 
-MIN_SUBSET_SIZE = 1_024  # workers: up to so many a dispatcher knows all, as its standing limits ask
-REPLICAS = 8  # dispatchers that hold each worker at least, so that unequal traffic evens out over them
-SLACK = 1 / 8  # of a size: it changes, and members leave, only beyond it, so that nothing flaps
-MIN_LARGE_FLEET = MIN_SUBSET_SIZE * (1 + SLACK)  # workers, from which a fleet is a large one
-MIN_WORKERS_PER_KIND = 64  # and of the own zone where that counts: some for each tier's pool
-KINDS_PART = 4  # one part in so many of a subset, at most, is taken so that no kind is missing
-LAST_PREFERENCE_POSITION = 0.999  # in line for a worker, of 1
-WIDEN_MOST = 2.0  # times its length that an arc has at most while workers in it are out of reach
-RING = 2**32  # positions
-POINT_STEP = math.sqrt(2) - 1  # of the ring, from one rank's point to the next: their multiples lie evenly
+MIN_SUBSET_SIZE = 1_024  # workers: a dispatcher knows all workers of a fleet up to this size
+MIN_DISPATCHERS_PER_WORKER = 8  # evens out unequal traffic of the dispatchers that share a worker
+SIZE_TOLERANCE_FRACTION = 1 / 8  # smaller deviations change no size and remove no members: no flapping
+MIN_LARGE_FLEET = MIN_SUBSET_SIZE * (1 + SIZE_TOLERANCE_FRACTION)  # workers, above which a fleet is large
+MIN_WORKERS_PER_KIND = 64  # also of the home zone where that counts: enough for each tier's pool
+KIND_MINIMUMS_DIVISOR = 4  # at most 1/4 of a subset is reserved for the minimum of each kind
+LAST_PREFERENCE_POSITION = 0.999  # preference position, of 1
+MAX_WIDENING_FACTOR = 2.0  # of an arc's length, while workers in it are unreachable
+RING_POSITIONS = 2**32
+POINT_STEP = math.sqrt(2) - 1  # of the ring, between the points of consecutive ranks: evenly spaced
 
 
 def subset_size(workers: int, dispatchers: int) -> int:
-    """Give how many workers each of some dispatchers is to hold: `REPLICAS` holders for each, at least."""
-    return max(MIN_SUBSET_SIZE, math.ceil(REPLICAS * workers / dispatchers))
+    """Return the subset size that puts each worker in at least `MIN_DISPATCHERS_PER_WORKER` subsets."""
+    return max(MIN_SUBSET_SIZE, math.ceil(MIN_DISPATCHERS_PER_WORKER * workers / dispatchers))
 
 
-def position(name: str) -> int:
-    """Give a worker's position on the ring, alike in every process.
+def worker_position(name: str) -> int:
+    """Return a worker's position on the ring, the same in every process.
 
-    Hashed twice: the reserved workers and the pools cut by the first hash, so a stretch of a ring of it would
-    lie in the lane as a whole, or outside it.
+    The name is hashed twice. Reserved workers and pools are chosen by the first hash, so an arc of a ring
+    ordered by it would lie entirely inside or entirely outside the reserved workers.
     """
     return stable_hash(str(stable_hash(name)))
 
 
-def point(rank: int) -> int:
-    """Give a dispatcher's point on the ring."""
-    return int(rank * POINT_STEP % 1 * RING)
+def dispatcher_point(rank: int) -> int:
+    """Return a dispatcher's point on the ring."""
+    return int(rank * POINT_STEP % 1 * RING_POSITIONS)
 
 
-def distance(name: str, rank: int) -> float:
-    """Give how far a worker lies from a dispatcher's point along the whole ring, from 0 to 1."""
-    return (position(name) - point(rank)) % RING / RING
+def ring_distance(name: str, rank: int) -> float:
+    """Return the distance from a dispatcher's point to a worker, as a fraction of the whole ring."""
+    return (worker_position(name) - dispatcher_point(rank)) % RING_POSITIONS / RING_POSITIONS
 
 
-class Place(NamedTuple):
-    """Where a worker belongs."""
+class KindAndZone(NamedTuple):
+    """The kind and the zone of a worker."""
 
     kind: str
     zone: str | None
 
 
 class Ring:
-    """Workers in the order of their positions."""
+    """Workers sorted by their positions."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
-        ordered = sorted((position(name), name) for name in names)
-        self.positions = array("L", (at for at, _ in ordered))
+        ordered = sorted((worker_position(name), name) for name in names)
+        self.positions = array("L", (position for position, _ in ordered))
         self.names = [name for _, name in ordered]
 
     def __len__(self) -> int:
         return len(self.names)
 
     def _find(self, name: str) -> tuple[int, int, bool]:
-        """Give a name's position, its place in the order, and whether it is there."""
-        at = position(name)
-        place = bisect_left(self.positions, at)
-        while place < len(self.names) and self.positions[place] == at and self.names[place] < name:
-            place += 1
-        return at, place, place < len(self.names) and self.names[place] == name
+        """Return a name's position, its index in the order, and whether it is present."""
+        position = worker_position(name)
+        index = bisect_left(self.positions, position)
+        while index < len(self.names) and self.positions[index] == position and self.names[index] < name:
+            index += 1
+        return position, index, index < len(self.names) and self.names[index] == name
 
     def add(self, name: str) -> bool:
-        """Put a worker on the ring; say whether it was not there."""
-        at, place, there = self._find(name)
-        if not there:
-            self.positions.insert(place, at)
-            self.names.insert(place, name)
-        return not there
+        """Add a worker to the ring; return whether it was absent."""
+        position, index, present = self._find(name)
+        if not present:
+            self.positions.insert(index, position)
+            self.names.insert(index, name)
+        return not present
 
     def remove(self, name: str) -> bool:
-        """Take a worker off the ring; say whether it was there."""
-        _, place, there = self._find(name)
-        if there:
-            del self.positions[place]
-            del self.names[place]
-        return there
+        """Remove a worker from the ring; return whether it was present."""
+        _, index, present = self._find(name)
+        if present:
+            del self.positions[index]
+            del self.names[index]
+        return present
 
     def after(self, start: int) -> Iterator[str]:
-        """Give all workers once, from a point on."""
-        place = bisect_left(self.positions, start)
-        yield from self.names[place:]
-        yield from self.names[:place]
+        """Yield all workers once, starting from a position."""
+        index = bisect_left(self.positions, start)
+        yield from self.names[index:]
+        yield from self.names[:index]
 
 
-class Arc:
-    """The workers that one dispatcher takes from a ring: ``length`` of those that follow its point."""
+class RingArc:
+    """The workers that one dispatcher uses from a ring: the ``length`` workers after its point."""
 
     def __init__(self, ring: Ring, start: int, length: int) -> None:
-        self.ring, self.start, self.length = ring, start, length
+        self.ring = ring
+        self.start = start
+        self.length = length
         self.members: frozenset[str] = frozenset()
-        self.last = 0  # position of the last member, as a distance from the start
-        self.unreached = 0  # members in lost zones, for which further ones were taken
+        self.last_distance = 0  # from the start to the last member
+        self.extra_members = 0  # members beyond the length, added for unreachable ones
 
     def covers(self, name: str) -> bool:
-        """Say whether a worker that comes or goes can change the members."""
-        short = len(self.members) < self.length
-        return short or name in self.members or (position(name) - self.start) % RING <= self.last
-
-    def cut(self, lost: Callable[[str], bool], answering: Callable[[str], bool] = lambda name: True) -> None:
-        """Work the members out anew; for each that is ``lost`` one more is taken that is ``answering``."""
-        taken: list[str] = []
+        """Return whether adding or removing a worker can change the members."""
+        is_short = len(self.members) < self.length
+        return (
+            is_short
+            or name in self.members
+            or (worker_position(name) - self.start) % RING_POSITIONS <= self.last_distance
+        )
+
+    def recompute(
+        self,
+        is_unreachable: Callable[[str], bool],
+        is_answering: Callable[[str], bool] = lambda name: True,
+    ) -> None:
+        """Recompute the members, with one additional answering member for each unreachable one."""
+        members: list[str] = []
         missing = 0
-        most = int(WIDEN_MOST * self.length)
+        max_members = int(MAX_WIDENING_FACTOR * self.length)
         for count, name in enumerate(self.ring.after(self.start)):
             if count < self.length:
-                missing += lost(name)
-            elif not missing or len(taken) >= most:
+                missing += is_unreachable(name)
+            elif not missing or len(members) >= max_members:
                 break
-            elif not answering(name):
+            elif not is_answering(name):
                 continue
             else:
                 missing -= 1
-            taken.append(name)
-        self.members = frozenset(taken)
-        self.unreached = max(0, len(taken) - self.length)
-        self.last = (position(taken[-1]) - self.start) % RING if taken else 0
+            members.append(name)
+        self.members = frozenset(members)
+        self.extra_members = max(0, len(members) - self.length)
+        self.last_distance = (worker_position(members[-1]) - self.start) % RING_POSITIONS if members else 0
 
 
 class Subset:
-    """The arcs of one dispatcher over the rings of all kinds, and of its own zone where that counts."""
+    """The arcs of one dispatcher: one per kind, and one for its home zone where crossing has a price."""
 
     def __init__(self, rank: int, dispatchers: int, home_zone: str | None) -> None:
-        self.start, self.dispatchers, self.home_zone = point(rank), dispatchers, home_zone
-        self.kinds: dict[str, Arc] = {}
-        self.home: Arc | None = None
-        self.sized_for = 0  # workers on the rings when lengths were last worked out
+        self.start = dispatcher_point(rank)
+        self.dispatchers = dispatchers
+        self.home_zone = home_zone
+        self.arcs_by_kind: dict[str, RingArc] = {}
+        self.home_arc: RingArc | None = None
+        self.sized_for = 0  # workers on the rings when lengths were last computed
         self.size = 0
-        self.lost_zones: frozenset[str | None] = frozenset()
+        self.unreachable_zones: frozenset[str | None] = frozenset()
         self.answering_zones: frozenset[str | None] = frozenset()
-        self.places: dict[str, Place] = {}  # of the workers on the rings
-        self.known_places: dict[Place, Place] = {}  # one of each, so that workers share them
+        self.kinds_and_zones: dict[str, KindAndZone] = {}  # by worker on the rings
+        self.shared_kinds_and_zones: dict[KindAndZone, KindAndZone] = {}  # saves memory
 
     def __len__(self) -> int:
-        return len(self.places)
+        return len(self.kinds_and_zones)
 
-    def _place(self, name: str, kind: str, zone: str | None) -> Place:
-        """Note a worker's kind and zone."""
-        place = Place(kind, zone)
-        self.places[name] = place = self.known_places.setdefault(place, place)
-        return place
+    def _record_kind_and_zone(self, name: str, kind: str, zone: str | None) -> KindAndZone:
+        """Record a worker's kind and zone."""
+        kind_and_zone = KindAndZone(kind, zone)
+        self.kinds_and_zones[name] = kind_and_zone = self.shared_kinds_and_zones.setdefault(
+            kind_and_zone, kind_and_zone
+        )
+        return kind_and_zone
 
     @property
     def widened(self) -> int:
-        """How many workers are taken beyond the usual, for others that are out of reach."""
-        return sum(arc.unreached for arc in self.arcs())
+        """Number of additional workers used in kind_and_zone of unreachable ones."""
+        return sum(arc.extra_members for arc in self.arcs())
 
-    def arcs(self) -> list[Arc]:
-        """Give all arcs."""
-        return [*self.kinds.values(), *([self.home] if self.home is not None else [])]
+    def arcs(self) -> list[RingArc]:
+        """Return all arcs."""
+        return [*self.arcs_by_kind.values(), *([self.home_arc] if self.home_arc is not None else [])]
 
     def fill(self, workers: Iterable[tuple[str, str, str | None]]) -> None:
-        """Start anew with workers that are up, each as its name, kind and zone."""
+        """Rebuild all rings from workers that are up, each given as name, kind and zone."""
         by_kind: dict[str, list[str]] = {}
-        self.places = {}
+        self.kinds_and_zones = {}
         for name, kind, zone in workers:
             by_kind.setdefault(kind, []).append(name)
-            self._place(name, kind, zone)
-        self.kinds = {kind: Arc(Ring(names), self.start, 0) for kind, names in by_kind.items()}
+            self._record_kind_and_zone(name, kind, zone)
+        self.arcs_by_kind = {kind: RingArc(Ring(names), self.start, 0) for kind, names in by_kind.items()}
         if self.home_zone is not None:
-            own = Ring(name for name, place in self.places.items() if place.zone == self.home_zone)
-            self.home = Arc(own, self.start, 0)
+            home_ring = Ring(
+                name
+                for name, kind_and_zone in self.kinds_and_zones.items()
+                if kind_and_zone.zone == self.home_zone
+            )
+            self.home_arc = RingArc(home_ring, self.start, 0)
         self.resize()
 
     def resize(self) -> None:
-        """Work out how long each arc is to be, and cut all of them."""
-        self.sized_for = len(self.places)
+        """Recompute the length and the members of every arc."""
+        self.sized_for = len(self.kinds_and_zones)
         self.size = subset_size(self.sized_for, self.dispatchers)
-        least = min(MIN_WORKERS_PER_KIND, self.size // (KINDS_PART * max(1, len(self.kinds))))
-        for arc in self.kinds.values():
+        min_length = min(
+            MIN_WORKERS_PER_KIND, self.size // (KIND_MINIMUMS_DIVISOR * max(1, len(self.arcs_by_kind)))
+        )
+        for arc in self.arcs_by_kind.values():
             share = math.ceil(self.size * len(arc.ring) / max(1, self.sized_for))
-            arc.length = max(min(len(arc.ring), least), share)
-        if self.home is not None:
-            self.home.length = min(len(self.home.ring), MIN_WORKERS_PER_KIND)
-        self.cut(self.arcs())
+            arc.length = max(min(len(arc.ring), min_length), share)
+        if self.home_arc is not None:
+            self.home_arc.length = min(len(self.home_arc.ring), MIN_WORKERS_PER_KIND)
+        self.recompute(self.arcs())
 
-    def cut(self, arcs: Iterable[Arc]) -> None:
-        """Work arcs out anew."""
+    def recompute(self, arcs: Iterable[RingArc]) -> None:
+        """Recompute the members of arcs."""
         for arc in arcs:
-            arc.cut(self.is_lost, self.is_answering)
+            arc.recompute(self.is_unreachable, self.is_answering)
 
-    def is_lost(self, name: str) -> bool:
-        """Say whether a worker's zone is out of reach."""
-        return bool(self.lost_zones) and self.places[name].zone in self.lost_zones
+    def is_unreachable(self, name: str) -> bool:
+        """Return whether a worker's zone is unreachable."""
+        return bool(self.unreachable_zones) and self.kinds_and_zones[name].zone in self.unreachable_zones
 
     def is_answering(self, name: str) -> bool:
-        """Say whether a worker's zone has answered since others were lost."""
-        return self.places[name].zone in self.answering_zones
-
-    def _arcs_of(self, place: Place) -> list[Arc]:
-        """Give the arcs on whose rings a worker of a kind and zone stands."""
-        arcs = [self.kinds[place.kind]]
-        if self.home is not None and place.zone == self.home_zone:
-            arcs.append(self.home)
+        """Return whether a worker's zone has answered since others became unreachable."""
+        return self.kinds_and_zones[name].zone in self.answering_zones
+
+    def _arcs_of(self, kind_and_zone: KindAndZone) -> list[RingArc]:
+        """Return the arcs whose rings hold workers of this kind and zone."""
+        arcs = [self.arcs_by_kind[kind_and_zone.kind]]
+        if self.home_arc is not None and kind_and_zone.zone == self.home_zone:
+            arcs.append(self.home_arc)
         return arcs
 
     def add(self, name: str, kind: str, zone: str | None) -> bool:
-        """Take a worker that is up; say whether members may have changed."""
-        if kind not in self.kinds:
-            self.kinds[kind] = Arc(Ring(), self.start, MIN_WORKERS_PER_KIND)
-        arcs = self._arcs_of(self._place(name, kind, zone))
+        """Add a worker that is up; return whether members may have changed."""
+        if kind not in self.arcs_by_kind:
+            self.arcs_by_kind[kind] = RingArc(Ring(), self.start, MIN_WORKERS_PER_KIND)
+        arcs = self._arcs_of(self._record_kind_and_zone(name, kind, zone))
         return self._changed(name, [arc for arc in arcs if arc.ring.add(name)])
 
     def remove(self, name: str) -> bool:
-        """Leave out a worker that is not up any more; say whether members may have changed."""
-        arcs = self._arcs_of(self.places.pop(name))
+        """Remove a worker that is no longer up; return whether members may have changed."""
+        arcs = self._arcs_of(self.kinds_and_zones.pop(name))
         return self._changed(name, [arc for arc in arcs if arc.ring.remove(name)])
 
-    def _changed(self, name: str, arcs: list[Arc]) -> bool:
-        """Cut the arcs that a worker's coming or going touches, or all where the fleet's size has changed."""
-        if abs(len(self.places) - self.sized_for) > SLACK * self.sized_for:
+    def _changed(self, name: str, arcs: list[RingArc]) -> bool:
+        """Recompute the arcs that a worker affects, or all arcs where the fleet size has changed."""
+        if abs(len(self.kinds_and_zones) - self.sized_for) > SIZE_TOLERANCE_FRACTION * self.sized_for:
             self.resize()
             return True
-        touched = [arc for arc in arcs if arc.covers(name)]
-        self.cut(touched)
-        return bool(touched)
+        affected = [arc for arc in arcs if arc.covers(name)]
+        self.recompute(affected)
+        return bool(affected)
 
-    def lose(self, zones: frozenset[str | None], answering: frozenset[str | None]) -> None:
-        """Take the zones that are out of reach now: arcs reach past their workers, to those that answer.
+    def update_reach(self, unreachable: frozenset[str | None], answering: frozenset[str | None]) -> None:
+        """Set the unreachable zones: arcs are extended by workers of zones that answer.
 
-        Others may be cut off too, and not yet found to be: taken in, they would leave again.
+        Other zones may be unreachable too without having been detected yet; their workers would be added only
+        to be removed again.
         """
-        self.lost_zones, self.answering_zones = zones, answering
-        self.cut(self.arcs())
+        self.unreachable_zones = unreachable
+        self.answering_zones = answering
+        self.recompute(self.arcs())
 
     def preference_position(self, name: str) -> float:
-        """Give where the dispatcher stands in line for a worker, from 0 to 1: how far along its arc it lies.
+        """Return this dispatcher's preference position for a worker: its distance along the arc, 0 to 1.
 
-        So those that a dispatcher counts as its own, the first part of its arc, are as evenly spread as all.
+        The workers that a dispatcher owns, at the beginning of its arc, are therefore as evenly distributed
+        as all members.
         """
-        arc = self.kinds[self.places[name].kind]
-        span = RING * max(1, arc.length) / max(1, len(arc.ring))
-        along = (position(name) - self.start) % RING / span
-        if 1.0 <= along < 1.0 + SLACK:
-            return LAST_PREFERENCE_POSITION  # the arc's end: stretches of the ring are not equally full
-        return along % 1  # past it are those taken for others, out of reach
+        arc = self.arcs_by_kind[self.kinds_and_zones[name].kind]
+        span = RING_POSITIONS * max(1, arc.length) / max(1, len(arc.ring))
+        along = (worker_position(name) - self.start) % RING_POSITIONS / span
+        if 1.0 <= along < 1.0 + SIZE_TOLERANCE_FRACTION:
+            return LAST_PREFERENCE_POSITION  # near the end: workers are not quite evenly spaced
+        return along % 1  # workers beyond the arc stand in for unreachable ones
 
     def wanted(self) -> set[str]:
-        """Give the whole subset."""
+        """Return the names of all workers in the subset."""
         return set().union(*(arc.members for arc in self.arcs()))
--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -1,17 +1,17 @@
-"""The fleet as one dispatcher sees it: all that is listed, and the part of it that the module works with.
+"""One dispatcher's view of the fleet: all listed workers, and the subset that the decisions work with.
 
-Discovery tells the list; operators lay bans over it; the rule on drains needs to know since when a worker is
-draining or gone; the module decides among workers. ``FleetView`` stands between these. It holds one compact
-entry a listed worker and hands the module what it needs:
+Discovery supplies the endpoint list, operators ban workers, and the drain rule needs to know since when a
+worker has been draining or gone. ``FleetView`` combines these. It holds one compact entry per listed worker
+and passes on to the decisions:
 
-* In fleets up to `subset.MIN_SUBSET_SIZE` workers, the whole list and each change, as discovery told them.
-* In larger ones a subset (`routing/subset.py`) and what changes in it. A change elsewhere is a dictionary
-  update.
+* In fleets of up to `subset.MIN_SUBSET_SIZE` workers, the whole list and every change, as discovery sends it.
+* In larger fleets, a subset (`routing/subset.py`) and the changes within it. A change outside the subset is
+  only a dictionary update.
 
-What is gone is forgotten, once the rule on drains has no more use for it: a worker that is not known may not
-be sent to at all. So the state is bounded by what is listed, not by what ever was.
+Gone workers are forgotten once the drain rule no longer needs them, because nothing may be sent to an unknown
+worker. The state is therefore bounded by the size of the current list, not by its history.
 
-No I/O, no clock: the time is handed in, in milliseconds. Nothing here raises on account of what a list says.
+No I/O, no clock: the current time is an argument, in milliseconds. No content of a list raises an exception.
 """
 
 from __future__ import annotations
@@ -31,18 +31,24 @@
     WorkerState,
 )
 from elderstall.routing.reach import ZoneReach
-from elderstall.routing.subset import MIN_LARGE_FLEET, SLACK, Subset, distance, subset_size
+from elderstall.routing.subset import (
+    MIN_LARGE_FLEET,
+    SIZE_TOLERANCE_FRACTION,
+    Subset,
+    ring_distance,
+    subset_size,
+)
 
-GONE_RETENTION_MS = 300_000.0  # ms for which a worker that is gone is remembered, as it may come back
-MIN_GONE_RETAINED = 64  # at any size; else one for every GONE_RETAINED_DIVISOR listed workers
+GONE_RETENTION_MS = 300_000.0  # a gone worker is retained this long, as it may come back
+MIN_GONE_RETAINED = 64  # in small fleets; otherwise one per GONE_RETAINED_DIVISOR listed workers
 GONE_RETAINED_DIVISOR = 4
-ENTER_FRACTION = 1 / 8  # of the subset's size may enter per second, so that connections come up one by one
-ENTER_INTERVAL_MS = 1_000.0  # ms between looks at those that wait to enter
-MAX_LIST_ENTRIES = 1_000_000  # of one list, where the memory limit is not known
+ENTER_FRACTION = 1 / 8  # of the subset size, admitted per interval: spreads the opening of connections
+ENTER_INTERVAL_MS = 1_000.0  # between admissions of waiting workers
+MAX_LIST_ENTRIES = 1_000_000  # of one list, where the memory limit is unknown
 
 
 class ExpiringNames:
-    """Names with the time of something, oldest first; bounded in number and age."""
+    """Names with the time at which each was added, oldest first; bounded in number and age."""
 
     def __init__(self) -> None:
         self.since: OrderedDict[str, float] = OrderedDict()
@@ -51,38 +57,38 @@
         return len(self.since)
 
     def add(self, name: str, now: float) -> None:
-        """Note a name; one that is there keeps its time."""
+        """Add a name; a name that is present keeps its time."""
         self.since.setdefault(name, now)
 
     def discard(self, name: str) -> float | None:
-        """Leave a name out; gives its time if it was there."""
+        """Remove a name; return its time if it was present."""
         return self.since.pop(name, None)
 
-    def expire(self, now: float, most: int) -> list[str]:
-        """Leave out those that are too old, or too many, and give them."""
-        out = []
+    def expire(self, now: float, max_names: int) -> list[str]:
+        """Remove and return the names that are too old or exceed the maximum."""
+        expired = []
         while self.since:
             name, since = next(iter(self.since.items()))
-            if len(self.since) <= most and now - since <= GONE_RETENTION_MS:
+            if len(self.since) <= max_names and now - since <= GONE_RETENTION_MS:
                 break
-            out.append(name)
+            expired.append(name)
             del self.since[name]
-        return out
+        return expired
 
 
 @dataclass(slots=True)
 class ViewCounts:
-    """What operators are shown of the view; counts since the start."""
+    """Figures of the view for operators; counts since the start."""
 
     lists_refused: int = 0  # lists of more entries than the memory limit can hold
-    odd_entries: Counter[str] = field(default_factory=Counter)  # by what is odd
-    forgotten: int = 0  # workers that were gone, and are not remembered any more
-    entered: int = 0  # workers that came into the subset after it was first cut
-    left: int = 0  # workers that left it while they were up
+    odd_entries: Counter[str] = field(default_factory=Counter)  # by kind of irregularity
+    forgotten: int = 0  # gone workers that are no longer retained
+    entered: int = 0  # workers that entered the subset after it was first built
+    left: int = 0  # workers that left the subset while they were up
 
 
 class FleetView:
-    """What is listed, banned, draining and gone, and which of it the module knows."""
+    """The listed, banned, draining and gone workers, and which of them the decisions know."""
 
     def __init__(
         self,
@@ -90,34 +96,36 @@
         max_list_entries: int = MAX_LIST_ENTRIES,
         log: Callable[[str, str], None] = lambda code, text: None,
     ) -> None:
-        self.settings, self.max_list_entries, self.log = settings, max_list_entries, log
-        self.entries: dict[str, Endpoint] = {}  # as discovery tells them; none that are gone
-        self.unavailable: dict[str, float] = {}  # listed, but draining or banned; since when
+        self.settings = settings
+        self.max_list_entries = max_list_entries
+        self.log = log
+        self.entries: dict[str, Endpoint] = {}  # as listed by discovery, without gone workers
+        self.unavailable: dict[str, float] = {}  # since when listed workers have been draining or banned
         self.gone = ExpiringNames()
-        self.banned: dict[str, float] = {}  # by hand; since when
-        self.ended_bans: dict[str, tuple[float, float]] = {}  # banned when, and until when
+        self.banned: dict[str, float] = {}  # by operators; since when
+        self.ended_bans: dict[str, tuple[float, float]] = {}  # begin and end of the last ban
         self.counts = ViewCounts()
-        self.subset: Subset | None = None  # None: the module knows the whole list
-        self.members: dict[str, None] = {}  # of the subset, as the module was told
-        self.closed = ExpiringNames()  # workers that the module holds as gone or draining
-        self.waiting: dict[str, None] = {}  # to enter the subset
-        self.entered_at = 0.0  # when some last entered
+        self.subset: Subset | None = None  # None: the decisions know the whole list
+        self.members: dict[str, None] = {}  # of the subset, as passed to the decisions
+        self.closed = ExpiringNames()  # workers that the decisions hold as gone or draining
+        self.waiting: dict[str, None] = {}  # workers to be admitted to the subset
+        self.entered_at = 0.0  # when workers were last admitted
         self.reach = ZoneReach()
-        self.lost_zones: frozenset[str | None] = frozenset()
+        self.unreachable_zones: frozenset[str | None] = frozenset()
 
-    # ---- what is known of a worker ----
+    # ---- state of a worker ----
 
     def is_known(self, worker: str) -> bool:
-        """Say whether a worker is listed, or was until not long ago."""
+        """Return whether a worker is listed, or was until recently."""
         return worker in self.entries or worker in self.gone.since
 
     def state(self, worker: str) -> WorkerState:
-        """Give a worker's state, bans included; one that is not known is gone."""
+        """Return a worker's state with bans applied; an unknown worker is gone."""
         entry = self.entries.get(worker)
         return WorkerState.GONE if entry is None else self.effective_entry(entry).state
 
     def may_send(self, worker: str, now: float, within: float) -> bool:
-        """Say whether a worker is up, or was told draining or gone no longer than ``within`` ms ago."""
+        """Return whether a worker is up, or became draining or gone at most ``within`` ms ago."""
         since = self.unavailable.get(worker)
         if since is None:
             if worker in self.entries:
@@ -126,68 +134,73 @@
         return since is not None and now - since <= within
 
     def effective_entry(self, entry: Endpoint) -> Endpoint:
-        """Lay what operators have said over an entry: it holds whatever discovery lists in the meantime."""
+        """Return an entry with bans applied; they hold whatever discovery lists in the meantime."""
         worker = entry.worker
         if worker in self.banned and entry.state is WorkerState.UP:
             entry = replace(entry, state=WorkerState.DRAINING)
         if worker in self.ended_bans:
             since, until = self.ended_bans[worker]
             if (entry.started or 0.0) < since:
-                # Guards rule 4: it was started anew while banned, but discovery's news of that comes late.
+                # Rule 4: the worker was restarted while banned, and discovery reports the new start late.
                 entry = replace(entry, started=until)
         return entry
 
     # ---- operators ----
 
     def ban(self, worker: str, now: float) -> bool:
-        """Ban a worker; say whether that is new."""
+        """Ban a worker; return False if it was banned already."""
         if worker in self.banned:
             return False
         self.banned[worker] = now
         return True
 
     def end_ban(self, worker: str, now: float) -> bool:
-        """End a ban: the worker counts as started now; say whether there was one."""
+        """End a ban, so that the worker counts as started now; return whether it was banned."""
         since = self.banned.pop(worker, None)
         if since is not None:
             self.ended_bans[worker] = since, now
         return since is not None
 
     def refresh(self, worker: str, now: float) -> list[Event]:
-        """Have a worker's entry seen as it counts now; gives what the module is to be told."""
+        """Reapply a worker's entry as it counts now; return the events for the decisions."""
         entry = self.entries.get(worker)
         return [] if entry is None else self.update(now, ListScope.CHANGES, (entry,))
 
     # ---- the list ----
 
     def update(self, now: float, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> list[Event]:
-        """Take news of the list; gives what the module is to be told."""
+        """Apply an update of the endpoint list; return the events for the decisions."""
         if scope in (ListScope.FAILED, ListScope.SILENT):
             return [EndpointListUpdate(scope)]
         if not self.fits(scope, len(entries)):
-            return []  # the last good view goes on
+            return []  # the last good view stays in force
         self.count_odd(entries)
-        shown = tuple(self.effective_entry(entry) for entry in entries)
+        effective_entries = tuple(self.effective_entry(entry) for entry in entries)
         missing = self.missing_from(entries) if scope is ListScope.WHOLE else []
         for worker in missing:
-            self.lose(worker, now)
+            self.mark_gone(worker, now)
         changed = [
-            entry.worker for entry, seen in zip(entries, shown, strict=True) if self.note(entry, seen, now)
+            entry.worker
+            for entry, effective in zip(entries, effective_entries, strict=True)
+            if self.record_entry(entry, effective, now)
         ]
-        events = self.tell(now, scope, shown, missing + changed)
+        events = self.events_for(now, scope, effective_entries, missing + changed)
         return events + self.forget(now)
 
     def fits(self, scope: ListScope, count: int) -> bool:
-        """Say whether a list of so many entries can be held; refuse one that memory has no room for."""
+        """Return whether a list of ``count`` entries fits into memory; a list that does not is refused."""
         total = count + (0 if scope is ListScope.WHOLE else len(self.entries))
         if count <= self.max_list_entries and total <= 2 * self.max_list_entries:
             return True
         self.counts.lists_refused += 1
-        self.log("list", f"refused: {count} entries, memory holds {self.max_list_entries} at most")
+        self.log(
+            "list",
+            f"refused: {count} entries, at most {self.max_list_entries} fit into memory; keeping the list",
+        )
         return False
 
     def count_odd(self, entries: tuple[Endpoint, ...]) -> None:
-        """Count and log entries that lack what others have, or that stand twice."""
+        """Count and log entries that lack a zone or kind that others have, or whose name is duplicated."""
         odd = Counter({"doubled name": len(entries) - len({e.worker for e in entries})})
         if any(e.zone for e in entries):
             odd["no zone"] = sum(not e.zone for e in entries)
@@ -195,188 +208,196 @@
             odd["no kind"] = sum(not e.kind for e in entries)
         if odd := +odd:
             self.counts.odd_entries += odd
-            self.log("list", "taken, but " + ", ".join(f"{n} with {what}" for what, n in sorted(odd.items())))
+            self.log(
+                "list",
+                "accepted, but " + ", ".join(f"{n} with {defect}" for defect, n in sorted(odd.items())),
+            )
 
     def missing_from(self, entries: Iterable[Endpoint]) -> list[str]:
-        """Name the workers that a whole list does not name any more."""
-        named = {entry.worker for entry in entries}
-        return [worker for worker in self.entries if worker not in named]
+        """Return the known workers that a whole list no longer contains."""
+        listed = {entry.worker for entry in entries}
+        return [worker for worker in self.entries if worker not in listed]
 
-    def lose(self, worker: str, now: float) -> None:
-        """Note that a worker is gone; from draining to gone the clock of the rule is not set back."""
+    def mark_gone(self, worker: str, now: float) -> None:
+        """Record that a worker is gone; the drain rule's clock keeps running from draining to gone."""
         if self.entries.pop(worker, None) is not None:
             since = self.unavailable.pop(worker, now)
             self.gone.add(worker, since)
 
-    def note(self, entry: Endpoint, seen: Endpoint, now: float) -> bool:
-        """Take one entry; say whether what counts of it has changed."""
-        worker, before = entry.worker, self.entries.get(entry.worker)
-        if seen.state is WorkerState.GONE:
-            self.lose(worker, now)
+    def record_entry(self, entry: Endpoint, effective: Endpoint, now: float) -> bool:
+        """Record one entry; return whether a relevant field of it has changed."""
+        worker = entry.worker
+        before = self.entries.get(entry.worker)
+        if effective.state is WorkerState.GONE:
+            self.mark_gone(worker, now)
             self.gone.add(worker, now)
             return True
         self.entries[worker] = entry
         gone_since = self.gone.discard(worker)
-        if seen.state is WorkerState.UP:
+        if effective.state is WorkerState.UP:
             was_up = self.unavailable.pop(worker, None) is None and before is not None
             return not was_up or before != entry
         self.unavailable.setdefault(worker, now if gone_since is None else gone_since)
         return True
 
-    # ---- what the module is told ----
+    # ---- events for the decisions ----
 
     @property
     def subset_dispatchers_per_worker(self) -> float:
-        """How many dispatchers share each worker of the subset; 0 where all dispatchers know all workers."""
+        """Dispatchers that share each worker of the subset; 0 where all dispatchers know all workers."""
         if self.subset is None or not len(self.subset):
             return 0.0
-        part = min(1.0, len(self.members) / len(self.subset))
-        return max(1.0, self.settings.dispatchers * part)
+        subset_fraction = min(1.0, len(self.members) / len(self.subset))
+        return max(1.0, self.settings.dispatchers * subset_fraction)
 
     @property
     def up(self) -> int:
-        """How many workers are up and not banned."""
+        """Number of workers that are up and not banned."""
         return len(self.entries) - len(self.unavailable)
 
     @property
     def is_large(self) -> bool:
-        """Whether so many are up that a dispatcher that knows all begins with a part of them."""
+        """Whether the fleet is so large that a dispatcher that knows all of it prefers a fraction."""
         return self.up > MIN_LARGE_FLEET
 
-    def tell(
+    def events_for(
         self,
         now: float,
         scope: ListScope,
-        shown: tuple[Endpoint, ...],
+        effective_entries: tuple[Endpoint, ...],
         changed: list[str],
     ) -> list[Event]:
-        """Give the module's part of a list that has been taken."""
+        """Return the events for the decisions that follow from an applied list update."""
         size = subset_size(self.up, self.settings.dispatchers)
-        if self.subset is None and self.up <= size * (1 + SLACK):
+        if self.subset is None and self.up <= size * (1 + SIZE_TOLERANCE_FRACTION):
             for worker in changed:
-                self.note_closed(worker, now)
+                self.record_closed(worker, now)
             return [
                 EndpointListUpdate(
-                    scope, tuple(map(self.with_preference_position, shown)) if self.is_large else shown
+                    scope,
+                    tuple(map(self.with_preference_position, effective_entries))
+                    if self.is_large
+                    else effective_entries,
                 )
             ]
         if self.subset is None or self.up <= size:
-            return [self.switch(now, size)]
-        return self.tell_subset(now, changed)
+            return [self.replace_view(now, size)]
+        return self.subset_events(now, changed)
 
-    def note_closed(self, worker: str, now: float) -> None:
-        """Keep count of what the module holds as gone."""
+    def record_closed(self, worker: str, now: float) -> None:
+        """Record whether the decisions hold a worker as gone."""
         if worker in self.entries:
             self.closed.discard(worker)
         else:
             self.closed.add(worker, now)
 
-    def switch(self, now: float, size: int) -> Event:
-        """Go over from the whole list to a subset, or back; gives all that the module is to know."""
-        seen = {worker: self.effective_entry(entry) for worker, entry in self.entries.items()}
+    def replace_view(self, now: float, size: int) -> Event:
+        """Switch from the whole list to a subset, or back; return the complete list for the decisions."""
+        effective_entries = {worker: self.effective_entry(entry) for worker, entry in self.entries.items()}
         self.waiting.clear()
         if self.up <= size:
-            self.subset, self.members, told = (
-                None,
-                {},
-                [self.with_preference_position(entry) for entry in seen.values()],
-            )
-            self.log("view", f"all of {len(seen)} workers")
+            known_entries = [self.with_preference_position(entry) for entry in effective_entries.values()]
+            self.subset = None
+            self.members = {}
+            self.log("view", f"using all {len(effective_entries)} workers")
         else:
-            self.subset = self.new_subset()
+            self.subset = self.build_subset()
             wanted = self.subset.wanted()
-            told = [
-                self.with_preference_position(entry) for worker, entry in seen.items() if worker in wanted
+            known_entries = [
+                self.with_preference_position(entry)
+                for worker, entry in effective_entries.items()
+                if worker in wanted
             ]
-            self.members = dict.fromkeys(entry.worker for entry in told)
+            self.members = dict.fromkeys(entry.worker for entry in known_entries)
             self.log(
                 "view",
-                f"{len(told)} of {len(seen)} workers, size {size}, "
+                f"using a subset of {len(known_entries)} of {len(effective_entries)} workers, size {size}, "
                 f"{self.subset_dispatchers_per_worker:.1f} dispatchers per worker",
             )
-        for worker in seen:
+        for worker in effective_entries:
             self.closed.add(worker, now)
-        for entry in told:
+        for entry in known_entries:
             self.closed.discard(entry.worker)
         self.entered_at = now
-        return EndpointListUpdate(ListScope.WHOLE, tuple(told))
+        return EndpointListUpdate(ListScope.WHOLE, tuple(known_entries))
 
-    def new_subset(self) -> Subset:
-        """Cut the subset of all that is up."""
-        s = self.settings
-        subset = Subset(s.rank, s.dispatchers, s.zone if s.cross_zone_price > 0 else None)
+    def build_subset(self) -> Subset:
+        """Build the subset from all workers that are up."""
+        settings = self.settings
+        home_zone = settings.zone if settings.cross_zone_price > 0 else None
+        subset = Subset(settings.rank, settings.dispatchers, home_zone)
         up = (entry for entry in self.entries.values() if entry.worker not in self.unavailable)
         subset.fill((entry.worker, entry.kind, entry.zone) for entry in up)
         return subset
 
-    def tell_subset(self, now: float, changed: list[str]) -> list[Event]:
-        """Bring the subset up to date; gives what has changed in it, if anything has."""
-        told: list[Endpoint] = []
-        recut = False
+    def subset_events(self, now: float, changed: list[str]) -> list[Event]:
+        """Update the subset; return an event with the changes within it, if any."""
+        changes: list[Endpoint] = []
+        members_changed = False
         for worker in dict.fromkeys(changed):
-            recut |= self.update_rings(worker)
+            members_changed |= self.update_rings(worker)
             if worker in self.members:
-                told.append(self.entry_of(worker))
+                changes.append(self.entry_of(worker))
                 if self.state(worker) is not WorkerState.UP:
                     del self.members[worker]
                     self.closed.add(worker, now)
-        if recut:
-            told += self.recut(now)
-        told += self.enter(now)
-        return [EndpointListUpdate(ListScope.CHANGES, tuple(told))] if told else []
+        if members_changed:
+            changes += self.update_membership(now)
+        changes += self.admit(now)
+        return [EndpointListUpdate(ListScope.CHANGES, tuple(changes))] if changes else []
 
     def entry_of(self, worker: str) -> Endpoint:
-        """Give a worker's entry as it counts now, also of one that is gone."""
+        """Return a worker's entry with bans applied; an unlisted worker is gone."""
         entry = self.entries.get(worker)
         if entry is None:
             return Endpoint(worker, state=WorkerState.GONE)
         return self.with_preference_position(self.effective_entry(entry))
 
     def with_preference_position(self, entry: Endpoint) -> Endpoint:
-        """Say with an entry of a large fleet where this dispatcher stands in line for its worker."""
+        """Return an entry of a large fleet with this dispatcher's preference position for its worker."""
         if self.subset is None:
-            preference_position = distance(entry.worker, self.settings.rank) if self.is_large else None
+            preference_position = ring_distance(entry.worker, self.settings.rank) if self.is_large else None
             return (
                 entry
                 if preference_position is None
                 else replace(entry, preference_position=preference_position)
             )
-        if entry.worker not in self.subset.places:
+        if entry.worker not in self.subset.kinds_and_zones:
             return entry
         return replace(entry, preference_position=self.subset.preference_position(entry.worker))
 
     def update_rings(self, worker: str) -> bool:
-        """Put a worker on the subset's rings, or take it off; say whether the subset may have changed."""
+        """Add a worker to the subset's rings or remove it; return whether the subset may have changed."""
         assert self.subset is not None
         entry = self.entries.get(worker)
-        on_rings = worker in self.subset.places
+        on_rings = worker in self.subset.kinds_and_zones
         if entry is not None and worker not in self.unavailable:
             return not on_rings and self.subset.add(worker, entry.kind, entry.zone)
         return on_rings and self.subset.remove(worker)
 
-    def recut(self, now: float) -> list[Endpoint]:
-        """Have workers wait to enter that the subset now wants; gives those that leave what is too many."""
+    def update_membership(self, now: float) -> list[Endpoint]:
+        """Queue workers that now belong to the subset for admission; return the excess ones that leave."""
         assert self.subset is not None
         wanted = self.subset.wanted()
         self.waiting = {worker: None for worker in wanted if worker not in self.members}
-        unwanted = [worker for worker in self.members if worker not in wanted]
-        over = len(self.members) + len(self.waiting) - len(wanted)
-        if over <= SLACK * len(wanted):
+        surplus = [worker for worker in self.members if worker not in wanted]
+        excess = len(self.members) + len(self.waiting) - len(wanted)
+        if excess <= SIZE_TOLERANCE_FRACTION * len(wanted):
             return []
-        leaving = unwanted[:over]
+        leaving = surplus[:excess]
         for worker in leaving:
             del self.members[worker]
             self.closed.add(worker, now)
         self.counts.left += len(leaving)
         return [replace(self.entry_of(worker), state=WorkerState.GONE) for worker in leaving]
 
-    def enter(self, now: float) -> list[Endpoint]:
-        """Let workers in that wait for it, a bounded number a second."""
+    def admit(self, now: float) -> list[Endpoint]:
+        """Admit waiting workers to the subset, a bounded number per interval."""
         assert self.subset is not None
         if not self.waiting:
             return []
-        most = max(1.0, ENTER_FRACTION * self.subset.size)
-        allowed = int(min(1.0, (now - self.entered_at) / ENTER_INTERVAL_MS) * most)
+        max_per_interval = max(1.0, ENTER_FRACTION * self.subset.size)
+        allowed = int(min(1.0, (now - self.entered_at) / ENTER_INTERVAL_MS) * max_per_interval)
         entering = list(self.waiting)[:allowed]
         for worker in entering:
             del self.waiting[worker]
@@ -391,31 +412,32 @@
 
     @property
     def due(self) -> float | None:
-        """When ``admit_waiting`` is to be called, if it is; ms."""
+        """Time of the next call of ``admit_waiting`` in ms; None if no worker is waiting."""
         return self.entered_at + ENTER_INTERVAL_MS if self.waiting else None
 
     def admit_waiting(self, now: float) -> list[Event]:
-        """Let in who waits; gives what the module is to be told."""
-        if self.subset is None or not (told := self.enter(now)):
+        """Admit waiting workers; return the events for the decisions."""
+        if self.subset is None or not (changes := self.admit(now)):
             return []
-        return [EndpointListUpdate(ListScope.CHANGES, tuple(told))]
+        return [EndpointListUpdate(ListScope.CHANGES, tuple(changes))]
 
     def change_settings(self, settings: Settings, now: float) -> list[Event]:
-        """Take new settings; gives what the module is to be told where they make the subset another one."""
-        old, self.settings = self.settings, settings
-        same = all(
-            getattr(old, name) == getattr(settings, name)
+        """Apply new settings; return the events for the decisions where the subset changes."""
+        old_settings = self.settings
+        self.settings = settings
+        is_unchanged = all(
+            getattr(old_settings, name) == getattr(settings, name)
             for name in ("rank", "dispatchers", "zone", "cross_zone_price")
         )
         size = subset_size(self.up, settings.dispatchers)
-        if same or (self.subset is None and self.up <= size * (1 + SLACK)):
+        if is_unchanged or (self.subset is None and self.up <= size * (1 + SIZE_TOLERANCE_FRACTION)):
             return []
-        return [self.switch(now, size)]
+        return [self.replace_view(now, size)]
 
     def forget(self, now: float) -> list[Event]:
-        """Forget what has been gone for long, here and in the module."""
-        most = max(MIN_GONE_RETAINED, len(self.entries) // GONE_RETAINED_DIVISOR)
-        forgotten = self.gone.expire(now, most)
+        """Drop expired gone workers; return the event that drops them in the decisions."""
+        max_gone = max(MIN_GONE_RETAINED, len(self.entries) // GONE_RETAINED_DIVISOR)
+        forgotten = self.gone.expire(now, max_gone)
         self.counts.forgotten += len(forgotten)
         for worker in forgotten:
             if worker not in self.banned:
@@ -427,16 +449,17 @@
     # ---- reach ----
 
     def record_ending(self, worker: str, ending: Ending, worker_unreachable: bool, now: float) -> list[Event]:
-        """Learn which zones are in reach from the end of an attempt or question; gives the module's news."""
+        """Update reachable zones from the end of an attempt or poll; return events for the decisions."""
         entry = self.entries.get(worker)
         if self.subset is None or entry is None:
             return []
         if not self.reach.record_ending(worker, entry.zone, ending, worker_unreachable, now):
             return []
-        lost, self.lost_zones = self.lost_zones, self.reach.lost
-        if lost != self.lost_zones:
-            count = len(self.lost_zones)
-            self.log("view", f"{count} zones out of reach" if count else "all zones in reach")
-        self.subset.lose(self.lost_zones, self.reach.answering)
-        told = self.recut(now) + self.enter(now)
-        return [EndpointListUpdate(ListScope.CHANGES, tuple(told))] if told else []
+        previously_unreachable = self.unreachable_zones
+        self.unreachable_zones = self.reach.unreachable
+        if previously_unreachable != self.unreachable_zones:
+            count = len(self.unreachable_zones)
+            self.log("view", f"{count} zones unreachable" if count else "all zones reachable")
+        self.subset.update_reach(self.unreachable_zones, self.reach.answering)
+        changes = self.update_membership(now) + self.admit(now)
+        return [EndpointListUpdate(ListScope.CHANGES, tuple(changes))] if changes else []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from benchmarks.scale.measures import Size, churned, dispatcher_of
 from elderstall.decisions.records import Worker
 from elderstall.interface import Actions, EndpointListUpdate, Event, ListScope, WorkerState
-from elderstall.routing.subset import MIN_SUBSET_SIZE, SLACK
+from elderstall.routing.subset import MIN_SUBSET_SIZE, SIZE_TOLERANCE_FRACTION
 from elderstall.routing.view import GONE_RETAINED_DIVISOR, MIN_GONE_RETAINED
 
 WORKERS = 3_000
@@ -159,7 +159,7 @@
             known = later["members"] or workers
             closed = max(MIN_GONE_RETAINED, known // GONE_RETAINED_DIVISOR)
             self.assertLessEqual(later["gone"], max(MIN_GONE_RETAINED, workers // GONE_RETAINED_DIVISOR))
-            self.assertLessEqual(later["module"], (1 + SLACK) * known + closed + 8)
+            self.assertLessEqual(later["module"], (1 + SIZE_TOLERANCE_FRACTION) * known + closed + 8)
             self.assertLessEqual(later.total(), 1.25 * first.total())
 
     def test_churn_replaces_workers_one_for_one(self) -> None:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""The subset of a large fleet that one dispatcher works with: even, small moves, bounded widening."""
+"""Subsets of a large fleet: evenly distributed, stable under changes, widened within a bound."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from elderstall.hashing import stable_hash
 from elderstall.interface import Ending
-from elderstall.routing.reach import MIN_FAILING_WORKERS, SEEN_FOR, ZoneReach
+from elderstall.routing.reach import FAILURE_RETENTION_MS, MIN_FAILING_WORKERS, ZoneReach
 from elderstall.routing.subset import (
+    MAX_WIDENING_FACTOR,
+    MIN_DISPATCHERS_PER_WORKER,
     MIN_SUBSET_SIZE,
     MIN_WORKERS_PER_KIND,
-    REPLICAS,
-    SLACK,
-    WIDEN_MOST,
-    Arc,
+    SIZE_TOLERANCE_FRACTION,
     Ring,
+    RingArc,
     Subset,
-    point,
+    dispatcher_point,
     subset_size,
 )
 
@@ -45,45 +45,45 @@
             self.assertGreaterEqual(subset_size(MIN_SUBSET_SIZE, dispatchers), MIN_SUBSET_SIZE)
         self.assertEqual(MIN_SUBSET_SIZE, subset_size(100, 40))
 
-    def test_each_worker_has_so_many_holders_at_least(self) -> None:
+    def test_each_worker_has_a_minimum_number_of_dispatchers(self) -> None:
         for workers, dispatchers in ((23_000, 230), (23_000, 100), (5_000, 10), (23_000, 23_000)):
             size = subset_size(workers, dispatchers)
-            self.assertGreaterEqual(size * dispatchers, REPLICAS * workers)
+            self.assertGreaterEqual(size * dispatchers, MIN_DISPATCHERS_PER_WORKER * workers)
 
 
 class Evenness(unittest.TestCase):
-    """Over all dispatchers, with the ring shared among them as it is the same at each."""
+    """Over all dispatchers; they share one ring object, as it is the same at each."""
 
-    def holders(self, workers: int, dispatchers: int, length: int) -> Counter[str]:
+    def dispatchers_by_worker(self, workers: int, dispatchers: int, length: int) -> Counter[str]:
         ring = Ring(NAMES[:workers])
         held: Counter[str] = Counter(dict.fromkeys(NAMES[:workers], 0))
         for rank in range(dispatchers):
-            arc = Arc(ring, point(rank), length)
-            arc.cut(lambda name: False)
+            arc = RingArc(ring, dispatcher_point(rank), length)
+            arc.recompute(lambda name: False)
             held.update(arc.members)
         return held
 
-    def test_holders_of_a_worker_are_nearly_as_many_for_each(self) -> None:
+    def test_each_worker_has_nearly_the_same_number_of_dispatchers(self) -> None:
         for dispatchers in (230, 500):
-            held = self.holders(5_000, dispatchers, 500)
+            held = self.dispatchers_by_worker(5_000, dispatchers, 500)
             mean = dispatchers * 500 / 5_000
             self.assertLessEqual(max(held.values()), 1.25 * mean)
             self.assertGreaterEqual(min(held.values()), 0.75 * mean)
 
 
-class Independent(unittest.TestCase):
-    def test_each_subset_has_its_part_of_any_share_of_the_names_hashes(self) -> None:
-        """The lane for urgent jobs is such a share: a subset all in it had no worker for long jobs."""
+class IndependentOfReservedWorkers(unittest.TestCase):
+    def test_each_subset_has_its_fraction_of_any_range_of_name_hashes(self) -> None:
+        """Reserved workers are such a range: a subset of them alone had none for long jobs."""
         workers = fleet(6_000, kinds=1)
         for rank in range(60):
             wanted = subset_of(workers, rank, 60).wanted()
-            lane = sum(stable_hash(name) < 2**32 / 4 for name in wanted) / len(wanted)
-            self.assertTrue(0.15 < lane < 0.35, lane)
+            reserved_fraction = sum(stable_hash(name) < 2**32 / 4 for name in wanted) / len(wanted)
+            self.assertTrue(0.15 < reserved_fraction < 0.35, reserved_fraction)
 
 
-class Own(unittest.TestCase):
-    def test_those_first_in_line_are_as_even_as_all(self) -> None:
-        """A dispatcher counts as its own the workers for which it stands first in line."""
+class OwnedWorkers(unittest.TestCase):
+    def test_owned_workers_are_as_evenly_distributed_as_all(self) -> None:
+        """A dispatcher owns the workers for which it has one of the first preference positions."""
         workers = fleet(2_400, kinds=2)
         owners: Counter[str] = Counter(dict.fromkeys((name for name, *_ in workers), 0))
         for rank in range(60):
@@ -95,146 +95,148 @@
         self.assertGreaterEqual(min(owners.values()), mean - 2)
 
 
-class Moves(unittest.TestCase):
-    def test_one_workers_change_moves_one_entry_at_its_holders_and_none_elsewhere(self) -> None:
+class Stability(unittest.TestCase):
+    def test_removing_a_worker_changes_one_entry_at_its_dispatchers_and_none_elsewhere(self) -> None:
         workers = fleet(3_000, kinds=1)
-        moved = holders = 0
+        moved = dispatchers = 0
         for rank in range(40):
             subset = subset_of(workers, rank, 40)
             before = subset.wanted()
             self.assertEqual(workers[7][0] in before, subset.remove(workers[7][0]))
             after = subset.wanted()
             moved += len(before ^ after)
-            holders += workers[7][0] in before
-        self.assertEqual(2 * holders, moved)  # out, and the next one in
-        self.assertLess(holders, 40)
+            dispatchers += workers[7][0] in before
+        self.assertEqual(2 * dispatchers, moved)  # one worker leaves and the next one enters
+        self.assertLess(dispatchers, 40)
 
-    def test_one_dispatcher_more_moves_nothing_at_the_others_while_the_size_stays(self) -> None:
+    def test_adding_a_dispatcher_changes_no_other_subset_of_the_same_size(self) -> None:
         workers = fleet(3_000)
         for rank in range(5):
             self.assertEqual(subset_of(workers, rank, 60).wanted(), subset_of(workers, rank, 61).wanted())
 
     @settings(max_examples=30, deadline=None)
     @given(st.lists(st.integers(0, 1_599), max_size=60), st.integers(0, 59))
-    def test_changes_one_by_one_come_to_the_same_as_a_fresh_start(
-        self, toggles: list[int], rank: int
-    ) -> None:
+    def test_incremental_changes_equal_a_rebuild(self, toggles: list[int], rank: int) -> None:
         workers = fleet(1_600)
-        there = dict.fromkeys(range(1_500))
+        present = dict.fromkeys(range(1_500))
         subset = subset_of(workers[:1_500], rank, home="zone-2")
         before = subset.wanted()
         for n in toggles:
             name, kind, zone = workers[n]
-            if n in there:
-                del there[n]
+            if n in present:
+                del present[n]
                 changed = subset.remove(name)
             else:
-                there[n] = None
+                present[n] = None
                 changed = subset.add(name, kind, zone)
             after = subset.wanted()
             self.assertTrue(changed or before == after)
             before = after
-        fresh = subset_of([workers[n] for n in there], rank, home="zone-2")
+        fresh = subset_of([workers[n] for n in present], rank, home="zone-2")
         if subset.sized_for == fresh.sized_for:
             self.assertEqual(fresh.wanted(), before)
-        else:  # sizes are worked out anew only when the fleet has changed by more than the slack
-            self.assertLessEqual(abs(subset.sized_for - len(there)), SLACK * subset.sized_for)
+        else:  # sizes are recomputed only when the fleet has changed by more than the tolerance
+            self.assertLessEqual(
+                abs(subset.sized_for - len(present)), SIZE_TOLERANCE_FRACTION * subset.sized_for
+            )
             self.assertLessEqual(len(fresh.wanted() ^ before), len(toggles) + 4)
 
 
-class Present(unittest.TestCase):
-    def test_each_kind_and_the_own_zone_are_there(self) -> None:
+class Coverage(unittest.TestCase):
+    def test_each_kind_and_the_home_zone_are_included(self) -> None:
         workers = fleet(5_000, kinds=1) + [(f"rare-{n}", "rare", "zone-1") for n in range(30)]
         subset = subset_of(workers, home="zone-5")
         wanted = subset.wanted()
         self.assertEqual(30, sum(name.startswith("rare") for name in wanted))
-        own = [name for name, _, zone in workers if name in wanted and zone == "zone-5"]
-        self.assertGreaterEqual(len(own), MIN_WORKERS_PER_KIND)
+        home_workers = [name for name, _, zone in workers if name in wanted and zone == "zone-5"]
+        self.assertGreaterEqual(len(home_workers), MIN_WORKERS_PER_KIND)
         self.assertLessEqual(len(wanted), subset.size + 2 * MIN_WORKERS_PER_KIND + 2)
 
-    def test_many_kinds_do_not_make_it_larger_without_a_bound(self) -> None:
+    def test_many_kinds_enlarge_it_by_a_bounded_number(self) -> None:
         subset = subset_of(fleet(5_000, kinds=500))
         self.assertLessEqual(len(subset.wanted()), subset.size + 500)
 
 
 class Widening(unittest.TestCase):
-    def test_for_each_worker_out_of_reach_one_is_taken_that_is_not(self) -> None:
+    def test_each_unreachable_worker_is_replaced_by_a_reachable_one(self) -> None:
         workers = fleet(5_000, kinds=1)
         subset = subset_of(workers)
         usual = subset.wanted()
-        subset.lose(frozenset({"zone-1", "zone-2"}), frozenset())
-        self.assertEqual(usual, subset.wanted())  # nobody else has answered since
-        subset.lose(frozenset({"zone-1", "zone-2"}), ZONES - {"zone-1", "zone-2"})
+        subset.update_reach(frozenset({"zone-1", "zone-2"}), frozenset())
+        self.assertEqual(usual, subset.wanted())  # no other zone has answered since
+        subset.update_reach(frozenset({"zone-1", "zone-2"}), ZONES - {"zone-1", "zone-2"})
         lost = {name for name, _, zone in workers if zone in ("zone-1", "zone-2")}
         extra = subset.wanted() - usual
         self.assertEqual(len(usual & lost), len(extra))
         self.assertEqual(set(), extra & lost)
         self.assertEqual(len(extra), subset.widened)
-        subset.lose(frozenset(), frozenset())
+        subset.update_reach(frozenset(), frozenset())
         self.assertEqual(usual, subset.wanted())
         self.assertEqual(0, subset.widened)
 
-    def test_it_is_bounded_and_reaches_the_part_that_is_left_when_regions_part(self) -> None:
+    def test_it_is_bounded_and_covers_the_reachable_workers_when_regions_are_partitioned(self) -> None:
         workers = fleet(6_000, kinds=1)
         subset = subset_of(workers, dispatchers=600)
         usual = len(subset.wanted())
-        cut = frozenset(f"zone-{n}" for n in range(36))  # nine in ten
-        subset.lose(cut, ZONES - cut)
-        left = {name for name, _, zone in workers if zone in {f"zone-{n}" for n in range(36, 40)}}
-        self.assertLessEqual(len(subset.wanted()), WIDEN_MOST * usual)
-        self.assertEqual(left, left & subset.wanted())  # 600: all there are, of the 1,024 that it would take
-        subset.lose(ZONES, frozenset())
+        unreachable = frozenset(f"zone-{n}" for n in range(36))  # nine in ten
+        subset.update_reach(unreachable, ZONES - unreachable)
+        reachable = {name for name, _, zone in workers if zone in {f"zone-{n}" for n in range(36, 40)}}
+        self.assertLessEqual(len(subset.wanted()), MAX_WIDENING_FACTOR * usual)
+        self.assertEqual(
+            reachable, reachable & subset.wanted()
+        )  # all 600 reachable workers, where 1,024 would fit
+        subset.update_reach(ZONES, frozenset())
         self.assertEqual(usual, len(subset.wanted()))
 
-    def test_dispatchers_do_not_all_fall_on_the_same_workers(self) -> None:
+    def test_dispatchers_do_not_all_choose_the_same_replacements(self) -> None:
         ring = Ring(NAMES[:5_000])
         lost = frozenset(NAMES[:5_000:10])  # a tenth
         extra: Counter[str] = Counter()
         for rank in range(250):
-            arc = Arc(ring, point(rank), 500)
-            arc.cut(lambda name: False)
+            arc = RingArc(ring, dispatcher_point(rank), 500)
+            arc.recompute(lambda name: False)
             usual = arc.members
-            arc.cut(lost.__contains__, lambda name: name not in lost)
+            arc.recompute(lost.__contains__, lambda name: name not in lost)
             extra.update(arc.members - usual)
         self.assertGreater(len(extra), 0.8 * 4_500)
         self.assertLessEqual(max(extra.values()), 3 * sum(extra.values()) / 4_500)
 
 
 class Reach(unittest.TestCase):
-    def fails(self, reach: ZoneReach, *workers: str, now: float = 0.0) -> frozenset[str | None]:
+    def after_failures(self, reach: ZoneReach, *workers: str, now: float = 0.0) -> frozenset[str | None]:
         for worker in workers:
             reach.record_ending(worker, "a", Ending.UNREACHABLE, True, now)
-        return reach.lost
+        return reach.unreachable
 
-    def takes(self, reach: ZoneReach, worker: str, zone: str, ending: Ending) -> frozenset[str | None]:
+    def after_ending(self, reach: ZoneReach, worker: str, zone: str, ending: Ending) -> frozenset[str | None]:
         reach.record_ending(worker, zone, ending, False, 1.0)
-        return reach.lost
+        return reach.unreachable
 
-    def test_one_worker_however_often_says_nothing_of_its_zone(self) -> None:
-        self.assertEqual(frozenset(), self.fails(ZoneReach(), *["w1"] * 20))
+    def test_repeated_failures_of_one_worker_do_not_make_its_zone_unreachable(self) -> None:
+        self.assertEqual(frozenset(), self.after_failures(ZoneReach(), *["w1"] * 20))
 
-    def test_several_in_a_row_do_until_one_answers(self) -> None:
+    def test_failures_of_several_workers_in_a_row_do_until_one_answers(self) -> None:
         reach = ZoneReach()
-        self.assertEqual({"a"}, self.fails(reach, "w1", "w2", "w3"))
-        for nothing in (Ending.CANCELLED, Ending.NEVER_SENT, Ending.TIMED_OUT, Ending.UNREACHABLE):
-            self.assertEqual({"a"}, self.takes(reach, "w4", "a", nothing))
+        self.assertEqual({"a"}, self.after_failures(reach, "w1", "w2", "w3"))
+        for inconclusive in (Ending.CANCELLED, Ending.NEVER_SENT, Ending.TIMED_OUT, Ending.UNREACHABLE):
+            self.assertEqual({"a"}, self.after_ending(reach, "w4", "a", inconclusive))
         self.assertEqual(frozenset(), reach.answering)
-        self.assertEqual({"a"}, self.takes(reach, "v1", "b", Ending.SERVED))
+        self.assertEqual({"a"}, self.after_ending(reach, "v1", "b", Ending.SERVED))
         self.assertEqual({"b"}, reach.answering)
-        self.assertEqual(frozenset(), self.takes(reach, "w1", "a", Ending.FULL))
+        self.assertEqual(frozenset(), self.after_ending(reach, "w1", "a", Ending.FULL))
         self.assertEqual(frozenset(), reach.answering)
-        self.assertEqual(frozenset(), self.fails(reach, "w1", "w2"))
+        self.assertEqual(frozenset(), self.after_failures(reach, "w1", "w2"))
 
-    def test_want_of_descriptors_says_nothing_of_any_zone(self) -> None:
+    def test_lack_of_descriptors_makes_no_zone_unreachable(self) -> None:
         reach = ZoneReach()
         for name in NAMES[:50]:
-            self.assertEqual(frozenset(), self.takes(reach, name, "a", Ending.UNREACHABLE))
+            self.assertEqual(frozenset(), self.after_ending(reach, name, "a", Ending.UNREACHABLE))
 
-    def test_failures_long_ago_do_not_count_and_what_is_kept_is_bounded(self) -> None:
+    def test_old_failures_do_not_count_and_their_number_is_bounded(self) -> None:
         reach = ZoneReach()
-        self.fails(reach, "w1", "w2")
-        self.assertEqual(frozenset(), self.fails(reach, "w3", now=SEEN_FOR + 1.0))
-        self.fails(reach, *NAMES[:500], now=SEEN_FOR + 2.0)
+        self.after_failures(reach, "w1", "w2")
+        self.assertEqual(frozenset(), self.after_failures(reach, "w3", now=FAILURE_RETENTION_MS + 1.0))
+        self.after_failures(reach, *NAMES[:500], now=FAILURE_RETENTION_MS + 2.0)
         self.assertEqual(MIN_FAILING_WORKERS, len(reach.failing["a"]))
 
 
