--- a/benchmarks/scale/measures.py
+++ b/benchmarks/scale/measures.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.fleets import EPOCH, entries, list_text, replacements
 from benchmarks.scale.hollow import HollowDispatcher, settings_of
 from elderstall.interface import WorkerState
-from elderstall.net.discovery import list_of
+from elderstall.net.discovery import parse_list
 from elderstall.routing import subset
 
 IDLE = 60_000.0  # ms
@@ -63,7 +63,7 @@
 def read_list(size: Size) -> float:
     """Give the time to read a whole list from its bytes, ms."""
     text = list_text(size.workers)
-    return cpu_ms(lambda: list_of(json.loads(text), live=False))
+    return cpu_ms(lambda: parse_list(json.loads(text), live=False))
 
 
 def take_list(size: Size) -> float:
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -19,7 +19,7 @@
 from elderstall.interface import Endpoint
 from elderstall.log import Log
 from elderstall.net.accepting import RESOURCE_ERRORS, Acceptor
-from elderstall.net.console import CALLERS, Console
+from elderstall.net.console import MAX_CONSOLE_CONNECTIONS, Console
 from elderstall.net.discovery import Discovery, WatchConnection
 from elderstall.net.handover.process_state import ProcessState
 from elderstall.net.handover.search import Offer
@@ -150,7 +150,7 @@
 
     def console_opened(self, port: Any) -> None:
         """Accept operators' calls."""
-        self.console_acceptor = Acceptor(port, self.deadlines, self.log, lambda: CALLERS)
+        self.console_acceptor = Acceptor(port, self.deadlines, self.log, lambda: MAX_CONSOLE_CONNECTIONS)
         at = port.getHost()
         self.log.write("console", f"{at.host}:{at.port}")
         self.find_predecessor()
@@ -223,7 +223,7 @@
 
     def take_list(self, known: Any) -> tuple[Endpoint, ...]:
         """Take the endpoint list that is known at the start; what is listed from here on is the view's."""
-        _, entries = self.discovery.take(known) or (None, ())
+        _, entries = self.discovery.merge(known) or (None, ())
         self.config = replace(self.config, known=None)
         return entries
 
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -10,13 +10,15 @@
 from typing import Any
 
 from elderstall.interface import Settings
-from elderstall.net.console import CALLERS
-from elderstall.net.discovery import ListError, list_of
+from elderstall.net.console import MAX_CONSOLE_CONNECTIONS
+from elderstall.net.discovery import ListError, parse_list
 from elderstall.settings import settings_of
 
 IDLE_PART = 0.8  # of the workers' conn_idle that our connections stay idle: clearly earlier
 OWN_PART = 16  # one descriptor in so many, and 16 at least, is for the program itself
-CONSOLE_OWN = CALLERS + 1  # descriptors that the second address keeps back: its callers, and its listener
+CONSOLE_OWN = (
+    MAX_CONSOLE_CONNECTIONS + 1
+)  # descriptors that the second address keeps back: its callers, and its listener
 WORKER_PART = 0.3  # of the others are for connections to workers
 SOFT_PART = 0.8  # of the clients' descriptors are used before connections are shed
 MIN_SOCKETS = 64
@@ -158,7 +160,7 @@
     live = settings_raw.get("weight_source") == "live"
     known = raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
     try:
-        list_of(known, live)
+        parse_list(known, live)
     except ListError as error:
         raise ConfigError(f"known: {error}") from None
     host, port = address_of(told("listen"), "listen")
--- a/elderstall/net/__init__.py
+++ b/elderstall/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wire: buffers, HTTP, the listener, the worker pools, discovery and event streams."""
+"""Network I/O: buffers, HTTP, the listener, the worker pools, discovery and event streams."""
--- a/elderstall/net/accepting.py
+++ b/elderstall/net/accepting.py
@@ -1,9 +1,9 @@
-"""Accepting connections on a listening port, whatever errors ``accept`` ends in.
+"""Accepting connections on a listening port, with handling of every error of ``accept``.
 
-Twisted's own loop raises what it does not know, tries again in the next turn whatever the cause (a
-level-triggered poll would spin), and without descriptors closes the clients that wait. Here an error of a
-single connection is passed over, and a lack of resources is waited for: those in the listener's queue stay
-there, and come in later.
+Twisted's own loop raises unknown errors, retries in the next reactor iteration whatever the cause (a
+level-triggered poll would spin), and closes waiting clients when descriptors run out. Here an error of a
+single connection is skipped, and a lack of resources pauses accepting: waiting clients stay in the listener's
+queue and are accepted later.
 """
 
 from __future__ import annotations
@@ -17,34 +17,35 @@
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.log import Log
 
-# What accept(2) says of the one connection that it has taken from the queue: the next may be good.
+# Errors of accept(2) that concern only the connection taken from the queue: the next one may succeed.
 CONNECTION_ERRORS = frozenset({
     errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT,
     errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT,
     errno.EINTR})  # fmt: skip
-# A lack that passes: of descriptors, memory, or room for one more in a poll.
+# Temporary lack of descriptors, memory, or room for one more descriptor in a poll.
 RESOURCE_ERRORS = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC, errno.EINTR})  # fmt: skip
-ERRORS_AT_ONCE = 8  # errors of single connections in a row, after which accepting pauses all the same
-PAUSE_FIRST = 5.0  # ms of the first pause; each further one in a row is twice as long
-PAUSE_MOST = 100.0  # ms
-PAUSE_DOUBLINGS = 5  # from the first pause to beyond the longest
+MAX_CONSECUTIVE_ERRORS = 8  # errors of single connections after which accepting pauses nevertheless
+MIN_PAUSE_MS = 5.0  # the first pause; each further consecutive one is twice as long
+MAX_PAUSE_MS = 100.0
+MAX_PAUSE_DOUBLINGS = 5  # enough to exceed the longest pause
 
 
 def error_name(error: OSError) -> str:
-    """Name the error, as ``ENFILE``."""
+    """Return the symbolic name of an error, such as ``ENFILE``."""
     return errno.errorcode.get(error.errno or 0, type(error).__name__)
 
 
 class ListeningSocket:
-    """A listening socket whose ``accept`` fails in one way only: that no connection is waiting."""
+    """A listening socket whose ``accept`` raises only BlockingIOError, as if no connection were waiting."""
 
     def __init__(self, sock: Any, failed: Callable[[OSError], bool], succeeded: Callable[[], None]) -> None:
         self.sock = sock  # a socket.socket
-        self.failed, self.succeeded = failed, succeeded
+        self.failed = failed
+        self.succeeded = succeeded
 
     def accept(self) -> Any:
-        """Accept a connection, the first one that can be."""
+        """Return the first connection that can be accepted."""
         while True:
             try:
                 accepted = self.sock.accept()
@@ -52,7 +53,7 @@
                 raise
             except OSError as error:
                 if not self.failed(error):
-                    raise BlockingIOError(errno.EAGAIN, "accepting pauses") from error
+                    raise BlockingIOError(errno.EAGAIN, "accepting is paused after an error") from error
             else:
                 self.succeeded()
                 return accepted
@@ -62,30 +63,36 @@
 
 
 class Acceptor:
-    """Decides when a port is read, and how many connections it takes in one turn."""
+    """Decides when a port is read, and how many connections it accepts in one reactor iteration."""
 
     def __init__(self, port: Any, deadlines: Deadlines, log: Log, capacity_left: Callable[[], int]) -> None:
-        self.port, self.deadlines, self.log = port, deadlines, log  # port: a twisted.internet.tcp.Port
+        self.port = port  # a twisted.internet.tcp.Port
+        self.deadlines = deadlines
+        self.log = log
         self.capacity_left = capacity_left
         self.errors: Counter[str] = Counter()  # by name, since the start
-        self.errors_in_a_row = self.pauses_in_a_row = 0
-        self.enabled, self.closed = True, False
+        self.consecutive_errors = 0
+        self.consecutive_pauses = 0
+        self.enabled = True
+        self.closed = False
         self.pause: Deadline | None = None
         port.socket = ListeningSocket(port.socket, self.failed, self.succeeded)
-        self.read_port, port.doRead = port.doRead, self.read
-        self.make_transport, port.transport = port.transport, self.transport
+        self.read_port = port.doRead
+        port.doRead = self.read
+        self.make_transport = port.transport
+        port.transport = self.transport
 
     def read(self) -> None:
-        """Take no more connections in one turn than there is room for.
+        """Accept no more connections in one reactor iteration than there is capacity for.
 
-        Twisted's port takes up to a hundred and more in one go: idle clients that come in a burst would have
-        the descriptors that workers and discovery need. Those left in the queue come in the next turn.
+        Twisted's port accepts a hundred or more at once: a burst of idle clients would use up the descriptors
+        that workers and discovery need. Clients left in the queue are accepted in the next iteration.
         """
         self.port.numberAccepts = max(1, min(self.port.numberAccepts, self.capacity_left()))
         self.read_port()
 
     def transport(self, sock: socket.socket, *args: Any) -> Any:
-        """Have the reactor take an accepted connection on; where it cannot, the connection is closed."""
+        """Return the transport of an accepted connection; close the connection where none can be made."""
         try:
             return self.make_transport(sock, *args)
         except OSError as error:
@@ -94,43 +101,45 @@
             raise
 
     def succeeded(self) -> None:
-        """Note a connection accepted."""
-        self.errors_in_a_row = self.pauses_in_a_row = 0
+        """Record an accepted connection."""
+        self.consecutive_errors = 0
+        self.consecutive_pauses = 0
 
     def failed(self, error: OSError) -> bool:
-        """Count an error; say whether the next connection may be tried at once."""
+        """Count an error; return whether the next connection may be accepted at once."""
         name = error_name(error)
         self.errors[name] += 1
-        self.errors_in_a_row += 1
+        self.consecutive_errors += 1
         self.log.write_rate_limited(
-            "accept", f"failed with {name}, {self.errors[name]} times since the start"
+            "accept",
+            f"failed with {name} ({self.errors[name]} times since the start); waiting clients stay queued",
         )
-        if error.errno in CONNECTION_ERRORS and self.errors_in_a_row < ERRORS_AT_ONCE:
+        if error.errno in CONNECTION_ERRORS and self.consecutive_errors < MAX_CONSECUTIVE_ERRORS:
             return True
-        self.rest()
+        self.start_pause()
         return False
 
-    def rest(self) -> None:
-        """Leave the port alone for a while: it stays readable, and each turn would fail again."""
+    def start_pause(self) -> None:
+        """Stop reading the port for a while: it stays readable, and every iteration would fail again."""
         if self.pause is None:
-            delay = min(PAUSE_MOST, PAUSE_FIRST * 2 ** min(self.pauses_in_a_row, PAUSE_DOUBLINGS))
-            self.pauses_in_a_row += 1
+            delay = min(MAX_PAUSE_MS, MIN_PAUSE_MS * 2 ** min(self.consecutive_pauses, MAX_PAUSE_DOUBLINGS))
+            self.consecutive_pauses += 1
             self.pause = self.deadlines.after(delay, self.resume)
             self.update()
 
     def resume(self) -> None:
-        """Try again."""
+        """Resume accepting after a pause."""
         self.pause = None
-        self.errors_in_a_row = 0
+        self.consecutive_errors = 0
         self.update()
 
     def enable(self, on: bool) -> None:
-        """Accept connections or not."""
+        """Enable or disable accepting."""
         self.enabled = on
         self.update()
 
     def update(self) -> None:
-        """Have the reactor read the port, or not."""
+        """Start or stop the reactor's reading of the port."""
         if not self.closed and self.port.connected:
             (self.port.startReading if self.enabled and self.pause is None else self.port.stopReading)()
 
--- a/elderstall/net/console.py
+++ b/elderstall/net/console.py
@@ -1,4 +1,4 @@
-"""The second address: operators' calls, one a connection, and the program's figures."""
+"""The operators' console on the second address: one call per connection, and the figures."""
 
 from __future__ import annotations
 
@@ -16,48 +16,53 @@
 from elderstall.net import http
 from elderstall.slots import Slots
 
-CALLERS = 16  # connections at once: a few fetch figures, a few make calls, the rest say nothing
-PATIENCE = 5_000.0  # ms for a whole call: the slow ones of operators' scripts stay for 4 s
-LINGER = 1_000.0  # ms of reading on after the answer, so that a reset does not overtake it
-PREFIX = "edge_relay"
+MAX_CONSOLE_CONNECTIONS = 16  # a few fetch figures or make calls, others may be idle
+CALL_TIMEOUT_MS = 5_000.0  # to receive a whole call: slow scripts of operators need up to 4 s
+LINGER_MS = 1_000.0  # reading continues after the answer, so that a reset does not discard it
+FIGURE_PREFIX = "edge_relay"
 
-Call = Callable[[str], "bool | Deferred[bool]"]  # from what the query names to a yes or no
+Call = Callable[[str], "bool | Deferred[bool]"]  # from the id in the query to whether the worker is known
 
 
-def figures_text(f: Figures) -> bytes:
-    """Write the figures, one a line."""
+def figures_text(figures: Figures) -> bytes:
+    """Return the figures as text, one per line."""
     lines = [
-        f"handled.{name}.{what}={counts[name]}"
-        for name in f.classes
-        for what, counts in (("passed", f.served), ("dropped", f.rejected), ("bad_gateway", f.failed))
+        f"handled.{name}.{outcome}={counts[name]}"
+        for name in figures.classes
+        for outcome, counts in (
+            ("passed", figures.served),
+            ("dropped", figures.rejected),
+            ("bad_gateway", figures.failed),
+        )
     ]
     lines += [
-        f"handled.{name}.unserved.{why.replace(' ', '_')}={n}" for (name, why), n in sorted(f.reasons.items())
+        f"handled.{name}.unserved.{reason.replace(' ', '_')}={n}"
+        for (name, reason), n in sorted(figures.reasons.items())
     ]
     lines += [
-        f"upstream_tries={f.attempts_written}",
-        f"in_progress={f.jobs}",
-        f"known_card_workers={f.workers_listed}",
-        f"skipped_card_workers={f.workers_skipped}",
-        f"loads={f.settings_loads}",
-        f"load_errors={f.settings_load_errors}",
-        f"worker_questions={f.polls}",
-        f"list_calls={f.list_calls}",
-        f"list_calls_failed={f.list_calls_failed}",
-        f"list_age_ms={f.list_age:.0f}",
-        f"workers_listed={f.workers_listed}",
-        f"workers_in_view={f.workers_in_view}",
-        f"workers_widened={f.workers_widened}",
-        f"zones_out_of_reach={f.zones_out_of_reach}",
-        f"workers_forgotten={f.workers_forgotten}",
-        f"lists_refused={f.lists_refused}",
-        f"list_entries_odd={f.odd_entries}",
+        f"upstream_tries={figures.attempts_written}",
+        f"in_progress={figures.jobs}",
+        f"known_card_workers={figures.workers_listed}",
+        f"skipped_card_workers={figures.workers_skipped}",
+        f"loads={figures.settings_loads}",
+        f"load_errors={figures.settings_load_errors}",
+        f"worker_questions={figures.polls}",
+        f"list_calls={figures.list_calls}",
+        f"list_calls_failed={figures.list_calls_failed}",
+        f"list_age_ms={figures.list_age:.0f}",
+        f"workers_listed={figures.workers_listed}",
+        f"workers_in_view={figures.workers_in_view}",
+        f"workers_widened={figures.workers_widened}",
+        f"zones_out_of_reach={figures.zones_out_of_reach}",
+        f"workers_forgotten={figures.workers_forgotten}",
+        f"lists_refused={figures.lists_refused}",
+        f"list_entries_odd={figures.odd_entries}",
     ]
-    return "".join(f"{PREFIX}.{line}\n" for line in lines).encode()
+    return "".join(f"{FIGURE_PREFIX}.{line}\n" for line in lines).encode()
 
 
 class ConsoleConnection(Protocol):
-    """One caller: one call, one answer, and the end."""
+    """A connection to the console: one call and one answer."""
 
     transport: Any  # ITCPTransport, as zope's interfaces say nothing to mypy
 
@@ -66,14 +71,16 @@
         self.parser = http.Parser()
         self.message: http.Message | None = None
         self.number = 0
-        self.called = self.ended = False  # its call is whole, nothing more is read; told to close
-        self.began = 0.0
+        self.called = False  # the call is complete, nothing more is read
+        self.ended = False  # the connection is being aborted
+        self.began_at = 0.0
         self.reason = "peer-closed"
         self.timer: Deadline | None = None
 
     def connectionMade(self) -> None:  # noqa: N802, D102
-        self.number, self.began = self.console.callers.add(self), self.console.deadlines.now()
-        self.timer = self.console.deadlines.after(PATIENCE, self.end, "silent")
+        self.number = self.console.callers.add(self)
+        self.began_at = self.console.deadlines.now()
+        self.timer = self.console.deadlines.after(CALL_TIMEOUT_MS, self.end, "silent")
         self.console.enforce_limit()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
@@ -86,32 +93,33 @@
                     self.message = event.message
                 elif isinstance(event, http.End) and self.message is not None:
                     self.called = True
-                    self.console.take(self, self.message)
+                    self.console.handle_call(self, self.message)
         except http.MessageError as error:
             self.answer(error.status, f"{error}\n".encode())
         except Exception as error:
-            # Guards the program against a fault met in one call.
+            # An error in one call must not end the process.
             self.console.log.failure("call", error)
             self.answer(500, b"internal error\n")
 
     def answer(self, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = ()) -> None:
-        """Give the one answer and close our side."""
+        """Send the answer and close the sending direction."""
         self.called = True
         self.reason = "answered"
         self.parser.buffer.clear()
         self.transport.write(http.response(status, body, headers, close=True))
         self.transport.loseWriteConnection()
-        self.wait(LINGER)
+        self.end_after(LINGER_MS)
 
-    def wait(self, delay: float) -> None:
-        """Give the caller so long to go."""
+    def end_after(self, delay: float) -> None:
+        """End the connection after ``delay`` ms."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.console.deadlines.after(delay, self.end, self.reason)
 
     def end(self, reason: str) -> None:
-        """End the connection."""
-        self.reason, self.ended = reason, True
+        """Abort the connection."""
+        self.reason = reason
+        self.ended = True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
@@ -119,12 +127,12 @@
             self.timer.cancel()
         self.called = True
         self.console.callers.remove(self.number)
-        if self.reason != "answered":  # scripts call all day: what went well is no news
+        if self.reason != "answered":  # scripts call frequently, so answered calls are not logged
             self.console.log.ended("console", self.number, self.reason)
 
 
 class Console(Factory):
-    """The listener of the second address."""
+    """The listener of the console."""
 
     noisy = False
 
@@ -136,8 +144,11 @@
         figures: Callable[[], Figures],
         calls: dict[str, Call],
     ) -> None:
-        self.deadlines, self.log = deadlines, log
-        self.ready, self.figures, self.calls = ready, figures, calls
+        self.deadlines = deadlines
+        self.log = log
+        self.ready = ready
+        self.figures = figures
+        self.calls = calls
         self.callers: Slots[ConsoleConnection] = Slots()
 
     def buildProtocol(self, addr: object) -> ConsoleConnection:  # noqa: N802, D102
@@ -145,43 +156,55 @@
 
     @property
     def answering(self) -> bool:
-        """Whether an answer is still being taken."""
-        return any(c.called and not c.ended for c in self.callers)
+        """Whether an answer is still being sent or read."""
+        return any(connection.called and not connection.ended for connection in self.callers)
 
     def enforce_limit(self) -> None:
-        """Keep to the number of callers: who has been there longest goes first.
+        """End a connection over the limit: answered ones first, then incomplete calls, each oldest first.
 
-        Guards the next call against those that say nothing, or half a call, and stay.
+        Idle connections and incomplete calls would otherwise block new calls.
         """
-        here = [c for c in self.callers if not c.ended]
-        if len(here) > CALLERS:
-            min(here, key=lambda c: (c.reason != "answered", c.called, c.began)).end("crowded")
-
-    def take(self, c: ConsoleConnection, message: http.Message) -> None:
-        """Answer a whole call."""
+        connections = [connection for connection in self.callers if not connection.ended]
+        if len(connections) > MAX_CONSOLE_CONNECTIONS:
+            first_to_end = min(
+                connections,
+                key=lambda connection: (
+                    connection.reason != "answered",
+                    connection.called,
+                    connection.began_at,
+                ),
+            )
+            first_to_end.end("crowded")
+
+    def handle_call(self, connection: ConsoleConnection, message: http.Message) -> None:
+        """Answer a complete call."""
         url = urlsplit(message.target)
         method = "POST" if url.path in self.calls else "GET"
         if url.path not in self.calls and url.path not in ("/api/ready", "/api/telemetry"):
-            c.answer(404, b"no such call\n")
+            connection.answer(404, b"no such call\n")
         elif message.method != method:
-            c.answer(405, f"{method} only\n".encode(), (("Allow", method),))
+            connection.answer(405, f"{method} only\n".encode(), (("Allow", method),))
         elif url.path == "/api/telemetry":
-            c.answer(200, figures_text(self.figures()), (("Content-Type", "text/plain; charset=utf-8"),))
+            connection.answer(
+                200, figures_text(self.figures()), (("Content-Type", "text/plain; charset=utf-8"),)
+            )
         elif url.path == "/api/ready":
-            good = self.ready()
-            c.answer(200 if good else 503, b"ready\n" if good else b"not ready\n")
+            is_ready = self.ready()
+            connection.answer(200 if is_ready else 503, b"ready\n" if is_ready else b"not ready\n")
         else:
-            self.call(c, url.path, parse_qs(url.query, max_num_fields=20).get("id", []))
+            self.call_worker(connection, url.path, parse_qs(url.query, max_num_fields=20).get("id", []))
 
-    def call(self, c: ConsoleConnection, path: str, names: list[str]) -> None:
-        """Make a call about one card worker."""
+    def call_worker(self, connection: ConsoleConnection, path: str, names: list[str]) -> None:
+        """Make a call that concerns one worker."""
         if len(names) != 1:
-            c.answer(400, b"one id is needed\n")
+            connection.answer(400, b"one id is needed\n")
             return
 
-        def answered(good: bool) -> None:
-            self.log.write("call", f"{path} {names[0][:100]!r}: {'yes' if good else 'no'}")
-            c.answer(200 if good else 404, b"yes\n" if good else b"no such card worker was ever listed\n")
+        def answered(is_known: bool) -> None:
+            self.log.write("call", f"{path} {names[0][:100]!r}: {'yes' if is_known else 'no'}")
+            connection.answer(
+                200 if is_known else 404, b"yes\n" if is_known else b"no such card worker was ever listed\n"
+            )
 
         result = self.calls[path](names[0])
         if isinstance(result, Deferred):
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: one watch on the list of workers, resumed where it broke."""
+"""Client of discovery: a watch on the endpoint list, resumed at the last version after a failure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from sys import intern
 from typing import Any
-from typing import Protocol as Shape
+from typing import Protocol as TypingProtocol
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Factory, Protocol, connectionDone
@@ -25,101 +25,106 @@
     "terminating": WorkerState.DRAINING,
     "terminated": WorkerState.GONE,
 }
-MOST = 1e15  # of any number in a list
-MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of one list: 1,024 workers take 160 KB, indented 300 KB
-LIFE_BYTES = 4 * 1024  # of a long list, as a sign of life while it still comes: fewer may drip for ever
-SILENT_FOR = 2_500.0  # ms without a line on a watch: an empty one comes every 2 s
-ANSWER_IN = 4_000.0  # ms for the first line of a call, which may wait in discovery's queue
-# ms after which a call without an answer is joined by a second one. What a silent watch misses counts as told
-# 6 s after its last line: 2.5 s to notice it, up to 1.5 s before the call (recovery/listing.py), 1.25 s for
-# this, and 0.75 s for the second call's answer. After a start or a failed call: 2.5 s, 2 s and 1.5 s.
-HEDGE_AFTER_SILENCE = 1_250.0
-HEDGE_AFTER = 2_000.0
+MAX_LIST_NUMBER = 1e15  # exclusive bound of any number in a list
+MAX_LIST_BYTES = 4 * 1024 * 1024  # of one list; 1,024 workers need 160 KB, or 300 KB indented
+MIN_PROGRESS_BYTES = 4 * 1024  # of a list in transit, per restart of the timeout: less could trickle for ever
+SILENCE_TIMEOUT_MS = 2_500.0  # without a line on a watch; discovery sends an empty line every 2 s
+ANSWER_TIMEOUT_MS = 4_000.0  # for the first line of a call, which may wait in discovery's queue
+# Delays after which a second call is made beside an unanswered one. Changes that a silent watch misses count
+# as received 6 s after its last line: 2.5 s until the silence is detected, up to 1.5 s before the call
+# (recovery/listing.py), 1.25 s for this delay, and 0.75 s for the second call's answer. After a start or a
+# failed call: 2.5 s, 2 s and 1.5 s.
+HEDGE_DELAY_AFTER_SILENCE_MS = 1_250.0
+HEDGE_DELAY_MS = 2_000.0
 
 
 class ListError(Exception):
-    """An answer of discovery that is no list."""
+    """An answer of discovery that is not a valid list."""
 
 
-class Pools(Shape):
-    """What is told of addresses."""
+class AddressRegistry(TypingProtocol):
+    """Receiver of the addresses of listed workers."""
 
     def update_endpoint(self, name: str, address: str, started: float | None) -> None:
-        """Take a worker's address, and its start as the list gives it."""
+        """Set a worker's address and its listed start."""
 
     def remove_endpoint(self, name: str) -> None:
-        """Forget a worker."""
+        """Remove a worker's address."""
 
 
 ListUpdateHandler = Callable[[ListScope, tuple[Endpoint, ...]], None]
 Connect = Callable[[Factory], Deferred["WatchConnection"]]
 
 
-def entry_of(e: Any, live: bool) -> tuple[Endpoint, str]:
-    """Read one line of a list."""
+def parse_entry(raw: Any, live: bool) -> tuple[Endpoint, str]:
+    """Return the endpoint and the address from one entry of a list. Raises ListError."""
     try:
-        name, address, state = e["name"], e["address"], STATES[e["status"]]
-        started, weight = float(e.get("since_ms") or 0), float(e.get("weight") or 0)
-        kind, zone = str(e.get("type") or ""), e.get("zone")
-        # Of the same few kinds and zones in every entry of a large list one copy is kept.
+        name = raw["name"]
+        address = raw["address"]
+        state = STATES[raw["status"]]
+        started = float(raw.get("since_ms") or 0)
+        weight = float(raw.get("weight") or 0)
+        kind = str(raw.get("type") or "")
+        zone = raw.get("zone")
+        # Kinds and zones are interned: they recur in every entry of a large list.
         listed = Endpoint(
             str(name),
             intern(kind),
             intern(zone) if isinstance(zone, str) else zone,
-            int(e.get("group") or 0),
+            int(raw.get("group") or 0),
             started or None,
             state,
             (live and weight) or 1.0,
             since_ms=started or None,
         )
-        if not (0 <= started < MOST and 0 <= weight < MOST):  # NaN is neither
+        if not (0 <= started < MAX_LIST_NUMBER and 0 <= weight < MAX_LIST_NUMBER):  # also excludes NaN
             raise ValueError("since_ms or weight out of range")
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ListError(f"bad entry: {type(error).__name__} {error}") from None
+        raise ListError(f"invalid entry: {type(error).__name__} {error}") from None
     if not isinstance(name, str) or not isinstance(address, str):
-        raise ListError("name and address are text")
+        raise ListError("name and address of an entry must be strings")
     return listed, address
 
 
-def list_of(value: Any, live: bool) -> tuple[int, ListScope, list[tuple[Endpoint, str]]]:
-    """Read a list in discovery's form."""
+def parse_list(value: Any, live: bool) -> tuple[int, ListScope, list[tuple[Endpoint, str]]]:
+    """Return version, scope and entries of a list in discovery's format. Raises ListError."""
     if not isinstance(value, dict) or not isinstance(value.get("endpoints"), list):
-        raise ListError("no list")
+        raise ListError("the answer has no list of endpoints")
     if not isinstance(value.get("index"), int):
-        raise ListError("no index")
+        raise ListError("the index of the list is missing or not an integer")
     scope = ListScope.WHOLE if value.get("snapshot") else ListScope.CHANGES
-    return value["index"], scope, [entry_of(e, live) for e in value["endpoints"]]
+    return value["index"], scope, [parse_entry(entry, live) for entry in value["endpoints"]]
 
 
 def encode_list(index: int, entries: Iterable[Endpoint], addresses: Mapping[str, str]) -> dict[str, Any]:
-    """Write a whole list in discovery's form."""
+    """Return a whole list in discovery's format."""
     states = {state: name for name, state in STATES.items()}
 
-    def since_ms(e: Endpoint) -> float:
-        return (e.started if e.since_ms is None else e.since_ms) or 0
+    def since_ms(entry: Endpoint) -> float:
+        return (entry.started if entry.since_ms is None else entry.since_ms) or 0
 
     return {
         "index": index,
         "snapshot": True,
         "endpoints": [
             {
-                "name": e.worker,
-                "address": addresses[e.worker],
-                "zone": e.zone,
-                "type": e.kind,
-                "group": e.cell,
-                "status": states[e.state],
-                "weight": e.weight,
-                "since_ms": since_ms(e),
+                "name": entry.worker,
+                "address": addresses[entry.worker],
+                "zone": entry.zone,
+                "type": entry.kind,
+                "group": entry.cell,
+                "status": states[entry.state],
+                "weight": entry.weight,
+                "since_ms": since_ms(entry),
             }
-            for e in entries
-            if e.worker in addresses
+            for entry in entries
+            if entry.worker in addresses
         ],
     }
 
 
 class WatchConnection(Protocol):
-    """One connection to discovery: an answer without end, a line a change."""
+    """One connection to discovery: a response without end, with one line per change."""
 
     transport: Any  # ITCPTransport, as zope's interfaces say nothing to mypy
 
@@ -127,9 +132,9 @@
         self.watch = watch
         self.parser = http.Parser(responses=True, max_body=0)
         self.values = JsonLines(MAX_LIST_BYTES)
-        self.good = False
-        self.index: int | None = None  # of the latest list told here
-        self.came = 0  # bytes since the last sign of life
+        self.accepted = False  # discovery has answered with status 200
+        self.index: int | None = None  # version of the latest list received here
+        self.received_bytes = 0  # since the timeout was last restarted
         self.reason = "discovery-closed"
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -142,28 +147,28 @@
             while self.watch.listens_to(self) and (event := self.parser.next()) is not None:
                 if isinstance(event, http.Head):
                     if event.message.status != 200:
-                        raise ListError(f"status {event.message.status}")
-                    self.good = True
+                        raise ListError(f"discovery answered with status {event.message.status}")
+                    self.accepted = True
                 elif isinstance(event, http.Data):
-                    for value in self.values.feed(event.data):  # None: discovery lives
-                        self.watch.heard(value, self)
+                    for value in self.values.feed(event.data):  # None is a keep-alive
+                        self.watch.on_list_value(value, self)
                 else:
-                    raise ListError("the watch ended")
+                    raise ListError("discovery ended the watch")
         except (http.MessageError, ListError, ValueError, RecursionError) as error:
-            self.watch.ended(self, "bad-list", str(error))
+            self.watch.on_connection_ended(self, "bad-list", str(error))
             return
-        self.came += len(data)
-        if self.came >= LIFE_BYTES:
-            self.came = 0
-            self.watch.lives(self)
+        self.received_bytes += len(data)
+        if self.received_bytes >= MIN_PROGRESS_BYTES:
+            self.received_bytes = 0
+            self.watch.on_list_progress(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.watch.log.ended("discovery", 0, self.reason)
-        self.watch.ended(self, "discovery-closed", "")
+        self.watch.on_connection_ended(self, "discovery-closed", "")
 
 
 class ListCall:
-    """One call for the list: its connection while that comes up, and then the watch on it."""
+    """One list call: its connection attempt, and then the watch on the connection."""
 
     __slots__ = ("owner", "connecting", "connection")
 
@@ -173,35 +178,38 @@
         self.connection: WatchConnection | None = None
 
     def begin(self) -> None:
-        """Have the connection opened."""
+        """Open the connection."""
         self.connecting = connecting = self.owner.connect(self.owner)
-        connecting.addCallbacks(self.up, self.down).addErrback(self.owner.bug)
+        connecting.addCallbacks(self.on_connected, self.on_connect_failed).addErrback(self.owner.log_bug)
 
-    def up(self, connection: WatchConnection) -> None:
-        """Take the connection that has come up."""
-        self.connecting, self.connection = None, connection
+    def on_connected(self, connection: WatchConnection) -> None:
+        """Record the established connection."""
+        self.connecting = None
+        self.connection = connection
 
-    def down(self, failure: Failure) -> None:
-        """Note that none came up; one that was given up is no failure."""
+    def on_connect_failed(self, failure: Failure) -> None:
+        """Report that the connection failed, unless the attempt was cancelled."""
         if self.connecting is not None:
             self.connecting = None
-            self.owner.failed(self, "no-discovery", type(failure.value).__name__)
+            self.owner.on_call_failed(self, "no-discovery", type(failure.value).__name__)
 
     def end(self, reason: str) -> None:
-        """Give the call up, or close its watch."""
-        connecting, self.connecting = self.connecting, None
+        """Cancel the connection attempt, or close the watch."""
+        connecting = self.connecting
+        self.connecting = None
         if connecting is not None:
             connecting.cancel()
-        connection, self.connection = self.connection, None
+        connection = self.connection
+        self.connection = None
         if connection is not None:
             connection.reason = reason
             connection.transport.abortConnection()
 
 
 class Discovery(Factory):
-    """Keeps the list, and a watch on it whenever the module has asked for one.
+    """Keeps the list, and a watch on it once the decisions have requested one.
 
-    A call that has no answer yet is joined by a second one; the first of them to speak is the watch.
+    A second call is made beside one that is not answered in time; the first to be answered becomes the watch.
     """
 
     noisy = False
@@ -211,54 +219,62 @@
         deadlines: Deadlines,
         log: Log,
         connect: Connect,
-        pools: Pools,
-        told: ListUpdateHandler,
+        pools: AddressRegistry,
+        on_update: ListUpdateHandler,
         address: str = "",
         live: bool = False,
     ) -> None:
-        self.deadlines, self.log, self.connect, self.pools, self.told = deadlines, log, connect, pools, told
-        self.address, self.live = address, live
+        self.deadlines = deadlines
+        self.log = log
+        self.connect = connect
+        self.pools = pools
+        self.on_update = on_update
+        self.address = address
+        self.live = live
         self.index = 0
         self.addresses: dict[str, str] = {}
         self.starts = StartTimes(deadlines)
-        self.listed_at = -math.inf  # when the list that is held was last heard to be whole
-        self.calls: list[ListCall] = []  # the watch; or the calls without an answer yet, two at most
-        self.former: ListCall | None = None  # at the address before a move, until the new one speaks
-        self.wanted = False  # the module has asked to follow
-        self.fell_silent = False  # the last watch or call did, and none has spoken since
-        self.timer: Deadline | None = None  # for the next sign of life
-        self.hedge_timer: Deadline | None = None  # for a second call
-        self.fresh = False  # a call of which the module has not yet heard
-        self.fits: Callable[[ListScope, int], bool] = lambda *_: True  # whether a list can be held
+        self.listed_at = -math.inf  # when the list was last confirmed to be current
+        self.calls: list[ListCall] = []  # the watch, or at most two unanswered calls
+        self.former: ListCall | None = None  # the watch at the previous address, until the new one answers
+        self.wanted = False  # the decisions have requested a watch
+        self.fell_silent = False  # the last watch or call timed out, and none has answered since
+        self.timer: Deadline | None = None  # timeout of the next line
+        self.hedge_timer: Deadline | None = None  # delay of the second call
+        self.awaiting_answer = False  # a call whose answer was not yet reported to the decisions
+        self.fits: Callable[[ListScope, int], bool] = lambda *_: True  # whether a list fits into memory
 
     def buildProtocol(self, addr: object) -> WatchConnection:  # noqa: N802, D102
         return WatchConnection(self)
 
     # ---- the list ----
 
-    def take(
+    def merge(
         self,
         value: Any,
-        told_by: WatchConnection | None = None,
+        source: WatchConnection | None = None,
     ) -> tuple[ListScope, tuple[Endpoint, ...]] | None:
-        """Merge a list, unless a newer one is held; addresses first, as the module may send at once.
+        """Merge a list unless a newer one is held; return its scope and entries for the decisions, or None.
 
-        A whole list that begins a watch is taken in any case: who tells it may have begun to count anew.
+        Addresses are updated first, as the decisions may send at once. A whole list at the beginning of a
+        watch is always accepted: discovery may have restarted its version numbers.
         """
-        index, scope, pairs = list_of(value, self.live)
-        if told_by is not None:
-            begins = told_by.index is None
-            current = self.call_of(told_by) is not None
-            least = told_by.index or (self.index if current else 0)
-            if index < least and not (begins and scope is ListScope.WHOLE):
-                self.log.write("watch", f"version {index} is older than {least}: not taken")
+        index, scope, pairs = parse_list(value, self.live)
+        if source is not None:
+            is_first = source.index is None
+            is_current = self.call_of(source) is not None
+            min_index = source.index or (self.index if is_current else 0)
+            if index < min_index and not (is_first and scope is ListScope.WHOLE):
+                self.log.write(
+                    "watch", f"ignored version {index} of the list, which is older than version {min_index}"
+                )
                 return None
-            told_by.index = index
+            source.index = index
         if not self.fits(scope, len(pairs)):
             return None
         names = {listed.worker for listed, _ in pairs}
         self.starts.look()
-        oldest = math.inf if told_by is None else self.deadlines.now() - self.listed_at
+        oldest = math.inf if source is None else self.deadlines.now() - self.listed_at
         if scope is ListScope.WHOLE:
             for name in [name for name in self.addresses if name not in names]:
                 self.drop(name)
@@ -278,158 +294,169 @@
         return scope, tuple(entries)
 
     def drop(self, name: str) -> None:
-        """Forget a worker's address."""
+        """Remove a worker's address."""
         self.addresses.pop(name, None)
         self.starts.drop(name)
         self.pools.remove_endpoint(name)
 
-    def heard(self, value: Any, connection: WatchConnection) -> None:
-        """Take one line of the watch; the first call to speak becomes it."""
+    def on_list_value(self, value: Any, connection: WatchConnection) -> None:
+        """Handle a value or keep-alive of the watch; the first call to be answered becomes the watch."""
         call = self.call_of(connection)
         if call is None:
-            self.heard_formerly(value, connection)
+            self.on_former_list_value(value, connection)
             return
-        self.expect(SILENT_FOR)
-        self.leave_former()
+        self.restart_timeout(SILENCE_TIMEOUT_MS)
+        self.close_former()
         self.keep_only(call)
-        fresh, self.fresh, self.fell_silent = self.fresh, False, False
+        is_first_answer = self.awaiting_answer
+        self.awaiting_answer = False
+        self.fell_silent = False
         if value is None:
             self.starts.look()
-        news = self.take(value, connection) if value is not None else None
-        if value is None or news is not None:
+        update = self.merge(value, connection) if value is not None else None
+        if value is None or update is not None:
             self.listed_at = self.deadlines.now()
-        if news is not None and fresh:
+        if update is not None and is_first_answer:
             self.log.write(
-                "watch", f"{self.address} tells {len(news[1])} of {news[0].value}, version {self.index}"
+                "watch",
+                f"{self.address} sent {len(update[1])} entries ({update[0].value}), version {self.index}",
             )
-        if news is not None or fresh:
-            self.told(*(news or (ListScope.CHANGES, ())))
+        if update is not None or is_first_answer:
+            self.on_update(*(update or (ListScope.CHANGES, ())))
 
-    def lives(self, connection: WatchConnection) -> None:
-        """Wait on for a long list of which much has come: asked for anew it would come no sooner."""
+    def on_list_progress(self, connection: WatchConnection) -> None:
+        """Restart the timeout while a long list arrives: a new call would not get it sooner."""
         if self.call_of(connection) is not None:
-            self.expect(SILENT_FOR)
+            self.restart_timeout(SILENCE_TIMEOUT_MS)
 
-    def heard_formerly(self, value: Any, connection: WatchConnection) -> None:
-        """Take a line of the watch at the address before a move: a change written there counts as told."""
+    def on_former_list_value(self, value: Any, connection: WatchConnection) -> None:
+        """Handle a value of the watch at the previous address: changes sent there count as received."""
         if value is None:
             return
         index = self.index
-        news = self.take(value, connection)
-        self.index = index  # the new address has versions of its own
-        if news is not None:
-            self.told(*news)
+        update = self.merge(value, connection)
+        self.index = index  # the new address has its own version numbers
+        if update is not None:
+            self.on_update(*update)
 
     # ---- calls ----
 
     def follow(self) -> None:
-        """Ask for changes; while a watch is being opened or lives, it is the answer."""
+        """Request a watch, unless one is open or being opened."""
         self.wanted = True
         if self.calls:
             return
-        self.fresh = True
-        self.expect(ANSWER_IN)
-        hedge_after = HEDGE_AFTER_SILENCE if self.fell_silent else HEDGE_AFTER
-        self.hedge_timer = self.deadlines.after(hedge_after, self.hedge)
+        self.awaiting_answer = True
+        self.restart_timeout(ANSWER_TIMEOUT_MS)
+        hedge_delay = HEDGE_DELAY_AFTER_SILENCE_MS if self.fell_silent else HEDGE_DELAY_MS
+        self.hedge_timer = self.deadlines.after(hedge_delay, self.hedge)
         self.call()
 
     def call(self) -> None:
-        """Call for the list."""
+        """Start a list call."""
         call = ListCall(self)
         self.calls.append(call)
         call.begin()
 
     def hedge(self) -> None:
-        """Call a second time, beside the call that has no answer yet."""
+        """Start a second list call beside the unanswered one."""
         self.hedge_timer = None
-        self.log.write("watch", "no answer yet: called a second time")
+        self.log.write("watch", "discovery has not answered the list call yet; starting a second one")
         self.call()
 
     def keep_only(self, call: ListCall) -> None:
-        """End the other call, or the plan of it."""
+        """End the other call, or cancel its timer."""
         if self.hedge_timer is not None:
             self.hedge_timer.cancel()
             self.hedge_timer = None
-        others, self.calls = [other for other in self.calls if other is not call], [call]
+        others = [other for other in self.calls if other is not call]
+        self.calls = [call]
         for other in others:
             other.end("second-call")
 
     def end_calls(self, reason: str) -> None:
-        """Give up all calls, and close the watch."""
+        """Cancel all calls, and close the watch."""
         for timer in (self.timer, self.hedge_timer):
             if timer is not None:
                 timer.cancel()
-        self.timer = self.hedge_timer = None
-        calls, self.calls = self.calls, []
+        self.timer = None
+        self.hedge_timer = None
+        calls = self.calls
+        self.calls = []
         for call in calls:
             call.end(reason)
 
     def move(self, address: str) -> None:
-        """Go to another address, at once.
+        """Switch to another address of discovery at once.
 
-        It may count its versions afresh, so it is asked for all there is. Until it has spoken the former
-        watch is heard on: a change written there counts as told. No call of it is repeated.
+        The new address may have its own version numbers, so the whole list is requested. The previous watch
+        is read until the new one answers, because changes sent there count as received. Calls to the previous
+        address are not repeated.
         """
-        self.address, self.index, self.listed_at = address, 0, -math.inf
-        if self.former is None or not self.fresh:  # else what has not spoken gives way, not what has
-            self.leave_former()
+        self.address = address
+        self.index = 0
+        self.listed_at = -math.inf
+        # A call that is still unanswered is dropped; the watch of an earlier address is kept.
+        if self.former is None or not self.awaiting_answer:
+            self.close_former()
             self.former = next((call for call in self.calls if call.connection is not None), None)
             self.calls = [call for call in self.calls if call is not self.former]
         self.end_calls("moved")
         if self.wanted:
             self.follow()
 
-    def leave_former(self) -> None:
-        """Close the watch at the former address."""
-        former, self.former = self.former, None
+    def close_former(self) -> None:
+        """Close the watch at the previous address."""
+        former = self.former
+        self.former = None
         if former is not None:
             former.end("moved")
 
     def call_of(self, connection: WatchConnection) -> ListCall | None:
-        """Find the call that a connection belongs to, at the present address."""
+        """Return the call to the current address that a connection belongs to, if any."""
         return next((call for call in self.calls if call.connection is connection), None)
 
     def listens_to(self, connection: WatchConnection) -> bool:
-        """Say whether what a connection brings still counts."""
-        formerly = self.former is not None and self.former.connection is connection
-        return formerly or self.call_of(connection) is not None
+        """Return whether data from a connection is still used."""
+        is_former = self.former is not None and self.former.connection is connection
+        return is_former or self.call_of(connection) is not None
 
-    def ended(self, connection: WatchConnection, reason: str, detail: str) -> None:
-        """Note that a watch has ended or cannot be read; the former one's end is no loss."""
+    def on_connection_ended(self, connection: WatchConnection, reason: str, detail: str) -> None:
+        """Handle the end of a watch or an unreadable list; the end of the previous watch is no failure."""
         if self.former is not None and self.former.connection is connection:
-            self.leave_former()
+            self.close_former()
         elif (call := self.call_of(connection)) is not None:
-            self.failed(call, reason, detail)
+            self.on_call_failed(call, reason, detail)
 
-    def failed(self, call: ListCall, reason: str, detail: str) -> None:
-        """Note that a call has failed; while another one is out, that is waited for."""
+    def on_call_failed(self, call: ListCall, reason: str, detail: str) -> None:
+        """Handle a failed call; if another call is pending, keep waiting for that one."""
         if call not in self.calls:
             return
         if len(self.calls) == 1:
-            self.broken(reason, detail)
+            self.fail_watch(reason, detail)
             return
-        self.log.write("watch", f"{reason} {detail}".rstrip() + ", another call is out")
+        self.log.write("watch", f"{reason} {detail}".rstrip() + "; waiting for the other list call")
         self.calls.remove(call)
         call.end(reason)
 
-    def bug(self, failure: Failure) -> None:
-        """Note an error of our own."""
+    def log_bug(self, failure: Failure) -> None:
+        """Log an internal error."""
         self.log.failure("discovery", failure.value)
 
-    def expect(self, within: float) -> None:
-        """Wait so long for the next sign of life."""
+    def restart_timeout(self, timeout_ms: float) -> None:
+        """Restart the timeout of the next line."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.deadlines.after(within, self.broken, "silent", "")
+        self.timer = self.deadlines.after(timeout_ms, self.fail_watch, "silent", "")
 
-    def broken(self, reason: str, detail: str) -> None:
-        """Close the watch and tell the module, which asks again when it sees fit."""
+    def fail_watch(self, reason: str, detail: str) -> None:
+        """Close the watch and notify the decisions, which decide when to request another one."""
         self.log.write("watch", f"{reason} {detail}".rstrip())
         self.end_calls(reason)
         self.fell_silent = reason == "silent"
-        self.told(ListScope.SILENT if self.fell_silent else ListScope.FAILED, ())
+        self.on_update(ListScope.SILENT if self.fell_silent else ListScope.FAILED, ())
 
     def close(self) -> None:
-        """End the watch for good."""
-        self.leave_former()
+        """Close all connections to discovery permanently."""
+        self.close_former()
         self.end_calls("exit")
--- a/elderstall/net/event_stream.py
+++ b/elderstall/net/event_stream.py
@@ -1,4 +1,4 @@
-"""The format of server-sent events: parsed from a worker's stream, written for a client."""
+"""Server-sent events: a parser for workers' streams, and an encoder for clients' streams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from elderstall.net import http
 
 MEDIA_TYPE = "text/event-stream"
-MAX_EVENT = http.MAX_BODY  # characters of one event, as of one body
+MAX_EVENT_CHARACTERS = http.MAX_BODY  # of one event, as of one body
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,41 +24,43 @@
 
 
 class EventParser:
-    """WHATWG's event stream, split anywhere: UTF-8, any line end, comments, several data lines.
+    """Incremental parser of WHATWG's event stream: UTF-8, any line end, comments, several data lines.
 
-    An event that no empty line closes is never given.
+    An event that is not closed by an empty line is never returned.
     """
 
     def __init__(self) -> None:
         self.decoder = codecs.getincrementaldecoder("utf-8")(errors="replace")
         self.line: list[str] = []
-        self.after_cr = self.begun = False
-        self.event, self.last_id = "", ""
+        self.after_cr = False
+        self.begun = False
+        self.event = ""
+        self.last_id = ""
         self.data: list[str] = []
         self.size = 0
         self.retry: int | None = None
 
     def feed(self, data: bytes) -> Iterator[ServerEvent]:
-        """Take bytes and give the events they complete."""
+        """Parse bytes; yield the events that they complete."""
         text = self.decoder.decode(data)
         if text and not self.begun:
             self.begun = True
             text = text.removeprefix("\ufeff")
-        at = 0
-        while at < len(text):
+        start = 0
+        while start < len(text):
             if self.after_cr:
                 self.after_cr = False
-                if text[at] == "\n":
-                    at += 1
+                if text[start] == "\n":
+                    start += 1
                     continue
-            ends = [n for n in (text.find("\r", at), text.find("\n", at)) if n >= 0]
+            ends = [n for n in (text.find("\r", start), text.find("\n", start)) if n >= 0]
             end = min(ends, default=len(text))
-            self.grow(end - at)
-            self.line.append(text[at:end])
+            self.add_size(end - start)
+            self.line.append(text[start:end])
             if not ends:
                 break
             self.after_cr = text[end] == "\r"
-            at = end + 1
+            start = end + 1
             line = "".join(self.line)
             self.line.clear()
             if line:
@@ -66,14 +68,14 @@
             elif (event := self.dispatch()) is not None:
                 yield event
 
-    def grow(self, by: int) -> None:
-        """Bound what one event may hold."""
-        self.size += by
-        if self.size > MAX_EVENT:
+    def add_size(self, characters: int) -> None:
+        """Count the characters of an event. Raises MessageError above the limit."""
+        self.size += characters
+        if self.size > MAX_EVENT_CHARACTERS:
             raise http.MessageError(502, "event too long")
 
     def field(self, line: str) -> None:
-        """Take one line that is not empty."""
+        """Parse one line that is not empty."""
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if name == "event":
@@ -84,32 +86,37 @@
             self.last_id = value
         elif name == "retry" and value.isascii() and value.isdigit():
             self.retry = int(value)
-        elif not name:  # a comment counts for nothing, however many keep a stream alive
+        elif not name:  # comments keep a stream alive in any number, so their size is not counted
             self.size -= len(line)
 
     def dispatch(self) -> ServerEvent | None:
-        """Give the event that an empty line closes; one without data is none."""
-        event, data = self.event or "message", "\n".join(self.data)
-        given = bool(self.data)
-        self.event, self.size = "", 0
+        """Return the event that an empty line closes, or None if it has no data."""
+        event = self.event or "message"
+        data = "\n".join(self.data)
+        has_data = bool(self.data)
+        self.event = ""
+        self.size = 0
         self.data.clear()
-        return ServerEvent(event, data, self.last_id) if given else None
+        return ServerEvent(event, data, self.last_id) if has_data else None
 
 
 def encode_event(event: str, data: str, event_id: str = "") -> bytes:
-    """Write an event; the format knows one line end inside data, so others become it."""
+    """Return an encoded event; all line ends inside the data become the format's line separator."""
     lines = data.replace("\r\n", "\n").replace("\r", "\n").split("\n")
-    fields = ([f"id: {event_id}"] if event_id else []) + [f"event: {event}", *(f"data: {x}" for x in lines)]
+    fields = ([f"id: {event_id}"] if event_id else []) + [
+        f"event: {event}",
+        *(f"data: {line}" for line in lines),
+    ]
     return ("\n".join(fields) + "\n\n").encode("utf-8", "replace")
 
 
 def parse_share(data: str) -> float:
-    """Read the part done from a progress event's data; one that tells none counts as 0."""
+    """Return the completed fraction from a progress event's data, or 0 if there is none."""
     try:
         value: Any = json.loads(data)
     except (ValueError, RecursionError):
         return 0.0
     if isinstance(value, dict):
         value = value.get("share")
-    good = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= 1
-    return float(value) if good else 0.0
+    is_valid = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= 1
+    return float(value) if is_valid else 0.0
--- a/elderstall/net/http.py
+++ b/elderstall/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 in both directions: an incremental parser and the writing of messages."""
+"""HTTP/1.1 for clients and servers: an incremental parser and encoders of messages."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from elderstall.net.buffer import Buffer
 
-MAX_LINE = 8192
-MAX_HEAD = 16 * 1024
+MAX_LINE = 8192  # bytes of a trailer line
+MAX_HEAD = 16 * 1024  # bytes, also of all trailers together
 MAX_HEADERS = 100
-MAX_BODY = 64 * 1024
+MAX_BODY = 64 * 1024  # bytes
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 TARGET = re.compile(rb"[\x21-\x7e]+\Z")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*\Z")
@@ -42,15 +42,15 @@
 
 
 class MessageError(Exception):
-    """Bytes that are not the message they should be; ``status`` is the answer where one can be given."""
+    """A malformed or oversized message; ``status`` is the response status where a response can be sent."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Headers:
-    """Header fields; names are found whatever their case."""
+    """Header fields, with case-insensitive names."""
 
     __slots__ = ("fields",)
 
@@ -58,25 +58,27 @@
         self.fields = list(fields)
 
     def all(self, name: str) -> list[str]:
-        """Give every value of a field."""
-        low = name.lower()
-        return [value for key, value in self.fields if key.lower() == low]
+        """Return all values of a field."""
+        lower_name = name.lower()
+        return [value for key, value in self.fields if key.lower() == lower_name]
 
     def get(self, name: str) -> str | None:
-        """Give a field's only value; a field that stands twice is no single value."""
+        """Return a field's single value, or None. Raises MessageError for a repeated field."""
         values = self.all(name)
         if len(values) > 1:
             raise MessageError(400, f"{name} stands twice")
         return values[0] if values else None
 
     def tokens(self, name: str) -> list[str]:
-        """Give the comma-separated words of a field, in lower case."""
-        return [w.strip().lower() for value in self.all(name) for w in value.split(",") if w.strip()]
+        """Return the comma-separated tokens of a field, in lower case."""
+        return [
+            token.strip().lower() for value in self.all(name) for token in value.split(",") if token.strip()
+        ]
 
 
 @dataclass(slots=True)
 class Message:
-    """The head of a message, with its body once that is whole."""
+    """The head of a message, with its body once that is complete."""
 
     version: tuple[int, int]
     headers: Headers
@@ -86,7 +88,7 @@
     status: int = 0  # of a response
 
     def plain(self) -> dict[str, Any]:
-        """Give a whole request as plain data."""
+        """Return a complete request as JSON-serializable data."""
         return {
             "version": self.version,
             "headers": self.headers.fields,
@@ -97,7 +99,7 @@
 
     @classmethod
     def from_plain(cls, data: dict[str, Any]) -> Message:
-        """Make the request that ``plain`` gave."""
+        """Return the request that ``plain`` has encoded."""
         major, minor = data["version"]
         headers = Headers((name, value) for name, value in data["headers"])
         return cls((major, minor), headers, data["body"].encode("latin-1"), data["method"], data["target"])
@@ -105,8 +107,8 @@
     @property
     def keep_alive(self) -> bool:
         """Whether the sender keeps the connection open after this message."""
-        words = self.headers.tokens("Connection")
-        return "close" not in words and (self.version >= (1, 1) or "keep-alive" in words)
+        tokens = self.headers.tokens("Connection")
+        return "close" not in tokens and (self.version >= (1, 1) or "keep-alive" in tokens)
 
 
 @dataclass(slots=True, frozen=True)
@@ -125,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class End:
-    """Parser event: the message is whole."""
+    """Parser event: the message is complete."""
 
 
 Event = Head | Data | End
@@ -133,82 +135,84 @@
 
 @dataclass(slots=True)
 class Parser:
-    """Takes bytes split anywhere and gives events; at most one head's or chunk line's worth is kept back.
+    """Incremental parser of requests or responses; it buffers at most one head or chunk line.
 
-    ``max_body`` 0 sets no limit, for bodies that are passed on as they come.
+    ``max_body`` 0 sets no limit, for bodies that are passed on while they arrive.
     """
 
     responses: bool = False
     max_body: int = MAX_BODY
     buffer: Buffer = field(default_factory=Buffer)
     state: str = "head"  # head, length, chunk, chunk-end, trailer, rest (to the connection's end)
-    left: int = 0
-    size: int = 0
+    left: int = 0  # bytes of the body or chunk still to come
+    size: int = 0  # bytes of the body
     extra: int = 0  # bytes of trailers, or of empty lines before a head
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
+        """Add received bytes."""
         self.buffer.append(data)
 
     def next(self) -> Event | None:
-        """Give the next event, or None until more bytes come. Raises MessageError."""
+        """Return the next event, or None if more bytes are needed. Raises MessageError."""
         if self.state == "head":
-            return self.head()
+            return self.parse_head()
         if self.state == "length":
             if self.left == 0:
-                return self.end()
-            return self.data(self.left)
+                return self.end_message()
+            return self.take_data(self.left)
         if self.state == "rest":
-            return self.data(len(self.buffer))
-        return self.chunked()
+            return self.take_data(len(self.buffer))
+        return self.parse_chunked()
 
     def eof(self) -> Event | None:
-        """Take the end of the connection: the end of a body that has no other."""
-        return self.end() if self.state == "rest" else None
+        """Handle the end of the connection, which ends a body without a length; return the event, if any."""
+        return self.end_message() if self.state == "rest" else None
 
     @property
     def idle(self) -> bool:
-        """Whether no message has begun."""
+        """Whether no message is being received."""
         return self.state == "head" and not len(self.buffer)
 
-    def end(self) -> End:
-        """End the message."""
-        self.state, self.size, self.extra = "head", 0, 0
+    def end_message(self) -> End:
+        """Reset the state for the next message."""
+        self.state = "head"
+        self.size = 0
+        self.extra = 0
         return End()
 
-    def data(self, most: int) -> Data | None:
-        """Give up to so many bytes of the body."""
-        out = self.buffer.take(min(most, len(self.buffer)))
-        if not out:
+    def take_data(self, max_bytes: int) -> Data | None:
+        """Return up to ``max_bytes`` of the body, or None if none are there."""
+        data = self.buffer.take(min(max_bytes, len(self.buffer)))
+        if not data:
             return None
         if self.state == "length" or self.state == "chunk":
-            self.left -= len(out)
-        self.grow(len(out) if self.state == "rest" else 0)
-        return Data(out)
+            self.left -= len(data)
+        self.add_body_size(len(data) if self.state == "rest" else 0)
+        return Data(data)
 
-    def grow(self, by: int) -> None:
-        """Count the body, against the limit."""
-        self.size += by
+    def add_body_size(self, length: int) -> None:
+        """Count bytes of the body. Raises MessageError above the limit."""
+        self.size += length
         if self.max_body and self.size > self.max_body:
             raise MessageError(413, f"body over {self.max_body} bytes")
 
-    def line(self, most: int) -> bytes | None:
-        """Give a whole line, if it is there."""
-        n = self.buffer.find(b"\r\n")
-        if n > most or (n < 0 and len(self.buffer) > most + 1):
+    def take_line(self, max_bytes: int) -> bytes | None:
+        """Return a complete line, or None if more bytes are needed. Raises MessageError."""
+        length = self.buffer.find(b"\r\n")
+        if length > max_bytes or (length < 0 and len(self.buffer) > max_bytes + 1):
             raise MessageError(431 if self.state == "trailer" else 400, "line too long")
-        if n < 0:
+        if length < 0:
             return None
-        out = self.buffer.take(n)
+        line = self.buffer.take(length)
         self.buffer.take(2)
-        return out
+        return line
 
-    def chunked(self) -> Event | None:
-        """Go on with a chunked body."""
+    def parse_chunked(self) -> Event | None:
+        """Return the next event of a chunked body, or None if more bytes are needed."""
         while True:
             if self.state == "chunk":
                 if self.left:
-                    return self.data(self.left)
+                    return self.take_data(self.left)
                 self.state = "chunk-end"
             elif self.state == "chunk-end":
                 if len(self.buffer) < 2:
@@ -217,109 +221,111 @@
                     raise MessageError(400, "chunk without its end")
                 self.state = "chunk-size"
             elif self.state == "chunk-size":
-                if (text := self.line(1024)) is None:
+                if (text := self.take_line(1024)) is None:
                     return None
                 size = text.split(b";", 1)[0].rstrip(b" \t")
                 if not HEX.match(size):
                     raise MessageError(400, "bad chunk size")
                 self.left = int(size, 16)
-                self.grow(self.left)
+                self.add_body_size(self.left)
                 self.state = "chunk" if self.left else "trailer"
             else:
-                if (text := self.line(MAX_LINE)) is None:
+                if (text := self.take_line(MAX_LINE)) is None:
                     return None
                 self.extra += len(text)
                 if self.extra > MAX_HEAD:
                     raise MessageError(431, "trailers too long")
                 if not text:
-                    return self.end()
+                    return self.end_message()
 
-    def head(self) -> Event | None:
-        """Read a head."""
-        while self.buffer.peek(2) == b"\r\n":  # empty lines before a message are passed over, a few
+    def parse_head(self) -> Event | None:
+        """Return the event of a complete head, or None if more bytes are needed."""
+        while self.buffer.peek(2) == b"\r\n":  # skips a few empty lines before a message
             self.buffer.take(2)
             self.extra += 2
             if self.extra > 16:
                 raise MessageError(400, "empty lines")
-        n = self.buffer.find(b"\r\n\r\n")
-        if n > MAX_HEAD or (n < 0 and len(self.buffer) > MAX_HEAD):
+        length = self.buffer.find(b"\r\n\r\n")
+        if length > MAX_HEAD or (length < 0 and len(self.buffer) > MAX_HEAD):
             raise MessageError(431, "head too long")
-        if n < 0:
-            first = self.buffer.peek(16)
-            if first[:1] and not (TOKEN.match(first[:1]) or first[:1] == b"\r"):
+        if length < 0:
+            start = self.buffer.peek(16)
+            if start[:1] and not (TOKEN.match(start[:1]) or start[:1] == b"\r"):
                 raise MessageError(400, "no HTTP")
             return None
-        lines = self.buffer.take(n).split(b"\r\n")
+        lines = self.buffer.take(length).split(b"\r\n")
         self.buffer.take(4)
         if len(lines) > MAX_HEADERS + 1:
             raise MessageError(431, "too many header fields")
-        message = self.response_line(lines[0]) if self.responses else self.request_line(lines[0])
-        message.headers = Headers(self.field_of(line) for line in lines[1:])
+        message = self.parse_response_line(lines[0]) if self.responses else self.parse_request_line(lines[0])
+        message.headers = Headers(self.parse_field(line) for line in lines[1:])
         self.size = self.extra = 0
-        self.frame(message)
+        self.set_framing(message)
         return Head(message)
 
-    def field_of(self, line: bytes) -> tuple[str, str]:
-        """Read a header field."""
+    def parse_field(self, line: bytes) -> tuple[str, str]:
+        """Return the name and value of a header field. Raises MessageError."""
         name, colon, value = line.partition(b":")
         value = value.strip(b" \t")
         if not colon or not TOKEN.match(name) or not VALUE.match(value):
             raise MessageError(400, "bad header field")
         return name.decode("ascii"), value.decode("latin-1")
 
-    def version(self, text: bytes) -> tuple[int, int]:
-        """Read the version."""
+    def parse_version(self, text: bytes) -> tuple[int, int]:
+        """Return the major and minor version. Raises MessageError."""
         if not re.match(rb"HTTP/[0-9]\.[0-9]\Z", text):
             raise MessageError(400, "no HTTP version")
         if text[5:6] != b"1":
             raise MessageError(505, "not HTTP/1")
         return 1, int(text[7:8])
 
-    def request_line(self, line: bytes) -> Message:
-        """Read the first line of a request."""
+    def parse_request_line(self, line: bytes) -> Message:
+        """Return a message with method, target and version of a request line. Raises MessageError."""
         words = line.split(b" ")
         if len(words) != 3 or not TOKEN.match(words[0]) or not TARGET.match(words[1]):
             raise MessageError(400, "bad request line")
         return Message(
-            self.version(words[2]),
+            self.parse_version(words[2]),
             Headers(),
             method=words[0].decode("ascii"),
             target=words[1].decode("ascii"),
         )
 
-    def response_line(self, line: bytes) -> Message:
-        """Read the first line of a response."""
+    def parse_response_line(self, line: bytes) -> Message:
+        """Return a message with version and status of a status line. Raises MessageError."""
         words = line.split(b" ", 2)
         if len(words) < 2 or not re.match(rb"[1-9][0-9][0-9]\Z", words[1]):
             raise MessageError(502, "bad status line")
-        return Message(self.version(words[0]), Headers(), status=int(words[1]))
+        return Message(self.parse_version(words[0]), Headers(), status=int(words[1]))
 
-    def frame(self, message: Message) -> None:
-        """Find out how the body ends; a length together with chunks is smuggling."""
+    def set_framing(self, message: Message) -> None:
+        """Determine how the body ends; a length with chunked coding is refused: request smuggling."""
         coding = message.headers.tokens("Transfer-Encoding")
-        lengths = {n for value in message.headers.all("Content-Length") for n in value.split(",")}
-        lengths = {n.strip() for n in lengths}
+        lengths = {length for value in message.headers.all("Content-Length") for length in value.split(",")}
+        lengths = {length.strip() for length in lengths}
         if coding and lengths:
             raise MessageError(400, "length with chunked")
-        if len(lengths) > 1 or any(not DIGITS.match(n) for n in lengths):
+        if len(lengths) > 1 or any(not DIGITS.match(length) for length in lengths):
             raise MessageError(400, "bad length")
         if coding and (coding != ["chunked"] or message.version < (1, 1)):
             raise MessageError(400, "unknown transfer coding")
-        bare = self.responses and (message.status < 200 or message.status in NO_BODY)
-        if coding and not bare:
+        is_bodiless = self.responses and (message.status < 200 or message.status in NO_BODY)
+        if coding and not is_bodiless:
             self.state = "chunk-size"
-        elif lengths and not bare:
-            self.state, self.left = "length", int(lengths.pop())
-            self.grow(self.left)
-        elif self.responses and not bare:
+        elif lengths and not is_bodiless:
+            self.state = "length"
+            self.left = int(lengths.pop())
+            self.add_body_size(self.left)
+        elif self.responses and not is_bodiless:
             self.state = "rest"
         else:
-            self.state, self.left = "length", 0
+            self.state = "length"
+            self.left = 0
 
 
-def head_of(first: str, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Write a head."""
-    lines = [first, *(f"{name}: {value}" for name, value in headers), "", ""]
+def head_of(first_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
+    """Return an encoded head."""
+    lines = [first_line, *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(lines).encode("latin-1")
 
 
@@ -329,7 +335,7 @@
     headers: Iterable[tuple[str, str]] = (),
     close: bool = False,
 ) -> bytes:
-    """Write a response with a length."""
+    """Return an encoded response with a length."""
     fields = list(headers)
     if status not in NO_BODY and status >= 200:
         fields.append(("Content-Length", str(len(body))))
@@ -345,7 +351,7 @@
     headers: Iterable[tuple[str, str]] = (),
     body: bytes = b"",
 ) -> bytes:
-    """Write a request."""
+    """Return an encoded request."""
     fields = [("Host", host), *headers]
     if body or method == "POST":
         fields.append(("Content-Length", str(len(body))))
@@ -353,5 +359,5 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Write one chunk; of no bytes it is the last."""
+    """Return an encoded chunk; one without data is the last."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/elderstall/net/jsonlines.py
+++ b/elderstall/net/jsonlines.py
@@ -1,4 +1,4 @@
-"""JSON values in a stream, each on a line or indented over several; an empty line is a sign of life."""
+"""Incremental parser of JSON values, each on one line or indented; empty lines are keep-alives."""
 
 from __future__ import annotations
 
@@ -7,42 +7,44 @@
 from typing import Any
 
 
-class BrokenOffError(ValueError):
-    """A value that was not whole when the next sign of life came, or that grew past the bound."""
+class IncompleteValueError(ValueError):
+    """A value that was incomplete at the next keep-alive, or that exceeded the maximum size."""
 
 
 class JsonLines:
-    """Takes bytes split anywhere; what it keeps back is bounded."""
+    """Parses bytes in pieces of any size; the bytes that it buffers are bounded."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes  # bytes of one value
-        self.text = bytearray()  # whole lines of a value that is not yet whole
-        self.rest = bytearray()  # the line that is still coming
-        self.depth = 0  # braces open in the text, those in strings too: it only spares parsing in vain
+        self.text = bytearray()  # complete lines of an incomplete value
+        self.rest = bytearray()  # the incomplete last line
+        self.depth = (
+            0  # open braces in the text, including those in strings: avoids parsing attempts that must fail
+        )
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Give each value as it is whole, and None for each empty line; ValueError for what is neither."""
-        *whole, rest = data.split(b"\n")
-        for part in whole:
-            self.rest += part
+        """Yield each complete value, and None for each empty line. Raises ValueError for anything else."""
+        *line_ends, rest = data.split(b"\n")
+        for line_end in line_ends:
+            self.rest += line_end
             line = bytes(self.rest).strip()
             self.rest.clear()
-            yield from self.take(line)
+            yield from self.add_line(line)
         self.rest += rest
         if len(self.text) + len(self.rest) > self.max_bytes:
-            raise BrokenOffError("value too long")
+            raise IncompleteValueError(f"value exceeds {self.max_bytes} bytes")
 
-    def take(self, line: bytes) -> Iterator[Any]:
-        """Take one line."""
+    def add_line(self, line: bytes) -> Iterator[Any]:
+        """Add one line; yield the value that it completes."""
         if not line:
             if self.text:
-                raise BrokenOffError("a value broken off")
+                raise IncompleteValueError("keep-alive inside an incomplete value")
             yield None
             return
-        first = not self.text
+        is_first_line = not self.text
         self.text += line + b"\n"
         self.depth += line.count(b"{") - line.count(b"}")
-        if not first and self.depth > 0:
+        if not is_first_line and self.depth > 0:
             return
         text = self.text.decode().strip()
         try:
@@ -50,7 +52,7 @@
         except json.JSONDecodeError as error:
             if text[0] != "{" or error.pos < len(text):
                 raise
-            return  # it may go on in the next line
+            return  # the value may continue in the next line
         self.text.clear()
         self.depth = 0
         yield value
--- a/elderstall/net/peer.py
+++ b/elderstall/net/peer.py
@@ -1,7 +1,7 @@
-"""What the system knows of a peer and the program has not read yet, by a poll that waits for nothing.
+"""State of a connection that the reactor has not handled yet, from a poll that does not block.
 
-Between two turns of the reactor, and for as long as nothing is read from a connection, its peer may have
-written, closed or reset it. Where the next step can't be taken back, that is looked at first.
+Between two reactor iterations, and while a connection is not read, its peer may have written to it, closed it
+or reset it. This is checked before steps that cannot be undone.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 import select
 from typing import Any
 
-# The end of what a peer sends is told apart from bytes that lie before it only where the system can.
-LEFT = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
-ANYTHING = select.POLLIN | LEFT
+# Without POLLRDHUP the system does not report a closed sending direction behind unread bytes.
+CLOSED_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+READABLE_OR_CLOSED_EVENTS = select.POLLIN | CLOSED_EVENTS
 
 
-def state(at: Any, wanted: int, unknown: int) -> int:
-    """Give the poll's word on a transport or a listening port; 0 where it has no descriptor any more.
+def poll_events(source: Any, wanted: int, unknown: int) -> int:
+    """Return the poll events of a transport or a listening port; 0 if its descriptor is closed.
 
-    ``unknown`` is given where the poll itself fails, for want of memory or by a signal.
+    Returns ``unknown`` if the poll itself fails, for lack of memory or because of a signal.
     """
-    fd = at.fileno()
-    if fd < 0:
+    descriptor = source.fileno()
+    if descriptor < 0:
         return 0
     poll = select.poll()
-    poll.register(fd, wanted)
+    poll.register(descriptor, wanted)
     try:
         return sum(event for _, event in poll.poll(0))
     except OSError:
@@ -31,22 +31,22 @@
 
 
 def left(transport: Any) -> bool:
-    """Say whether the peer has closed or reset the connection, also behind bytes that were not read.
+    """Return whether the peer has closed or reset the connection, even if unread bytes precede that.
 
-    A poll that fails shows no end: a client that is there must not lose its answer to it.
+    A failed poll counts as no: a client that is still connected must not lose its answer.
     """
-    return bool(state(transport, LEFT, unknown=0) & LEFT)
+    return bool(poll_events(transport, CLOSED_EVENTS, unknown=0) & CLOSED_EVENTS)
 
 
-def unread(at: Any) -> bool:
-    """Say whether bytes or an end are there to be read, or a connection to be accepted.
+def unread(source: Any) -> bool:
+    """Return whether bytes or an end can be read, or a connection accepted.
 
-    A poll that fails counts as yes: what is closed over a request is lost, what stays is looked at again.
+    A failed poll counts as yes: closing would lose an unread request; an open connection is checked again.
     """
-    return bool(state(at, ANYTHING, unknown=select.POLLIN))
+    return bool(poll_events(source, READABLE_OR_CLOSED_EVENTS, unknown=select.POLLIN))
 
 
 def unwritten(transport: Any) -> bool:
-    """Say whether the transport still holds bytes that the system has not taken; False in memory."""
+    """Return whether the transport holds bytes not yet written to the socket; False if it is in memory."""
     queued: int = getattr(transport, "_tempDataLen", 0)
     return queued > 0 or len(getattr(transport, "dataBuffer", b"")) > getattr(transport, "offset", 0)
--- a/elderstall/recovery/listing.py
+++ b/elderstall/recovery/listing.py
@@ -20,8 +20,9 @@
 
 A watch that was open and ends is another matter, and so is a call or a watch that falls silent: it says
 nothing against discovery, and what it misses counts as told 6 s after it fell silent, which is noticed
-only `net.discovery.SILENT_FOR` after a watch's last line. So it is opened anew soon, the calls of many spread
-as after a start. A call with no answer is joined by a second one (`net.discovery.HEDGE_AFTER_SILENCE`).
+only `net.discovery.SILENCE_TIMEOUT_MS` after a watch's last line. So it is opened anew soon, the calls of
+many spread as after a start. A call with no answer is joined by a second one
+(`net.discovery.HEDGE_DELAY_AFTER_SILENCE_MS`).
 """
 
 from __future__ import annotations
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,17 +1,17 @@
-"""The second address: operators' calls and the figures."""
+"""The operators' console: calls and figures."""
 
 from __future__ import annotations
 
 from elderstall.config import ConfigError, config_of
-from elderstall.net.console import CALLERS, PATIENCE
+from elderstall.net.console import CALL_TIMEOUT_MS, MAX_CONSOLE_CONNECTIONS
 from elderstall.net.handover.messages import Callback
 from tests.scenario import Scenario, platform
 
 
 class Calls(Scenario):
-    """One call a connection, whoever else is there."""
+    """One call per connection, whatever other connections do."""
 
-    def test_ready_until_the_planned_end_begins(self) -> None:
+    def test_ready_until_shutdown_begins(self) -> None:
         self.play("""
             o send GET /api/ready
             o expect 200 ready
@@ -21,7 +21,7 @@
             o expect 503 not ready
         """)
 
-    def test_what_is_no_call_is_a_no(self) -> None:
+    def test_invalid_calls_are_refused(self) -> None:
         self.play("""
             o send GET /api/nothing
             o expect 404
@@ -33,7 +33,7 @@
             o2 expect closed
         """)
 
-    def test_a_call_in_pieces_is_answered_once(self) -> None:
+    def test_a_call_received_in_pieces_is_answered_once(self) -> None:
         self.play("""
             o send raw GET /api/rea
             wait 3000
@@ -43,10 +43,10 @@
             o expect nothing
         """)
 
-    def test_silent_and_half_callers_delay_nobody_and_end(self) -> None:
-        """Guards against callers that stay: they held every place for calls."""
+    def test_idle_connections_and_incomplete_calls_are_ended_and_delay_no_call(self) -> None:
+        """Connections that stay open without a complete call used up all connections for calls."""
         self.begin()
-        for n in range(3 * CALLERS):
+        for n in range(3 * MAX_CONSOLE_CONNECTIONS):
             self.line(f"o{n}", "send", "raw GET /api/ready HT" if n % 2 else "raw ")
         self.play("""
             o send GET /api/ready
@@ -54,11 +54,11 @@
             o0 expect closed
             log expect end:crowded console
         """)
-        self.assertLessEqual(len(self.world.app.console.callers), CALLERS + 1)
-        self.line("wait", str(int(PATIENCE) + 100), "")
+        self.assertLessEqual(len(self.world.app.console.callers), MAX_CONSOLE_CONNECTIONS + 1)
+        self.line("wait", str(int(CALL_TIMEOUT_MS) + 100), "")
         self.assertEqual(0, len(self.world.app.console.callers))
 
-    def test_a_fault_in_one_call_is_met_there_only(self) -> None:
+    def test_an_exception_in_one_call_does_not_affect_the_next(self) -> None:
         self.begin()
         self.world.app.console.figures = lambda: 1 // 0  # type: ignore
         self.play("""
@@ -69,36 +69,39 @@
             o expect 200
         """)
 
-    def test_its_descriptors_are_kept_back_and_it_may_be_absent(self) -> None:
-        alone, raw = config_of(platform(), {}), platform()
-        self.assertIsNone(alone.console)
+    def test_its_descriptors_are_reserved_and_it_is_optional(self) -> None:
+        without_console = config_of(platform(), {})
+        raw = platform()
+        self.assertIsNone(without_console.console)
         self.assertEqual(("127.0.0.1", 9600), config_of(raw, {"RELAY_CONSOLE": "127.0.0.1:9600"}).console)
         raw["console"] = "127.0.0.1:9601"
-        both = config_of(raw, {})
-        self.assertEqual(("127.0.0.1", 9601), both.console)
-        spared = [c.max_client_connections + c.worker_connections for c in (alone, both)]
-        self.assertEqual(CALLERS + 1, spared[0] - spared[1])
+        with_console = config_of(raw, {})
+        self.assertEqual(("127.0.0.1", 9601), with_console.console)
+        connections = [
+            c.max_client_connections + c.worker_connections for c in (without_console, with_console)
+        ]
+        self.assertEqual(MAX_CONSOLE_CONNECTIONS + 1, connections[0] - connections[1])
         with self.assertRaisesRegex(ConfigError, "^console: "):
             config_of({**raw, "console": "nowhere"}, {})
 
 
 class Telemetry(Scenario):
-    """The figures are what clients and workers saw."""
+    """The figures match what clients and workers saw."""
 
-    def figures(self, *lines: str) -> None:
+    def assert_figures(self, *lines: str) -> None:
         self.line("o", "send", "GET /api/telemetry")
         peer = self.world.peers["o"]
         peer.read()
-        told = peer.messages.pop().body.decode().splitlines()
+        shown = peer.messages.pop().body.decode().splitlines()
         for line in lines:
-            self.assertIn(f"edge_relay.{line}", told)
+            self.assertIn(f"edge_relay.{line}", shown)
 
     def figure(self, name: str) -> float:
         self.line("o", "send", "GET /api/telemetry")
         peer = self.world.peers["o"]
         peer.read()
-        told = dict(line.split("=") for line in peer.messages.pop().body.decode().splitlines())
-        return float(told[f"edge_relay.{name}"])
+        values = dict(line.split("=") for line in peer.messages.pop().body.decode().splitlines())
+        return float(values[f"edge_relay.{name}"])
 
     def test_jobs_are_counted_where_they_end_and_attempts_when_written_whole(self) -> None:
         self.play(
@@ -109,7 +112,7 @@
         """,
             workers=2,
         )
-        self.figures("in_progress=1", "upstream_tries=1", "handled.deck-fetch.passed=0")
+        self.assert_figures("in_progress=1", "upstream_tries=1", "handled.deck-fetch.passed=0")
         self.play("""
             w send call done a1 x
             c expect 200 x
@@ -125,7 +128,7 @@
             w send 500
             c expect 502
         """)
-        self.figures(
+        self.assert_figures(
             "in_progress=0",
             "upstream_tries=4",
             "handled.deck-fetch.passed=2",
@@ -134,7 +137,7 @@
             "handled.deck-build.unserved.error=1",
         )
 
-    def test_what_the_front_refuses_is_a_job_refused_and_bad_input_is_none(self) -> None:
+    def test_jobs_rejected_by_the_listener_are_counted_and_bad_requests_are_not(self) -> None:
         self.begin()
         self.world.app.server.shedding_threshold = -1
         self.play("""
@@ -143,25 +146,27 @@
             c2 send job a2 nothing
             c2 expect 400
         """)
-        self.figures("handled.deck-fetch.dropped=1", "handled.deck-fetch.unserved.no_room=1", "in_progress=0")
+        self.assert_figures(
+            "handled.deck-fetch.dropped=1", "handled.deck-fetch.unserved.no_room=1", "in_progress=0"
+        )
 
-    def test_an_attempt_that_never_left_whole_is_not_counted(self) -> None:
+    def test_an_attempt_that_was_not_completely_written_is_not_counted(self) -> None:
         self.play("""
             w close listener
             c send job a1 deck-build budget=300
             wait 400
             c expect 503
         """)
-        self.figures("upstream_tries=0", "handled.deck-build.dropped=1")
+        self.assert_figures("upstream_tries=0", "handled.deck-build.dropped=1")
 
-    def test_workers_listed_and_avoided(self) -> None:
+    def test_workers_listed_and_skipped(self) -> None:
         self.play(
             """
             d send changes 42 w2=draining
         """,
             workers=3,
         )
-        self.figures("known_card_workers=3", "skipped_card_workers=1")
+        self.assert_figures("known_card_workers=3", "skipped_card_workers=1")
         self.play("""
             d send changes 43 w2=gone
             c send job a1 deck-build
@@ -169,37 +174,37 @@
             w send 500
             c expect 502
         """)
-        self.figures("known_card_workers=2", "skipped_card_workers=1")
+        self.assert_figures("known_card_workers=2", "skipped_card_workers=1")
 
-    def test_files_taken_and_turned_down(self) -> None:
+    def test_settings_files_loaded_and_rejected(self) -> None:
         self.play("""
             hup send
             hup send discovery=nowhere
             hup send discovery=127.0.0.1:7
         """)
-        self.figures("loads=2", "load_errors=1")
+        self.assert_figures("loads=2", "load_errors=1")
 
-    def test_calls_for_the_list_and_how_old_it_is(self) -> None:
-        """A dispatcher that gets no list goes on with what it knows, and says so."""
+    def test_list_calls_and_the_age_of_the_list(self) -> None:
+        """A dispatcher that gets no list keeps the last one, and its figures show that."""
         self.play("wait 10", workers=3)
-        self.figures("list_calls=1", "list_calls_failed=0", "list_age_ms=-1")
+        self.assert_figures("list_calls=1", "list_calls_failed=0", "list_age_ms=-1")
         self.play("""
             d send changes 42 w2=draining
             wait 300
         """)
-        self.figures("list_calls=1", "list_calls_failed=0")
+        self.assert_figures("list_calls=1", "list_calls_failed=0")
         self.assertTrue(300 <= self.figure("list_age_ms") < 400)
         self.play("""
             d close
             wait 400
         """)
-        self.figures("list_calls_failed=1")
+        self.assert_figures("list_calls_failed=1")
 
 
 class Bans(Scenario):
-    """What operators say of a worker holds whatever discovery lists."""
+    """Operators' bans hold whatever discovery lists."""
 
-    def test_a_banned_worker_gets_nothing_new_and_its_job_finishes(self) -> None:
+    def test_a_banned_worker_gets_no_new_jobs_and_finishes_its_job(self) -> None:
         self.play("""
             c send job a1 deck-fetch
             w expect POST a1
@@ -221,8 +226,8 @@
             o expect 200 skipped_card_workers=1
         """)
 
-    def test_a_worker_put_back_is_used_over_new_connections(self) -> None:
-        """Guards against kept connections, skips and proof that were those of the process before the ban."""
+    def test_a_worker_is_used_over_new_connections_after_its_ban(self) -> None:
+        """Connections, skips and confirmations from before the ban belong to the previous process."""
         self.play("""
             c send job a1 deck-build
             w expect POST a1
@@ -243,29 +248,30 @@
         self.assertEqual(2, len(self.world.workers))
         self.assertTrue(self.world.workers[0].wire.gone)
 
-    def test_a_worker_put_back_counts_as_just_started_until_the_list_tells(self) -> None:
-        """Guards rule 4: discovery may show the former start for seconds after a restart."""
+    def test_a_worker_counts_as_started_at_the_end_of_its_ban_until_the_list_has_a_later_start(self) -> None:
+        """Rule 4: discovery may list the previous start for seconds after a restart."""
         self.begin()
-        module, clock = self.world.app.engine.decisions, self.world.app.deadlines
+        decisions = self.world.app.engine.decisions
+        clock = self.world.app.deadlines
         self.play("""
             wait 100
             o send POST /api/exclude?id=w1
             wait 2000
             o send POST /api/include?id=w1
         """)
-        back = module.endpoints.workers["w1"].started
-        self.assertAlmostEqual(clock.now(), back or 0, delta=1)
+        ban_end = decisions.endpoints.workers["w1"].started
+        self.assertAlmostEqual(clock.now(), ban_end or 0, delta=1)
         self.play("""
             d send changes 50 w1=up@7
         """)
-        self.assertEqual(back, module.endpoints.workers["w1"].started)
-        true = round(clock.now() - 1000)
+        self.assertEqual(ban_end, decisions.endpoints.workers["w1"].started)
+        actual_start = round(clock.now() - 1000)
         self.play(f"""
-            d send changes 51 w1=up@{true}
+            d send changes 51 w1=up@{actual_start}
         """)
-        self.assertEqual(true, module.endpoints.workers["w1"].started)
+        self.assertEqual(actual_start, decisions.endpoints.workers["w1"].started)
 
-    def test_an_id_that_was_never_listed_is_a_no_and_one_that_is_gone_is_none(self) -> None:
+    def test_an_id_that_was_never_listed_is_refused_and_that_of_a_gone_worker_is_accepted(self) -> None:
         self.play(
             """
             o send POST /api/exclude?id=w7
@@ -287,10 +293,10 @@
         )
 
 
-class Trouble(Scenario):
-    """What the log tells of jobs that went wrong."""
+class FailedJobs(Scenario):
+    """Failed jobs in the log, and call-backs during a hand-over."""
 
-    def test_a_failed_job_is_logged_with_the_end_of_its_last_attempt(self) -> None:
+    def test_a_failed_job_is_logged_with_the_ending_of_its_last_attempt(self) -> None:
         self.play("""
             c send job a1 deck-build
             w expect POST a1
@@ -299,8 +305,8 @@
             log expect failed job a1 of deck-build after 0 ms: error, attempt 0 at w1
         """)
 
-    def test_a_call_back_for_a_job_on_its_way_to_the_next_process_is_to_come_again(self) -> None:
-        """Guards against a job whose end is told between its leaving here and its arrival there."""
+    def test_a_call_back_for_a_job_in_transfer_is_to_be_repeated(self) -> None:
+        """The call-back that ends a job may arrive while the job is between two processes."""
         self.begin()
         call = {"id": "a1", "from": "w1", "state": "done", "result": "deck"}
         self.world.app.server.ids_in_transfer.add("a1")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,7 +24,7 @@
     Settings,
     Started,
 )
-from elderstall.net.discovery import MAX_LIST_BYTES, list_of
+from elderstall.net.discovery import MAX_LIST_BYTES, parse_list
 from elderstall.net.jsonlines import JsonLines
 from tests.scenario import platform
 
@@ -71,7 +71,7 @@
         rank,
     )
     d.handle(0.0, Started())
-    _, scope, pairs = list_of(json.loads(whole(range(workers))), False)
+    _, scope, pairs = parse_list(json.loads(whole(range(workers))), False)
     d.handle(0.0, EndpointListUpdate(scope, tuple(listed for listed, _ in pairs)))
     return d
 
@@ -110,7 +110,7 @@
             steps = (("terminating", gone, 0), ("in_service", new, 1), ("terminated", gone, 0))
             for state, numbers, since in steps:
                 told = {"index": 2, "snapshot": False, "endpoints": [entry(n, state, since) for n in numbers]}
-                _, scope, pairs = list_of(json.loads(json.dumps(told)), False)
+                _, scope, pairs = parse_list(json.loads(json.dumps(told)), False)
                 d.handle(5_000.0, EndpointListUpdate(scope, tuple(listed for listed, _ in pairs)))
             self.assertEqual(MANY, sum(w.up for w in d.endpoints.workers.values()))
             self.assertEqual(60, sum(served(d, 100 + n, 20_000.0 + 10 * n) for n in range(60)))
