--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -16,9 +16,7 @@
 
 IDLE_PART = 0.8  # of the workers' conn_idle that our connections stay idle: clearly earlier
 OWN_PART = 16  # one descriptor in so many, and 16 at least, is for the program itself
-CONSOLE_OWN = (
-    MAX_CONSOLE_CONNECTIONS + 1
-)  # descriptors that the second address keeps back: its callers, and its listener
+CONSOLE_OWN = MAX_CONSOLE_CONNECTIONS + 1  # descriptors reserved for the console, its listener included
 WORKER_PART = 0.3  # of the others are for connections to workers
 SOFT_PART = 0.8  # of the clients' descriptors are used before connections are shed
 MIN_SOCKETS = 64
--- a/elderstall/net/jsonlines.py
+++ b/elderstall/net/jsonlines.py
@@ -32,7 +32,7 @@
             yield from self.add_line(line)
         self.rest += rest
         if len(self.text) + len(self.rest) > self.max_bytes:
-            raise IncompleteValueError(f"value exceeds {self.max_bytes} bytes")
+            raise IncompleteValueError("value exceeds the maximum size")
 
     def add_line(self, line: bytes) -> Iterator[Any]:
         """Add one line; yield the value that it completes."""
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The parser takes messages split anywhere and keeps its bounds."""
+"""HTTP parsing and its limits, buffers, slots, deadlines, the log, and validation of settings."""
 
 from __future__ import annotations
 
@@ -19,22 +19,24 @@
 from elderstall.slots import Slots
 from tests.scenario import platform
 
-Whole = tuple[str, str, bytes]
+ParsedMessage = tuple[str, str, bytes]
 
 
-def parse(parser: http.Parser, pieces: list[bytes]) -> list[Whole]:
-    got: list[Whole] = []
-    message, body = http.Message((1, 1), http.Headers()), b""
+def parse(parser: http.Parser, pieces: list[bytes]) -> list[ParsedMessage]:
+    parsed: list[ParsedMessage] = []
+    message = http.Message((1, 1), http.Headers())
+    body = b""
     for piece in pieces:
         parser.feed(piece)
         while (event := parser.next()) is not None:
             if isinstance(event, http.Head):
-                message, body = event.message, b""
+                message = event.message
+                body = b""
             elif isinstance(event, http.Data):
                 body += event.data
             else:
-                got.append((message.method, message.target, body))
-    return got
+                parsed.append((message.method, message.target, body))
+    return parsed
 
 
 @tune(deadline=None, derandomize=True)
@@ -42,7 +44,9 @@
     bodies=st.lists(st.tuples(st.binary(max_size=200), st.booleans()), max_size=4),
     cuts=st.lists(st.integers(1, 30), max_size=80),
 )
-def test_messages_split_anywhere(bodies: list[tuple[bytes, bool]], cuts: list[int]) -> None:
+def test_messages_are_parsed_from_pieces_of_any_size(
+    bodies: list[tuple[bytes, bool]], cuts: list[int]
+) -> None:
     raw = b""
     for body, chunked in bodies:
         if chunked:
@@ -50,16 +54,17 @@
             raw += b"".join(http.chunk(body[n : n + 50]) for n in range(0, len(body), 50)) + http.chunk(b"")
         else:
             raw += http.request("POST", "/x", "h", (), body)
-    pieces, at = [], 0
+    pieces = []
+    start = 0
     for cut in [*cuts, len(raw)]:
-        pieces.append(raw[at : at + cut])
-        at += cut
+        pieces.append(raw[start : start + cut])
+        start += cut
     assert parse(http.Parser(), pieces) == [("POST", "/x", body) for body, _ in bodies]
 
 
 @tune(deadline=None, derandomize=True)
 @given(noise=st.lists(st.binary(max_size=60), max_size=8), responses=st.booleans())
-def test_noise_raises_only_what_is_answered(noise: list[bytes], responses: bool) -> None:
+def test_random_bytes_raise_only_errors_with_a_response_status(noise: list[bytes], responses: bool) -> None:
     try:
         parse(http.Parser(responses=responses), noise)
     except http.MessageError as error:
@@ -82,7 +87,7 @@
         "X: a\x00b",
     ],
 )
-def test_framing_that_two_readers_could_read_differently_is_refused(head: str) -> None:
+def test_ambiguous_framing_is_refused(head: str) -> None:
     with pytest.raises(http.MessageError):
         parse(http.Parser(), [f"POST / HTTP/1.1\r\n{head}\r\n\r\n".encode()])
 
@@ -105,7 +110,7 @@
     assert len(buffer.data) < 20_000
 
 
-def test_a_freed_slot_is_used_again_under_another_number() -> None:
+def test_a_freed_slot_is_reused_under_another_number() -> None:
     slots: Slots[str] = Slots(2)
     first, second = slots.add("a"), slots.add("b")
     assert slots.full
@@ -118,7 +123,7 @@
         slots.add("d")
 
 
-def test_deadlines_run_in_order_behind_one_call_and_survive_a_failure() -> None:
+def test_deadlines_run_in_order_with_one_reactor_call_and_survive_an_exception() -> None:
     clock, got, errors = Clock(), list[object](), list[BaseException]()
     deadlines = Deadlines(clock, clock.seconds, 0.0)
     deadlines.on_error = errors.append
@@ -133,8 +138,8 @@
     assert (got, len(errors), clock.getDelayedCalls()) == (["a", "b", "c"], 1, [])
 
 
-def test_cancelled_deadlines_do_not_pile_up() -> None:
-    """Guards against an idle timer of 75 s that each request sets anew: thousands, all cancelled."""
+def test_cancelled_deadlines_do_not_accumulate() -> None:
+    """Every request restarts an idle timer of 75 s, which leaves thousands of cancelled deadlines."""
     clock, got = Clock(), list[int]()
     deadlines = Deadlines(clock, clock.seconds, 0.0)
     for n in range(20_000):
@@ -146,7 +151,7 @@
     assert (got, deadlines.active_count) == ([19_999], 0)
 
 
-def test_the_log_is_bounded_and_counts_what_it_holds_back() -> None:
+def test_the_log_is_rate_limited_and_counts_suppressed_lines() -> None:
     clock, lines = [0.0], list[str]()
     log = Log(lambda: clock[0], lines_per_s=1, burst=2)
     log.print = lambda now, code, text: lines.append(f"{code} {text}")  # type: ignore[method-assign]
@@ -158,39 +163,39 @@
 
 
 class FullPipe:
-    """A pipe's end that a write would have to wait for once the pipe is full."""
+    """The writing end of a pipe; a write that would block fails the test."""
 
     def __init__(self) -> None:
-        self.read, self.at = os.pipe()
-        os.set_blocking(self.at, False)
+        self.read, self.write_end = os.pipe()
+        os.set_blocking(self.write_end, False)
 
     def fileno(self) -> int:
-        return self.at
+        return self.write_end
 
     def write(self, text: str) -> int:
         try:
-            return os.write(self.at, text.encode())
+            return os.write(self.write_end, text.encode())
         except BlockingIOError:
-            raise AssertionError("the program would stand still here") from None
+            raise AssertionError("the process would block here") from None
 
     def flush(self) -> None:
         pass
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up_and_counts_what_it_left_out() -> None:
+def test_a_log_that_is_not_read_does_not_block_and_counts_suppressed_lines() -> None:
     pipe: Any = FullPipe()
     log = Log(lambda: 0.0, burst=1e9, out=pipe)
     while not log.suppressed:
         log.write("limit", "x" * 3_000)
-    held = log.suppressed["limit"]
+    suppressed = log.suppressed["limit"]
     log.write("limit", "y")
-    assert log.suppressed["limit"] == held + 1
+    assert log.suppressed["limit"] == suppressed + 1
     os.read(pipe.read, 1 << 20)
     log.write("start", "again")
-    said = os.read(pipe.read, 1 << 20).decode().splitlines()
-    assert [line.split(" ", 1)[1] for line in said] == [f"suppressed limit={held + 1}", "start again"]
+    lines = os.read(pipe.read, 1 << 20).decode().splitlines()
+    assert [line.split(" ", 1)[1] for line in lines] == [f"suppressed limit={suppressed + 1}", "start again"]
     os.close(pipe.read)
-    os.close(pipe.at)
+    os.close(pipe.write_end)
 
 
 @pytest.mark.parametrize(
@@ -208,17 +213,18 @@
         ("settings.limits.conn_idle", "long", "settings.limits.conn_idle"),
     ],
 )
-def test_a_faulty_key_is_named(path: str, value: Any, key: str) -> None:
+def test_an_invalid_key_is_named(path: str, value: Any, key: str) -> None:
     raw = platform()
-    at, names = raw, path.split(".")
+    section = raw
+    names = path.split(".")
     for name in names[:-1]:
-        at = at[name]
-    at[names[-1]] = value
+        section = section[name]
+    section[names[-1]] = value
     with pytest.raises(ConfigError, match=f"^{key}"):
         config_of(raw, {})
 
 
-def test_the_operators_file_is_checked(tmp_path: Any) -> None:
+def test_the_progress_file_is_validated(tmp_path: Any) -> None:
     path = tmp_path / "front.toml"
     for text, key in (
         ("[progress]\nenabled = 3", "enabled"),
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Scenarios of the second front: progress as server-sent events, against a stand-in worker."""
+"""Scenarios of progress as server-sent events, against a simulated worker."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from elderstall.net.event_stream import EventParser, ServerEvent, encode_event, parse_share
 from tests.scenario import Scenario, World
 
-ASKS = "Accept=text/event-stream"
-OPEN = f"c send job a1 deck-build {ASKS}\nw expect POST a1\nw send stream"
+ACCEPT_EVENTS = "Accept=text/event-stream"
+OPEN_STREAM = f"c send job a1 deck-build {ACCEPT_EVENTS}\nw expect POST a1\nw send stream"
 
 
 class Progress(Scenario):
-    """One path from a worker's stream to the client's."""
+    """Events from a worker's stream to the client's."""
 
     def begin(self, workers: int = 1, progress: bool = True, **more: object) -> World:
         return super().begin(workers, progress, **more)
 
-    def test_progress_reaches_client_and_module_and_one_result_closes(self) -> None:
+    def test_progress_reaches_client_and_decisions_and_one_result_closes(self) -> None:
         self.begin()
-        engine, seen = self.world.app.engine, list[Event]()
+        engine = self.world.app.engine
+        events = list[Event]()
         handle = engine.decisions.handle
-        engine.decisions.handle = lambda now, e: (seen.append(e), handle(now, e))[1]  # type: ignore
+        engine.decisions.handle = lambda now, event: (events.append(event), handle(now, event))[1]  # type: ignore
         self.play(f"""
-            {OPEN}
+            {OPEN_STREAM}
             c expect nothing
             w send event progress {{"share": 0.4}}
             c expect event progress {{"share": 0.4}}
@@ -45,12 +46,12 @@
             w send event result plain
             c expect 200 plain
         """)
-        self.assertIn(0.4, [e.share for e in seen if isinstance(e, AttemptProgressed)])
-        self.assertFalse([e for e in seen if isinstance(e, ResponseStarted)])
+        self.assertIn(0.4, [event.share for event in events if isinstance(event, AttemptProgressed)])
+        self.assertFalse([event for event in events if isinstance(event, ResponseStarted)])
 
-    def test_a_worker_that_calls_back_serves_too(self) -> None:
+    def test_call_backs_of_a_worker_become_events(self) -> None:
         self.play(f"""
-            c send job a1 deck-build {ASKS}
+            c send job a1 deck-build {ACCEPT_EVENTS}
             w expect POST a1
             w send 202
             w send call running a1
@@ -60,14 +61,14 @@
             c expect end
         """)
 
-    def test_a_broken_build_fails_with_one_error_and_never_runs_again(self) -> None:
-        for how in ("w close", "w send end", "w send raw zz\\r\\n", "w send event error full disk"):
+    def test_a_build_whose_stream_breaks_fails_with_one_error_and_is_not_retried(self) -> None:
+        for failure in ("w close", "w send end", "w send raw zz\\r\\n", "w send event error full disk"):
             self.begin(workers=2)
             self.play(f"""
-                {OPEN}
+                {OPEN_STREAM}
                 w send event progress {{"share": 0.4}}
                 c expect event progress
-                {how}
+                {failure}
                 c expect event error 502
                 c expect end
                 wait 3000
@@ -75,10 +76,10 @@
                 c expect nothing
             """)
 
-    def test_a_broken_fetch_is_sent_again_on_the_same_stream(self) -> None:
+    def test_a_fetch_whose_stream_breaks_is_retried_on_the_same_client_stream(self) -> None:
         self.play(
             f"""
-            c send job a1 deck-fetch {ASKS}
+            c send job a1 deck-fetch {ACCEPT_EVENTS}
             w expect POST a1
             w send stream
             w send event progress {{"share": 0.4}}
@@ -93,20 +94,20 @@
             workers=2,
         )
 
-    def test_before_the_first_event_a_refusal_is_a_plain_503_and_a_failure_5xx(self) -> None:
+    def test_before_the_first_event_a_rejection_is_a_plain_503_and_a_failure_a_502(self) -> None:
         self.play(f"""
-            {OPEN}
+            {OPEN_STREAM}
             w close
             c expect 502
             w close listener
-            c send job a2 deck-build {ASKS} budget=400
+            c send job a2 deck-build {ACCEPT_EVENTS} budget=400
             wait 450
             c expect 503
         """)
 
-    def test_a_stall_ends_at_the_deadline(self) -> None:
+    def test_a_stalled_stream_ends_at_the_deadline(self) -> None:
         self.play(f"""
-            c send job a1 deck-build {ASKS} budget=900
+            c send job a1 deck-build {ACCEPT_EVENTS} budget=900
             w expect POST a1
             w send stream
             w send event progress {{"share": 0.1}}
@@ -121,9 +122,9 @@
             log expect end:given-up
         """)
 
-    def test_a_safe_job_that_stalls_is_refused_in_the_stream(self) -> None:
+    def test_a_stalled_safe_job_is_rejected_in_the_stream(self) -> None:
         self.play(f"""
-            c send job a1 deck-fetch {ASKS} budget=900
+            c send job a1 deck-fetch {ACCEPT_EVENTS} budget=900
             w expect POST a1
             w send stream
             w send event progress 0.1
@@ -133,12 +134,12 @@
             c expect end
         """)
 
-    def test_a_draining_worker_finishes_its_streams_and_gets_nothing_new(self) -> None:
+    def test_a_draining_worker_finishes_its_streams_and_gets_no_new_jobs(self) -> None:
         self.play(f"""
             d send beat
-            {OPEN}
+            {OPEN_STREAM}
             d send changes 42 w1=draining
-            c2 send job a2 deck-build {ASKS}
+            c2 send job a2 deck-build {ACCEPT_EVENTS}
             w send event progress {{"share": 0.7}}
             c expect event progress 0.7
             wait 2500
@@ -150,12 +151,12 @@
         """)
 
     def test_a_slow_client_gets_the_newest_progress_and_the_final_event(self) -> None:
-        """Guards memory: what a client does not read is coalesced, but its last event is never dropped."""
+        """Bounds memory: unread progress of a client is coalesced, but its last event is never dropped."""
         self.begin()
         long = "x" * 3_000
         notes = "\n".join(f"w send event progress {n} {long}" for n in range(200))
         self.play(f"""
-            {OPEN}
+            {OPEN_STREAM}
             c close reading
             {notes}
         """)
@@ -168,17 +169,17 @@
         self.assertEqual(("result", "hello"), (events[-1].event, events[-1].data))
         self.assertLess(len(events), 12)
 
-    def test_a_client_that_goes_ends_the_stream_and_a_reconnect_runs_nothing(self) -> None:
+    def test_a_disconnecting_client_ends_the_stream_and_its_reconnect_runs_no_job(self) -> None:
         self.play(f"""
-            {OPEN}
+            {OPEN_STREAM}
             w send event progress {{"share": 0.2}}
             c expect event progress
             c close
             w expect DELETE a1
             w send 200
-            c2 send job a1 deck-build {ASKS}
+            c2 send job a1 deck-build {ACCEPT_EVENTS}
             c2 expect 204
-            c3 send job a9 deck-build {ASKS} Last-Event-ID=a1/1
+            c3 send job a9 deck-build {ACCEPT_EVENTS} Last-Event-ID=a1/1
             c3 expect 204
             wait 500
             w expect nothing
@@ -187,7 +188,7 @@
 
     def test_sigterm_lets_open_streams_finish(self) -> None:
         self.play(f"""
-            {OPEN}
+            {OPEN_STREAM}
             w send event progress {{"share": 0.2}}
             c expect event progress
             term send
@@ -203,10 +204,10 @@
             term expect exit
         """)
 
-    def test_the_front_is_off_unless_set_up(self) -> None:
+    def test_streams_are_disabled_unless_configured(self) -> None:
         self.begin(progress=False)
         self.play(f"""
-            c send job a1 deck-fetch {ASKS}
+            c send job a1 deck-fetch {ACCEPT_EVENTS}
             w expect POST a1
             w send 202
             w send call running a1
@@ -224,7 +225,7 @@
     cuts=st.lists(st.integers(1, 9), max_size=60),
     end=st.sampled_from(["\n", "\r", "\r\n"]),
 )
-def test_what_is_written_is_read_back_however_it_is_split(
+def test_encoded_events_are_parsed_back_from_pieces_of_any_size(
     events: list[tuple[str, str]], cuts: list[int], end: str
 ) -> None:
     raw = b"\xef\xbb\xbf" + b"".join(encode_event(name, data, "7") for name, data in events)
@@ -236,7 +237,7 @@
     assert got == [ServerEvent(name, data, "7") for name, data in events]
 
 
-def test_the_format_in_its_corners() -> None:
+def test_special_cases_of_the_format() -> None:
     parser = EventParser()
     text = (
         ": comment\n\nevent: lost\n\ndata\n\ndata:two\ndata: lines\nid: 4\nretry: 250\nodd: x\n\n"
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -1,6 +1,6 @@
-"""New configurations in a row and in quick succession, and discovery that is slow or crowded.
+"""Reloads of the settings in quick succession, and discovery that is slow or overloaded.
 
-On real sockets, by the clock that the test moves; see docs/design/crossings.md, 'What production adds'.
+On real sockets, with a clock controlled by the test; see docs/design/crossings.md, 'What production adds'.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class Reloading(Loopback):
-    """What is common."""
+    """Helpers for reloads and list calls."""
 
-    def places(self, count: int) -> list[socket.socket]:
-        """Give discovery's addresses."""
+    def discovery_listeners(self, count: int) -> list[socket.socket]:
+        """Return listeners to use as addresses of discovery."""
         return [self.listener() for _ in range(count)]
 
     def reload(self, lists: socket.socket, **settings: Any) -> None:
-        """Have a new configuration name an address of discovery."""
+        """Reload settings that name an address of discovery."""
         self.raw = {
             **self.raw,
             "discovery": address_of(lists),
@@ -36,7 +36,7 @@
         self.app.sighup()
 
     def calls_at(self, lists: socket.socket) -> list[Side]:
-        """Give the calls that have come at an address and are still open."""
+        """Return the open list calls received at an address."""
         found: list[Side] = []
         self.accept(lists, found)
         for side in found:
@@ -44,8 +44,8 @@
             side.read()
         return [side for side in found if not side.ended]
 
-    def say(self, side: Side, index: int, whole: bool = False, **states: str) -> None:
-        """Tell a list on a call."""
+    def send_list(self, side: Side, index: int, whole: bool = False, **states: str) -> None:
+        """Send a list on a call."""
         head = b"" if side.message.status else HEAD
         side.message.status = 200
         entries = [
@@ -61,75 +61,76 @@
 
 
 class InOneTurn(Reloading):
-    """SIGHUP several times before the reactor turns."""
+    """Several SIGHUPs within one reactor iteration."""
 
-    def test_only_the_last_address_is_called_and_the_former_watch_is_heard_until_it_speaks(self) -> None:
+    def test_only_the_last_address_is_called_and_the_former_watch_is_read_until_it_answers(self) -> None:
         for more in FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
                 former = self.watches[-1]
-                self.say(former, 42, w1="up")
-                places = self.places(5)
+                self.send_list(former, 42, w1="up")
+                listeners = self.discovery_listeners(5)
                 for n in range(20):
-                    self.reload(places[n % 5], classes=[CLASSES, OTHER_CLASSES][n % 2])
+                    self.reload(listeners[n % 5], classes=[CLASSES, OTHER_CLASSES][n % 2])
                 self.assertEqual(2, self.open_calls())
                 self.wait(100)
-                calls = [self.calls_at(place) for place in places]
+                calls = [self.calls_at(listener) for listener in listeners]
                 self.assertEqual([0, 0, 0, 0, 1], [len(found) for found in calls])
                 self.assertEqual(
                     ["/discovery/hosts?watch=1&from=0"], [m.target for m in calls[4][0].messages]
                 )
-                self.say(former, 43, w1="draining")
+                self.send_list(former, 43, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
-                self.say(calls[4][0], 7, whole=True, w1="draining", w2="up")
+                self.send_list(calls[4][0], 7, whole=True, w1="draining", w2="up")
                 former.read()
                 self.assertTrue(former.ended)
                 self.assertEqual(1, self.open_calls())
                 self.assertEqual(7, self.app.discovery.index)
 
-    def test_there_and_back_again(self) -> None:
-        """The file names the former address once more: it is asked for the whole list anew."""
+    def test_a_return_to_the_former_address_requests_the_whole_list(self) -> None:
+        """The settings name another address and then the former one again."""
         self.begin(workers=2)
         former, home, other = self.watches[-1], self.lists, self.listener()
-        self.say(former, 42, w1="up")
+        self.send_list(former, 42, w1="up")
         self.reload(other)
         self.reload(home)
         self.wait(50)
         self.assertEqual([], self.calls_at(other))
         self.asked_lists()
         self.assertEqual(2, len(self.watches))
-        self.say(self.watches[-1], 44, whole=True, w1="draining", w2="up")
+        self.send_list(self.watches[-1], 44, whole=True, w1="draining", w2="up")
         former.read()
         self.assertTrue(former.ended)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
-    def test_a_job_under_way_and_one_that_is_being_read_get_their_answers(self) -> None:
+    def test_a_job_in_progress_and_one_being_read_get_their_answers(self) -> None:
         self.begin(workers=2)
-        out, half = self.client(), self.client()
-        out.send(self.job("a1", "deck-build"))
+        in_progress = self.client()
+        incomplete = self.client()
+        in_progress.send(self.job("a1", "deck-build"))
         worker = self.take("POST a1")
         data = self.job("a2")
-        half.send(data[:-2])
+        incomplete.send(data[:-2])
         self.turn()
-        places = self.places(3)
+        listeners = self.discovery_listeners(3)
         for n in range(12):
             self.reload(
-                places[n % 3],
+                listeners[n % 3],
                 classes=[OTHER_CLASSES, CLASSES][n % 2],
                 rules={**RULES, "stop_sending_within": 300 + n},
             )
-        half.send(data[-2:])
+        incomplete.send(data[-2:])
         other = self.take("POST a2")
         for side, job in ((worker, "a1"), (other, "a2")):
             side.send(http.response(202))
             self.turn()
             ports = [sock.getsockname()[1] for sock in self.listeners]
             self.call_back(job, worker=f"w{ports.index(side.sock.getsockname()[1]) + 1}")
-        self.assertEqual([200, 200], [self.answer(side).status for side in (out, half)])
+        self.assertEqual([200, 200], [self.answer(side).status for side in (in_progress, incomplete)])
 
-    def test_a_faulty_one_among_them_changes_nothing(self) -> None:
+    def test_invalid_settings_among_them_have_no_effect(self) -> None:
         self.begin(workers=2)
-        first, last = self.places(2)
+        first, last = self.discovery_listeners(2)
         self.reload(first)
         good = self.raw
         self.raw = {**good, "discovery": "nowhere"}
@@ -139,75 +140,77 @@
         self.raw = good
         self.reload(last)
         self.wait(50)
-        self.assertEqual([0, 1], [len(self.calls_at(place)) for place in (first, last)])
+        self.assertEqual([0, 1], [len(self.calls_at(listener)) for listener in (first, last)])
         self.assertEqual(2, self.app.engine.counters.settings_load_errors)
 
 
 class InQuickSuccession(Reloading):
-    """SIGHUP again before discovery has answered."""
+    """Further SIGHUPs before discovery has answered."""
 
     def test_addresses_that_never_answer_leave_the_former_watch_in_force(self) -> None:
         for more in FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
                 former = self.watches[-1]
-                self.say(former, 42, w1="up")
-                places = self.places(4)
+                self.send_list(former, 42, w1="up")
+                listeners = self.discovery_listeners(4)
                 calls: list[Side] = []
-                for n in range(20):  # 12 s, in which none of them says anything
-                    self.reload(places[n % 4])
+                for n in range(20):  # 12 s without an answer from any address
+                    self.reload(listeners[n % 4])
                     for _ in range(6):
                         self.wait(100)
                         former.send(http.chunk(b"\n"))
-                        self.assertLessEqual(self.open_calls(), 3)  # the former and two calls
-                    calls += [side for place in places for side in self.calls_at(place)]
-                self.say(former, 43, w1="draining")
+                        self.assertLessEqual(self.open_calls(), 3)  # the former watch and two calls
+                    calls += [side for listener in listeners for side in self.calls_at(listener)]
+                self.send_list(former, 43, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 for side in calls:
                     side.read()
                 self.assertLessEqual(len([side for side in calls if not side.ended]), 2)
-                self.say([side for side in calls if not side.ended][-1], 3, whole=True, w1="up", w2="up")
+                self.send_list(
+                    [side for side in calls if not side.ended][-1], 3, whole=True, w1="up", w2="up"
+                )
                 self.assertEqual("up", self.app.engine.view.state("w1").value)
 
-    def test_addresses_that_refuse_are_called_again_and_the_next_one_at_once(self) -> None:
+    def test_addresses_that_refuse_connections_are_retried_and_the_next_one_is_called_at_once(self) -> None:
         for more in FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
-                self.say(self.watches[-1], 42, w1="up")
+                self.send_list(self.watches[-1], 42, w1="up")
                 for _ in range(5):
                     gone = socket.create_server(("127.0.0.1", 0))
-                    self.reload(gone)  # its address is taken down in the same turn
+                    self.reload(gone)  # the address is closed in the same reactor iteration
                     gone.close()
                     self.wait(700)
                 last = self.listener()
                 self.reload(last)
                 self.wait(50)
                 (call,) = self.calls_at(last)
-                self.say(call, 3, whole=True, w1="draining", w2="up")
+                self.send_list(call, 3, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
-    def test_what_the_former_one_sent_last_is_not_undone_by_its_end(self) -> None:
+    def test_the_last_change_of_the_former_watch_outlives_its_end(self) -> None:
         self.begin(workers=2)
         former = self.watches[-1]
-        self.say(former, 42, w1="up")
-        first, last = self.places(2)
+        self.send_list(former, 42, w1="up")
+        first, last = self.discovery_listeners(2)
         self.reload(first)
         self.wait(300)
-        self.say(former, 43, w1="draining")
+        self.send_list(former, 43, w1="draining")
         former.sock.close()
         self.wait(100)
         self.reload(last)
         self.wait(100)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
         (call,) = self.calls_at(last)
-        self.say(call, 1, whole=True, w1="draining", w2="up")
+        self.send_list(call, 1, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
-    def test_sigterm_between_them(self) -> None:
+    def test_sigterm_between_reloads(self) -> None:
         self.begin(workers=2)
-        places = self.places(3)
+        listeners = self.discovery_listeners(3)
         for n in range(6):
-            self.reload(places[n % 3])
+            self.reload(listeners[n % 3])
             if n == 2:
                 self.app.sigterm()
         self.wait(900)
@@ -216,10 +219,10 @@
 
 
 class SlowDiscovery(Reloading):
-    """Discovery answers slowly, or works through calls for long."""
+    """Discovery answers slowly, or queues calls for long."""
 
-    def test_a_long_list_that_comes_slowly_is_read_to_its_end(self) -> None:
-        """Bytes that still come are a sign of life: given up and asked for anew, it never came whole."""
+    def test_a_long_list_that_arrives_slowly_is_read_to_its_end(self) -> None:
+        """Arriving bytes restart the timeout: a list that was requested anew each time never arrived."""
         for more in FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
@@ -234,7 +237,7 @@
                     self.wait(100)
                 self.assertEqual(400, len(self.app.engine.view.entries))
 
-    def test_a_long_list_that_stops_on_its_way_is_asked_for_anew_in_time(self) -> None:
+    def test_a_long_list_that_stalls_is_requested_again_in_time(self) -> None:
         self.begin(workers=2)
         entries = [entry(f"w{n + 1}", address=address_of(self.listeners[n % 2])) for n in range(400)]
         line = json.dumps({"index": 50, "snapshot": True, "endpoints": entries}).encode() + b"\n"
@@ -248,9 +251,9 @@
             waited += 50
             self.assertLess(waited, 5_300)
 
-    def test_a_line_that_drips_is_no_sign_of_life(self) -> None:
+    def test_a_trickling_line_does_not_restart_the_timeout(self) -> None:
         self.begin(workers=2)
-        self.say(self.watches[0], 42, w1="up")
+        self.send_list(self.watches[0], 42, w1="up")
         line = json.dumps({"index": 43, "snapshot": False, "endpoints": []}).encode()
         data = http.chunk(line)
         called, sent = len(self.asked_lists()), 0
@@ -261,7 +264,7 @@
             self.wait(400)
             self.assertLess(sent, 13)
 
-    def test_calls_that_wait_3_s_in_its_queue_and_fail_are_made_again_in_time(self) -> None:
+    def test_calls_that_fail_after_3_s_in_its_queue_are_retried_in_time(self) -> None:
         for more in FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
@@ -280,26 +283,26 @@
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
 
-class RestingConnections(Reloading):
-    """A request crosses the end of a resting connection."""
+class IdleConnections(Reloading):
+    """A request arrives while its idle connection is being closed."""
 
-    def resting(self, count: int) -> dict[int, Side]:
-        """Give clients, by their ports, whose connections rest, a request unread on each."""
+    def idle_connections(self, count: int) -> dict[int, Side]:
+        """Return clients by port whose idle connections each hold an unread request."""
         sides = [self.client() for _ in range(count)]
         for side in sides:
             side.send(http.request("GET", "/up", "x"))
         self.turn()
         for side in sides:
             self.assertEqual(200, self.answer(side).status)
-        self.read: set[int] = set()  # clients' ports from which something is read from here on
+        self.read: set[int] = set()  # ports of clients from which data is read from now on
         for c in self.app.server.connections:
             self.record(c, self.read)
         for n, side in enumerate(sides):
             side.send(self.job(f"a{n}", "deck-build", 300))
         return {side.sock.getsockname()[1]: side for side in sides}
 
-    def none_is_lost(self, sides: dict[int, Side]) -> None:
-        """See that no connection was ended over its unread request: each has its answer."""
+    def assert_no_request_lost(self, sides: dict[int, Side]) -> None:
+        """Check that every request was answered, so that no connection was closed with a request unread."""
         self.wait(1_500)
         for side in sides.values():
             side.read()
@@ -307,31 +310,31 @@
         self.assertEqual(set(sides), answered)
         self.assertEqual(self.read, answered)
 
-    def test_limits_lowered_by_sighup_lose_no_request_that_was_read(self) -> None:
+    def test_lowering_the_limits_by_sighup_loses_no_request(self) -> None:
         self.begin(workers=2)
-        sides = self.resting(60)
+        sides = self.idle_connections(60)
         self.raw = {**self.raw, "limits": {"sockets": 64}}
         self.app.sighup()
-        self.none_is_lost(sides)
+        self.assert_no_request_lost(sides)
 
-    def test_descriptors_that_run_short_lose_no_request_that_was_read(self) -> None:
+    def test_a_shortage_of_descriptors_loses_no_request(self) -> None:
         self.begin(workers=2, sockets=96)
-        sides = self.resting(self.app.server.shedding_threshold)
+        sides = self.idle_connections(self.app.server.shedding_threshold)
         for _ in range(40):
             self.client().send(http.request("GET", "/up", "x"))
         self.jump(200)
-        self.app.port.doRead()  # the listener's queue is read before the connections that rest
-        self.none_is_lost(sides)
+        self.app.port.doRead()  # the listener's queue is read before the idle connections
+        self.assert_no_request_lost(sides)
 
     def record(self, c: Any, read: set[int]) -> None:
-        """Note from which client a connection reads."""
+        """Record the client's port when its connection reads data."""
         receive, port = c.dataReceived, c.transport.getPeer().port
 
-        def noted(data: bytes) -> None:
+        def receive_and_record(data: bytes) -> None:
             read.add(port)
             receive(data)
 
-        c.dataReceived = noted
+        c.dataReceived = receive_and_record
 
 
 if __name__ == "__main__":
