--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -321,7 +321,7 @@
         """Give each part its limits as they are configured now."""
         self.workers.connections.limit = self.upgrade.worker_connections
         self.workers.report_fields = self.config.report_fields
-        self.workers.keep_alive.idle_limit = self.config.idle_timeout_ms
+        self.workers.keep_alive.max_idle_timeout = self.config.idle_timeout_ms
         self.workers.connect_timeout = self.config.connect_timeout_ms
         self.discovery.live = self.config.live_weights
         self.server.max_connections, self.server.shedding_threshold = (
--- a/elderstall/net/upstream/__init__.py
+++ b/elderstall/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The client side towards workers: attempts, cancellations and load-report polls over kept connections."""
+"""The client side towards workers: attempts, cancels and load polls over persistent connections."""
--- a/elderstall/net/upstream/cancel_exchange.py
+++ b/elderstall/net/upstream/cancel_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange that has a worker give up a job that it may have accepted."""
+"""The exchange that cancels a job that a worker may have accepted."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from elderstall.interface import Ending
 from elderstall.net import http
 
-CANCEL_WAIT = 2_000.0  # ms that a DELETE may take; its worker may have vanished
-SHORT_CANCEL_WAIT = 0.4  # connect time-outs that it may take where the job can go on without its answer
+CANCEL_TIMEOUT_MS = 2_000.0  # a DELETE may stay unanswered: its worker may be gone
+SHORT_CANCEL_TIMEOUT_FACTOR = 0.4  # of the connect timeout, where the job can go on without a confirmation
 
 
 class CancelExchange:
-    """The exchange of a DELETE: any answer confirms it."""
+    """The exchange of a DELETE; any answer confirms the cancellation."""
 
     ends_attempt = counts_for_keep_alive = False
 
@@ -20,27 +20,27 @@
         self.result = result
 
     def forbidden_by(self) -> str | None:
-        """Nothing forbids it: it is no attempt."""
+        """Return None: the rules on sending apply to attempts only."""
         return None
 
     def request_written(self) -> None:
-        """Count nothing: it is no attempt."""
+        """Do nothing: only attempts are counted."""
 
     def head_received(self, message: http.Message) -> None:
-        """Take the head: any status will do."""
+        """Accept any status."""
 
     def data_received(self, data: bytes) -> None:
-        """Ignore the body: it says nothing here."""
+        """Ignore the body, which has no meaning here."""
 
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Take the answer's end: the worker knows."""
+        """Report the cancellation as confirmed."""
         self.finish(confirmed=True)
 
     def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
-        """Take the connection's end."""
+        """Report the cancellation as not confirmed."""
         self.finish(confirmed=False)
 
     def finish(self, *, confirmed: bool) -> None:
-        """Say whether the worker knows, once."""
+        """Fire the result with whether the worker confirmed, unless it has fired already."""
         if not self.result.called:
             self.result.callback(confirmed)
--- a/elderstall/net/upstream/connect_errors.py
+++ b/elderstall/net/upstream/connect_errors.py
@@ -1,4 +1,4 @@
-"""Which errors of a connection attempt are this machine's own."""
+"""Classification of connect errors: those caused by this machine and those of the worker or the path."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from twisted.internet.error import ConnectBindError
 
-# A want of this machine, no sign that the worker is out of reach.
+# Exhausted resources of this machine, which do not show that the worker is unreachable.
 LOCAL_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN}
 )
 
 
-def is_local(error: BaseException | None) -> bool:
-    """Say whether a connection failed to open for want of something on this machine."""
+def is_local_error(error: BaseException | None) -> bool:
+    """Return whether a connection failed to open because a resource of this machine is exhausted."""
     return (
         isinstance(error, ConnectBindError)
         or getattr(error, "osError", None) in LOCAL_ERRORS
--- a/elderstall/net/upstream/exchange.py
+++ b/elderstall/net/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""The interface of what takes the answer to one request on a worker's connection."""
+"""The interface through which a connection to a worker reports on a request and its answer."""
 
 from __future__ import annotations
 
@@ -10,40 +10,41 @@
 
 
 class Exchange(Protocol):
-    """One request and its answer, as the connection that carries it reports on them."""
+    """Handles the events of one request and its answer, reported by the connection that carries them."""
 
     @property
     def counts_for_keep_alive(self) -> bool:
-        """Whether its end shows how well connections hold; not so for what follows on a break."""
+        """Whether it counts in the statistics of broken connections; cancels, which follow breaks, do not."""
 
     @property
     def ends_attempt(self) -> bool:
-        """Whether the answer frees the job to be sent elsewhere.
+        """Whether the answer allows another attempt of the job.
 
-        If it is another request's, that would make a second copy: a reused connection is closed then.
+        If the answer belongs to an earlier request, another attempt would be a duplicate execution; a reused
+        connection is therefore closed first.
         """
 
     def forbidden_by(self) -> str | None:
-        """Name what forbids the request by now; asked once its connection has come up."""
+        """Return the name of a rule that now forbids the request, or None; checked once it is connected."""
 
     def request_written(self) -> None:
-        """Learn that the request's last byte was written."""
+        """Handle the write of the request's last byte."""
 
     def head_received(self, message: http.Message) -> None:
-        """Take the answer's head."""
+        """Handle the answer's head."""
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of its body."""
+        """Handle a piece of the answer's body."""
 
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Take the answer's end.
+        """Handle the answer's end.
 
-        ``maybe_accepted``: the answer may be another request's. ``answer_begun``: and this one's has begun
-        behind it.
+        ``maybe_accepted``: the answer may belong to an earlier request. ``answer_begun``: an answer to this
+        request has begun after it.
         """
 
     def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
-        """Take the connection's end before the answer's.
+        """Handle the end of the connection before the end of the answer.
 
         The ending is unreachable if the request's last byte was not written. ``answer_begun``: the worker
         had begun to answer. ``worker_unreachable``: see ``messages.Outcome``.
@@ -52,12 +53,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LastAnswer:
-    """An answer that is complete, and reported as such once its connection has ended."""
+    """A complete answer that is reported once its connection has ended."""
 
     exchange: Exchange
-    maybe_accepted: bool  # both as in ``Exchange.completed``
+    maybe_accepted: bool  # both fields as in ``Exchange.completed``
     answer_begun: bool
 
     def report(self) -> None:
-        """Report it."""
+        """Report the answer's end to its exchange."""
         self.exchange.completed(maybe_accepted=self.maybe_accepted, answer_begun=self.answer_begun)
--- a/elderstall/net/upstream/handle.py
+++ b/elderstall/net/upstream/handle.py
@@ -1,4 +1,4 @@
-"""A request on its way, for whoever may have to abort it."""
+"""The handle by which a request in progress can be aborted."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestHandle:
-    """One request on its way: over a connection, or waiting for one to come up."""
+    """A request in progress: on a connection, or waiting for one to be established."""
 
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
@@ -19,13 +19,13 @@
 
     @property
     def answer_begun(self) -> bool:
-        """Whether the worker has begun to answer, as far as that can be seen without waiting."""
+        """Whether the worker has begun to answer, as far as that is known without blocking."""
         return self.connection is not None and self.connection.has_begun_to_answer(self.exchange)
 
     def abort(self) -> Ending:
-        """Close the connection if it still carries the request; give the request's ending.
+        """Close the connection if it still carries the request; return the request's ending.
 
-        The reactor closes it in its next turn: what is written to another one in this turn goes first.
+        The reactor closes it in its next iteration, after anything written to other connections in this one.
         """
         if self.connection is not None:
             return self.connection.abort(self.exchange)
--- a/elderstall/net/upstream/job_exchange.py
+++ b/elderstall/net/upstream/job_exchange.py
@@ -14,118 +14,123 @@
 from elderstall.net import http
 from elderstall.net.upstream.handle import RequestHandle
 
-ACCEPT_WAIT = 4.0  # connect time-outs within which a worker says that it has a job, else the path is dead
-ACCEPT_SOON = 1.0  # the same for jobs that may be sent again: a wrong guess only costs work
-ANSWER_FOR = 1_000.0  # ms in which an answer that has begun with a 202 has to end
+ACCEPT_TIMEOUT_FACTOR = 4.0  # of the connect timeout; without an answer by then the path counts as dead
+REPEATABLE_ACCEPT_TIMEOUT_FACTOR = 1.0  # for repeatable jobs: a needless second attempt costs only work
+ANSWER_END_TIMEOUT_MS = 1_000.0  # for the rest of an answer that begins with a 202
 ACCEPTED = 202
 
 
 @dataclass(slots=True, frozen=True)
 class JobAttempt:
-    """An attempt to start, as in ``messages.AttemptTransport.send``."""
+    """The arguments of an attempt, as in ``messages.AttemptTransport.send``."""
 
     request: JobRequest
     ends_at: float
     on_progress: Callable[[float, str], None]
     forbidden_by: Callable[[], str | None]
-    result: Deferred[Outcome | None]  # fires with its outcome, None once the worker has accepted the job
+    result: Deferred[Outcome | None]  # fires with the outcome, None once the worker has accepted the job
 
 
 class JobTransport(Protocol):
-    """What an attempt's exchange needs of the transport."""
+    """The services that an attempt's exchange uses from its transport."""
 
     deadlines: Deadlines
     connect_timeout: float  # ms
     on_written: Callable[[], None]  # called for each attempt whose last byte was written
 
     def read_outcome(self, message: http.Message) -> Outcome:
-        """Read an answer that ends an attempt."""
+        """Return the outcome that an answer which ends an attempt stands for."""
 
-    def path_silent(self, handle: RequestHandle) -> None:
-        """Learn that a worker does not answer a request."""
+    def report_silent_worker(self, handle: RequestHandle) -> None:
+        """Handle a worker that does not answer a request."""
 
 
 class JobExchange:
-    """The exchange of one attempt."""
+    """The exchange of one attempt: a 202, or an answer that ends the attempt."""
 
     counts_for_keep_alive = True
-    answer_statuses = frozenset({ACCEPTED, 500, 503, 504})  # what the protocol knows as answers to a job
+    answer_statuses = frozenset({ACCEPTED, 500, 503, 504})  # the protocol's answers to a job
 
     def __init__(self, transport: JobTransport, attempt: JobAttempt) -> None:
-        self.transport, self.result = transport, attempt.result
+        self.transport = transport
+        self.result = attempt.result
         self.message = http.Message((1, 1), http.Headers())
         self.forbidden_by = attempt.forbidden_by
         self.timer: Deadline | None = None
-        self.answer_within = 0.0  # ms for the worker's answer once all is written; 0: to the deadline
+        self.answer_timeout = 0.0  # ms from the request's last byte; 0: until the deadline
         self.handle: RequestHandle | None = None
-        self.written = False  # all of it
-        self.extended = False  # the worker was silent once, but had begun to answer
+        self.written = False  # to its last byte
+        self.timeout_extended = False  # once, as the answer had begun when the timeout expired
 
     @property
     def ends_attempt(self) -> bool:
-        """Whether the answer is other than a 202: it frees the job to go elsewhere."""
+        """Whether the answer is other than a 202, which allows another attempt of the job."""
         return self.message.status in (500, 503, 504)
 
     # ---- the wait for an answer ----
 
-    def wait_for_answer(self, handle: RequestHandle, within: float) -> None:
-        """Wait for the worker's answer only as long as one on a living path takes, ms.
+    def wait_for_answer(self, handle: RequestHandle, timeout: float) -> None:
+        """Limit the wait for the worker's answer to ``timeout`` ms.
 
-        Guards against a connection that fell silent: its job would hang to its deadline, and hold its worker.
-        The time counts from the request's last byte; until that is written there is the connect time besides.
+        Without this timeout a job on a connection that silently died would wait until its deadline and
+        occupy its worker. The timeout counts from the request's last byte; until that is written, the
+        connect timeout is added.
         """
-        self.handle, self.answer_within = handle, within
+        self.handle = handle
+        self.answer_timeout = timeout
         if not self.result.called:
-            self._start_timer(within if self.written else within + self.transport.connect_timeout)
+            self._start_timer(timeout if self.written else timeout + self.transport.connect_timeout)
 
-    def _start_timer(self, within: float) -> None:
-        """Have the worker's silence count from now."""
+    def _start_timer(self, timeout: float) -> None:
+        """Restart the answer timeout."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.transport.deadlines.after(within, self._answer_overdue)
+        self.timer = self.transport.deadlines.after(timeout, self._on_answer_timeout)
 
-    def _answer_overdue(self) -> None:
-        """Give the attempt up, unless the worker has begun to answer: that is read first."""
+    def _on_answer_timeout(self) -> None:
+        """Abort the attempt; if the worker has begun to answer, first extend the timeout once to read it."""
         if self.result.called or self.handle is None:
             return
         answer_begun = self.handle.answer_begun
-        if answer_begun and not self.extended:
-            self.extended = True
-            self._start_timer(self.answer_within)
+        if answer_begun and not self.timeout_extended:
+            self.timeout_extended = True
+            self._start_timer(self.answer_timeout)
             return
-        self.transport.path_silent(self.handle)
+        self.transport.report_silent_worker(self.handle)
         ending = self.handle.abort()
         self.finish(Outcome(ending, maybe_accepted=self.written, answer_begun=answer_begun))
 
     def request_written(self) -> None:
-        """Count the attempt."""
+        """Count the attempt and start the answer timeout, if one was set."""
         self.transport.on_written()
         self.written = True
-        if self.answer_within and not self.result.called:
-            self._start_timer(self.answer_within)
+        if self.answer_timeout and not self.result.called:
+            self._start_timer(self.answer_timeout)
 
     # ---- the answer ----
 
     def head_received(self, message: http.Message) -> None:
-        """Take the head; what answers no job ends the connection, and so gives the attempt up.
+        """Handle the head; raise MessageError for a status that is no answer to a job.
 
-        Guards against two copies: it may be the second answer to what went over this connection before,
-        and the worker has the job all the same.
+        The error closes the connection and thereby cancels the attempt. The answer may be a second one to an
+        earlier request while the worker has this job, and another attempt would be a duplicate execution.
         """
         if message.status not in self.answer_statuses:
-            raise http.MessageError(502, f"{message.status} is no answer to a job")
+            raise http.MessageError(
+                502, f"unexpected status {message.status} in the answer to a job; closing the connection"
+            )
         self.message = message
         if message.status == ACCEPTED:
-            # The worker has it from here on, and to close its connection does not give the attempt up any
-            # more, whether or not the answer ever ends.
+            # From here on the worker has the job: closing the connection no longer cancels the attempt,
+            # whether or not the answer ever ends.
             self.finish(None)
-            self.timer = self.transport.deadlines.after(ANSWER_FOR, self.abort)
+            self.timer = self.transport.deadlines.after(ANSWER_END_TIMEOUT_MS, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Ignore the body: it says nothing here."""
+        """Ignore the body, which has no meaning here."""
 
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Take the answer's end."""
+        """Report the outcome, unless the answer is a 202, which was reported with its head."""
         if self.message.status != ACCEPTED:
             outcome = self.transport.read_outcome(self.message)
             self.finish(replace(outcome, maybe_accepted=maybe_accepted, answer_begun=answer_begun))
@@ -133,11 +138,11 @@
             self.timer.cancel()
 
     def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
-        """Take the connection's end; after the 202 it says nothing of the job."""
+        """Report the connection's end, unless it follows a 202: then the worker has the job."""
         if self.timer is not None:
             self.timer.cancel()
         if self.message.status != ACCEPTED:
-            # A reset says nothing of a 202 that it met on its way.
+            # A reset may have discarded a 202 in transit, so the worker may have the job.
             self.finish(
                 Outcome(
                     ending,
@@ -155,7 +160,7 @@
             self.handle.abort()
 
     def finish(self, outcome: Outcome | None) -> None:
-        """Give the outcome, once."""
+        """Fire the result with the outcome, unless it has fired already."""
         if self.timer is not None:
             self.timer.cancel()
         if not self.result.called:
--- a/elderstall/net/upstream/keep_alive.py
+++ b/elderstall/net/upstream/keep_alive.py
@@ -1,4 +1,4 @@
-"""What is learned of idle connections: how long they may be kept before something on the path cuts them."""
+"""The idle timeout of connections, adapted to when something on the path closes idle connections."""
 
 from __future__ import annotations
 
@@ -7,88 +7,95 @@
 
 from elderstall.log import Log
 
-STALE_WITHIN = 50.0  # ms: a reused connection that breaks this soon after a request was gone before it
-SHORTEST_KEEP = 20.0  # ms that an idle connection is kept in any case, for what follows at once
-DECAY = 0.98  # of the counts of uses and breaks remains after each use: some fifty count
-STALE_RATIO = 2.0  # times as often as new connections must kept ones break to be taken for cut
-SUSPECT_KEEP = 1_000.0  # ms: while connections are kept for less, non-repeatable jobs go over new ones
-NEW_BREAKS = 0.5  # of breaks of new connections, decayed: from one some thirty uses ago
-FIRST_DOUBLING_TIME = 10_000.0  # ms after which connections are kept twice as long again, at first
-LONGEST_DOUBLING_TIME = 60_000.0  # ms, at most
-MOST_DOUBLINGS = 16.0
+STALE_CONNECTION_WINDOW_MS = 50.0  # a reused connection that breaks this soon after a request was stale
+MIN_IDLE_TIMEOUT_MS = 20.0  # so that a request that follows at once can still reuse the connection
+DECAY_FACTOR = 0.98  # of the counts of uses and breaks, at each use: a window of about 50 uses
+STALE_BREAK_RATE_FACTOR = 2.0  # reused connections that break this many times as often as new ones are stale
+SUSPECT_IDLE_TIMEOUT_MS = 1_000.0  # below this, non-repeatable jobs use new connections
+MAX_NEW_BREAKS = 0.5  # decayed breaks of new connections: one break about 30 uses ago
+MIN_DOUBLING_TIME_MS = 10_000.0  # after which a reduced idle timeout has doubled, at first
+MAX_DOUBLING_TIME_MS = 60_000.0
+MAX_DOUBLINGS = 16.0
 
 
 @dataclass(slots=True)
 class UseCounts:
-    """Uses and breaks of connections of one kind, decaying with each use of any."""
+    """The uses and breaks of new or of reused connections; each use of either kind decays both."""
 
     uses: float = 0.0
     breaks: float = 0.0
 
     def decay(self) -> None:
-        """Have earlier uses count for less."""
-        self.uses *= DECAY
-        self.breaks *= DECAY
+        """Reduce the weight of earlier uses and breaks."""
+        self.uses *= DECAY_FACTOR
+        self.breaks *= DECAY_FACTOR
 
     @property
     def break_rate(self) -> float:
-        """The part of the uses that broke."""
+        """The fraction of uses that ended in a break."""
         return self.breaks / (self.uses + 1)
 
 
 class KeepAlive:
-    """How long idle connections are kept, learned from those that broke with a request on them."""
-
-    def __init__(self, idle_limit: float, now: Callable[[], float], log: Log) -> None:
-        self.idle_limit = idle_limit  # ms that connections are kept where none is cut
-        self.now, self.log = now, log
-        self.new, self.kept = UseCounts(), UseCounts()
-        self.reduced_to, self.reduced_at = idle_limit, 0.0
-        self.doubling_time = FIRST_DOUBLING_TIME
+    """The idle timeout of connections, learned from connections that broke during a request."""
+
+    def __init__(self, max_idle_timeout: float, now: Callable[[], float], log: Log) -> None:
+        self.max_idle_timeout = max_idle_timeout  # ms, where idle connections do not break
+        self.now = now
+        self.log = log
+        self.new_connections = UseCounts()
+        self.reused_connections = UseCounts()
+        self.reduced_timeout = max_idle_timeout  # ms
+        self.reduced_at = 0.0  # reading of the clock
+        self.doubling_time = MIN_DOUBLING_TIME_MS
 
     @property
-    def keep_for(self) -> float:
-        """How long idle connections are kept, ms: less where some were cut, and then ever longer."""
-        doublings = min((self.now() - self.reduced_at) / self.doubling_time, MOST_DOUBLINGS)
-        return float(min(self.idle_limit, self.reduced_to * 2**doublings))
+    def idle_timeout(self) -> float:
+        """How long idle connections are kept, ms: reduced after a stale one, then growing to the maximum."""
+        doublings = min((self.now() - self.reduced_at) / self.doubling_time, MAX_DOUBLINGS)
+        return float(min(self.max_idle_timeout, self.reduced_timeout * 2**doublings))
 
     @property
-    def new_safer(self) -> bool:
-        """Whether a new connection is the safer one: kept ones are found cut, and none just made broke."""
-        return self.keep_for < min(SUSPECT_KEEP, self.idle_limit) and self.new.breaks < NEW_BREAKS
+    def prefers_new_connections(self) -> bool:
+        """Whether a new connection is safer than a reused one: idle ones were stale and new ones hold."""
+        return (
+            self.idle_timeout < min(SUSPECT_IDLE_TIMEOUT_MS, self.max_idle_timeout)
+            and self.new_connections.breaks < MAX_NEW_BREAKS
+        )
 
-    def counts_of(self, idle_for: float) -> UseCounts:
-        """Give the counts of connections that were idle for so long before a request, ms."""
-        return self.kept if idle_for > 0 else self.new
+    def counts_for(self, idle_ms: float) -> UseCounts:
+        """Return the counts for connections that were idle for ``idle_ms`` before a request."""
+        return self.reused_connections if idle_ms > 0 else self.new_connections
 
-    def used(self, idle_for: float) -> None:
-        """Count a use of a connection that was idle for so long before it, ms."""
-        self.new.decay()
-        self.kept.decay()
-        self.counts_of(idle_for).uses += 1
+    def record_use(self, idle_ms: float) -> None:
+        """Count a request on a connection that was idle for ``idle_ms`` before it."""
+        self.new_connections.decay()
+        self.reused_connections.decay()
+        self.counts_for(idle_ms).uses += 1
 
-    def broke_off(self, worker: str, idle_for: float) -> None:
-        """Learn from a connection that broke just after a request was written to it.
+    def record_break(self, worker: str, idle_ms: float) -> None:
+        """Count a connection that broke just after a request was written to it, and adapt the idle timeout.
 
-        Guards jobs that must not be repeated: where something on the path cuts idle connections, the request
-        that finds out may have run for all we know.
+        Where something on the path closes idle connections, it is unknown whether the request on a stale one
+        has run, and a job that must not be repeated would fail.
         """
-        self.counts_of(idle_for).breaks += 1
-        if self.kept.break_rate <= STALE_RATIO * self.new.break_rate:
-            # Workers reset any connection: keeping fewer would only cost them handshakes.
-            self.reduced_to = self.idle_limit
-        elif idle_for > 0:
-            self._keep_for_less(worker, idle_for)
-
-    def _keep_for_less(self, worker: str, idle_for: float) -> None:
-        """Halve the time kept: something cut a connection that was idle for so long, ms."""
-        if self.keep_for >= self.idle_limit:
-            self.doubling_time = FIRST_DOUBLING_TIME
+        self.counts_for(idle_ms).breaks += 1
+        if self.reused_connections.break_rate <= STALE_BREAK_RATE_FACTOR * self.new_connections.break_rate:
+            # Workers reset new connections too: shorter reuse would only add handshakes.
+            self.reduced_timeout = self.max_idle_timeout
+        elif idle_ms > 0:
+            self._reduce_idle_timeout(worker, idle_ms)
+
+    def _reduce_idle_timeout(self, worker: str, idle_ms: float) -> None:
+        """Halve the idle timeout, as a connection that was idle for ``idle_ms`` was stale."""
+        if self.idle_timeout >= self.max_idle_timeout:
+            self.doubling_time = MIN_DOUBLING_TIME_MS
         else:
-            self.doubling_time = min(2 * self.doubling_time, LONGEST_DOUBLING_TIME)
-        self.reduced_to = max(SHORTEST_KEEP, min(self.keep_for, idle_for) / 2)
+            self.doubling_time = min(2 * self.doubling_time, MAX_DOUBLING_TIME_MS)
+        self.reduced_timeout = max(MIN_IDLE_TIMEOUT_MS, min(self.idle_timeout, idle_ms) / 2)
         self.reduced_at = self.now()
         self.log.write(
             "stale",
-            f"{worker} cut a connection free for {idle_for:.0f} ms; kept {self.reduced_to:.0f} ms now",
+            f"connection to {worker} was closed after {idle_ms:.0f} ms idle; "
+            f"idle timeout reduced to {self.reduced_timeout:.0f} ms",
         )
--- a/elderstall/net/upstream/load_exchange.py
+++ b/elderstall/net/upstream/load_exchange.py
@@ -13,50 +13,54 @@
 from elderstall.net import http
 from elderstall.net.upstream.responses import LoadReport
 
-POLL_WAIT = 1.0  # connect time-outs that the answer may take
+POLL_TIMEOUT_FACTOR = 1.0  # of the connect timeout, for the answer
 
 
 class LoadExchange:
     """The exchange of one poll."""
 
-    ends_attempt, counts_for_keep_alive = False, True
+    ends_attempt = False
+    counts_for_keep_alive = True
 
     def __init__(
         self, read_report: Callable[[object], LoadReport], log: Log, result: Deferred[Outcome]
     ) -> None:
-        self.read_report, self.log, self.result = read_report, log, result
-        self.status, self.body = 0, bytearray()
+        self.read_report = read_report
+        self.log = log
+        self.result = result
+        self.status = 0
+        self.body = bytearray()
 
     def forbidden_by(self) -> str | None:
-        """Nothing forbids it: it is no attempt."""
+        """Return None: the rules on sending apply to attempts only."""
         return None
 
     def request_written(self) -> None:
-        """Count nothing: it is no attempt."""
+        """Do nothing: only attempts are counted."""
 
     def head_received(self, message: http.Message) -> None:
-        """Take the head."""
+        """Record the answer's status."""
         self.status = message.status
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the report; the parser bounds them."""
+        """Collect the report's bytes; the parser limits their number."""
         self.body += data
 
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Take the answer's end: a report, or that the worker answers no more polls now."""
+        """Report the load report, or that the worker rejects polls at present."""
         report: LoadReport = ()
         if self.status == 200:
             try:
                 report = self.read_report(json.loads(self.body))
             except (ValueError, RecursionError):
-                self.log.write("bad-answer", "a load report that cannot be read")
+                self.log.write("bad-answer", "load report cannot be parsed as JSON; ignoring it")
         self.finish(Outcome(Ending.SERVED if self.status == 200 else Ending.FULL, report=report))
 
     def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
-        """Take the connection's end."""
+        """Report the end of the connection as the poll's ending."""
         self.finish(Outcome(ending, worker_unreachable=worker_unreachable))
 
     def finish(self, outcome: Outcome) -> None:
-        """Give the outcome, once."""
+        """Fire the result with the outcome, unless it has fired already."""
         if not self.result.called:
             self.result.callback(outcome)
--- a/elderstall/net/upstream/open_connections.py
+++ b/elderstall/net/upstream/open_connections.py
@@ -1,4 +1,4 @@
-"""All connections to workers, and the limit on their number."""
+"""The connections to all workers, and the limit on their number."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 from elderstall.slots import Slots
 
-CLOSING_LIMIT = 8  # connections closed at once to make room: they hold descriptors for one turn more
+MAX_CLOSING_CONNECTIONS = 8  # closing at once to make room: each holds its descriptor for one more iteration
 
 
 class IdleConnection(Protocol):
     """A connection that can be closed while it is idle."""
 
     def close_idle(self) -> None:
-        """Close it."""
+        """Close the connection if it is idle."""
 
 
 C = TypeVar("C", bound=IdleConnection)
 
 
 class OpenConnections(Generic[C]):
-    """The connections to all workers by number, with those that open, idle and close."""
+    """The connections to all workers by number, and which of them are opening, idle or closing."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.slots: Slots[C] = Slots()
-        self.opening = 0  # still coming up; they count too
-        self.idle = dict[C, None]()  # the one idle for longest first
-        self.closing = set[C]()  # told to close; the reactor's next turn does it
+        self.opening = 0  # being established; they count towards the limit
+        self.idle = dict[C, None]()  # the longest idle first
+        self.closing = set[C]()  # aborted; the reactor closes them in its next iteration
 
     def __len__(self) -> int:
         return len(self.slots)
@@ -37,24 +37,24 @@
         return iter(self.slots)
 
     def add(self, connection: C) -> int:
-        """Take a connection that has come up, and give its number."""
+        """Add an established connection and return its number."""
         return self.slots.add(connection)
 
     def remove(self, number: int, connection: C) -> None:
-        """Take off a connection that has ended."""
+        """Remove a connection that has ended."""
         self.idle.pop(connection, None)
         self.slots.remove(number)
 
     def make_room(self) -> bool:
-        """Say whether one more connection may be opened; the one idle for longest is closed for it.
+        """Return whether one more connection may be opened, closing the longest idle one if necessary.
 
-        Guards dispatchers with fewer descriptors than there are workers: idle connections would hold them
-        all, and no other worker could be reached until they are old.
+        With fewer descriptors than workers, idle connections would otherwise hold all descriptors, and no
+        other worker could be reached until they time out.
         """
         excess = len(self) - len(self.closing) + self.opening - self.limit + 1
         if excess <= 0:
             return True
-        if excess > 1 or not self.idle or len(self.closing) >= CLOSING_LIMIT:
+        if excess > 1 or not self.idle or len(self.closing) >= MAX_CLOSING_CONNECTIONS:
             return False
         next(iter(self.idle)).close_idle()
         return True
--- a/elderstall/net/upstream/pool.py
+++ b/elderstall/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one worker: kept while idle, opened where none is."""
+"""The pool of connections to one worker: idle ones are reused, new ones opened on demand."""
 
 from __future__ import annotations
 
@@ -10,23 +10,28 @@
 
 from elderstall.interface import Ending
 from elderstall.net import http
-from elderstall.net.upstream.connect_errors import is_local
+from elderstall.net.upstream.connect_errors import is_local_error
 from elderstall.net.upstream.connection import CloseReason, Services, WorkerConnection
 from elderstall.net.upstream.exchange import Exchange
 from elderstall.net.upstream.handle import RequestHandle
 from elderstall.net.upstream.request import WorkerRequest
 
-Connect = Callable[[str, Factory], Deferred[WorkerConnection]]  # to an address, within the time allowed
+Connect = Callable[
+    [str, Factory], Deferred[WorkerConnection]
+]  # connects to an address within the connect timeout
 
 
 class Pool(Factory):
-    """The connections to one worker at one address."""
+    """The pool of connections to one worker at one address."""
 
     noisy = False
 
     def __init__(self, services: Services, name: str, address: str, connect: Connect) -> None:
-        self.services, self.name, self.address, self.connect = services, name, address, connect
-        self.idle: list[WorkerConnection] = []  # the newest idle last
+        self.services = services
+        self.name = name
+        self.address = address
+        self.connect = connect
+        self.idle: list[WorkerConnection] = []  # the most recently used last
         self.closed = False
 
     def buildProtocol(self, addr: object) -> WorkerConnection:  # noqa: N802, D102
@@ -35,7 +40,7 @@
     # ---- idle connections ----
 
     def release(self, connection: WorkerConnection) -> None:
-        """Keep a connection that is free, until clearly before the worker's machine would close it."""
+        """Add an idle connection, to be closed well before the worker would close it."""
         if self.closed:
             connection.drop(CloseReason.POOL_CLOSED)
             return
@@ -44,7 +49,7 @@
         self.services.connections.idle[connection] = None
         connection.idle_since = deadlines.now()
         connection.idle_timer = deadlines.after(
-            self.services.keep_alive.keep_for, self.close_idle, connection
+            self.services.keep_alive.idle_timeout, self.close_idle, connection
         )
 
     def close_idle(self, connection: WorkerConnection) -> None:
@@ -54,41 +59,41 @@
             self.services.connections.idle.pop(connection, None)
             connection.drop(CloseReason.IDLE)
 
-    def drop_idle(self, idle_for: float = 0.0) -> None:
-        """Close the connections that have been idle for so long, ms."""
-        since = self.services.deadlines.now() - idle_for
+    def drop_idle(self, min_idle_ms: float = 0.0) -> None:
+        """Close the connections that have been idle for at least ``min_idle_ms``."""
+        since = self.services.deadlines.now() - min_idle_ms
         for connection in self.idle[::-1]:
             if connection.idle_since is None or connection.idle_since <= since:
                 self.close_idle(connection)
 
     def connection_lost(self, connection: WorkerConnection) -> None:
-        """Take off a connection that has ended."""
+        """Remove a connection that has ended."""
         if connection in self.idle:
             self.idle.remove(connection)
         self.services.connections.remove(connection.number, connection)
 
     def close(self) -> None:
-        """Close the idle connections, and those in use once they are free."""
+        """Close the idle connections now, and those in use when their requests end."""
         self.closed = True
         self.drop_idle()
 
     def _take_idle(self, *, repeatable: bool) -> WorkerConnection | None:
-        """Give the newest idle connection that may carry a request, if any."""
+        """Remove and return the most recently used idle connection that may carry a request, or None."""
         keep_alive = self.services.keep_alive
-        self.drop_idle(keep_alive.keep_for)  # something may have cut it since they became idle
-        while self.idle and (repeatable or not keep_alive.new_safer):
+        self.drop_idle(keep_alive.idle_timeout)  # the idle timeout may have been reduced since
+        while self.idle and (repeatable or not keep_alive.prefers_new_connections):
             connection = self.idle.pop()
             self.services.connections.idle.pop(connection, None)
             if not connection.unread:
                 return connection
-            # Closed, or with bytes that nobody asked for, since the reactor last looked: nothing is written
-            # to it, so nothing can have run there.
+            # Since the reactor last polled it, the worker closed it or sent unsolicited data. The request is
+            # not written to it, so it cannot have run.
             connection.drop(CloseReason.WORKER_CLOSED)
         return None
 
     # ---- requests ----
 
-    def begin(
+    def start_request(
         self,
         request: WorkerRequest,
         exchange: Exchange,
@@ -96,9 +101,9 @@
         max_body: int = http.MAX_BODY,
         repeatable: bool = True,
     ) -> RequestHandle:
-        """Send a request over the newest idle connection, or a new one; give what aborts it.
+        """Send a request over an idle connection or a new one; return the handle that aborts it.
 
-        No request is ever written twice: the exchange hears of a connection that breaks, and that is all.
+        A request is never written twice: if its connection breaks, the exchange fails.
         """
         handle = RequestHandle(exchange)
         connection = self._take_idle(repeatable=repeatable)
@@ -108,12 +113,12 @@
         elif self.services.connections.make_room():
             self._open(handle, request, max_body)
         else:
-            self.services.log.write("limit", f"no descriptor for a connection to {self.name}")
+            self.services.log.write("limit", f"too many open connections; request to {self.name} not sent")
             exchange.failed(Ending.UNREACHABLE)
         return handle
 
     def _open(self, handle: RequestHandle, request: WorkerRequest, max_body: int) -> None:
-        """Open a connection for a request."""
+        """Open a connection and write a request to it once it is established."""
         self.services.connections.opening += 1
         handle.connecting = connecting = maybeDeferred(self.connect, self.address, self)
         connecting.addCallbacks(
@@ -127,29 +132,31 @@
     def _opened(
         self, connection: WorkerConnection, handle: RequestHandle, request: WorkerRequest, max_body: int
     ) -> None:
-        """Write a request to its new connection, unless the request may not be sent any more."""
+        """Write a request to its new connection, unless it must not be sent any more."""
         self.services.connections.opening -= 1
         handle.connection = connection
         exchange = handle.exchange
-        if connection.unread:  # ended as it came up, see ``_take_idle``
+        if connection.unread:  # it has already ended, see ``_take_idle``
             connection.drop(CloseReason.WORKER_CLOSED)
             exchange.failed(Ending.UNREACHABLE)
             return
-        why = "it is gone, or another process now" if self.closed else exchange.forbidden_by()
-        if why is not None:
-            self.services.log.write("rule", f"nothing written to {self.name}, up late: {why}")
+        reason = "the worker is gone or has restarted" if self.closed else exchange.forbidden_by()
+        if reason is not None:
+            self.services.log.write("rule", f"request not sent to {self.name} after connecting: {reason}")
             self.release(connection)
             exchange.failed(Ending.UNREACHABLE)
             return
         connection.start(request, exchange, max_body)
 
     def _open_failed(self, failure: Failure, handle: RequestHandle) -> None:
-        """Report that no connection came up, unless the request was aborted."""
+        """Report that no connection was established, unless the request was aborted."""
         self.services.connections.opening -= 1
         if not isinstance(failure.value, CancelledError):
-            self.services.log.write("connect", f"{self.name}: {type(failure.value).__name__}")
-            handle.exchange.failed(Ending.UNREACHABLE, worker_unreachable=not is_local(failure.value))
+            self.services.log.write(
+                "connect", f"connection to {self.name} failed: {type(failure.value).__name__}"
+            )
+            handle.exchange.failed(Ending.UNREACHABLE, worker_unreachable=not is_local_error(failure.value))
 
     def _log_error(self, failure: Failure) -> None:
-        """Log an error in the program; whoever waits has time-outs of its own."""
+        """Log an error in the program; the callers that wait have timeouts of their own."""
         self.services.log.failure("exchange", failure.value)
--- a/elderstall/net/upstream/request.py
+++ b/elderstall/net/upstream/request.py
@@ -1,4 +1,4 @@
-"""Requests to workers, and how much of a job's time each one states."""
+"""Requests to workers, and the time budget that each one states."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from elderstall.net import http
 
 LOAD_PATH = "/metrics/load"
-BUDGET_MARGIN = 20.0  # ms kept back from the time stated, for a process held up as it writes
-BUDGET_MARGIN_PART = 0.05  # of the time left that the margin takes at most: little time is not made much less
-# Fields of a client's request that are not passed on: of its connection alone, or written anew.
+BUDGET_MARGIN_MS = 20.0  # kept back from the stated time, for a process that is delayed while writing
+MAX_BUDGET_MARGIN_FRACTION = 0.05  # of the time left, so that a short time is hardly reduced
+# Fields of a client's request that are not forwarded: they concern its connection alone or are rewritten.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -33,17 +33,17 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerRequest:
-    """A request to a worker, rendered in the step that writes it: not before its connection is up."""
+    """A request to a worker, rendered when it is written, so that it states the time left then."""
 
     method: str
     target: str
     host: str
     fields: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    ends_at: float = math.inf  # reading of the clock at which an attempt's time is over; others have no end
+    ends_at: float = math.inf  # clock reading at which an attempt times out; other requests do not
 
     def render(self, now: float) -> bytes | None:
-        """Give its bytes, an attempt's with the time that is left; None where no time is left."""
+        """Return the request's bytes, an attempt's with its time left; None if no time is left."""
         fields = list(self.fields)
         if self.ends_at < math.inf:
             budget = budget_to_send(self.ends_at - now)
@@ -53,13 +53,13 @@
         return http.request(self.method, self.target, self.host, fields, self.body)
 
 
-def budget_to_send(left: float) -> int:
-    """Give the whole ms to state to a worker: at most what will be left once the bytes are written."""
-    return int(left - min(BUDGET_MARGIN, left * BUDGET_MARGIN_PART))
+def budget_to_send(remaining_ms: float) -> int:
+    """Return the whole ms to state to a worker: no more than is left once the request is written."""
+    return int(remaining_ms - min(BUDGET_MARGIN_MS, remaining_ms * MAX_BUDGET_MARGIN_FRACTION))
 
 
 def job_request(request: JobRequest, address: str, ends_at: float, accept: str = "") -> WorkerRequest:
-    """Make an attempt's request: the client's as it came; ``accept`` replaces its Accept field if given."""
+    """Return an attempt's request: the client's, with its Accept field replaced if ``accept`` is given."""
     original = request.original
     assert isinstance(original, http.Message)
     fields = [(name, value) for name, value in original.headers.fields if name.lower() not in HOP_BY_HOP]
@@ -70,10 +70,10 @@
 
 
 def cancel_request(request_id: str, address: str) -> WorkerRequest:
-    """Make the request that has a worker give up a job."""
+    """Return the request that cancels a job."""
     return WorkerRequest("DELETE", f"/jobs/{quote(request_id, safe='')}", address)
 
 
 def load_request(address: str) -> WorkerRequest:
-    """Make the request for a worker's load report."""
+    """Return the request for a worker's load report."""
     return WorkerRequest("GET", LOAD_PATH, address)
--- a/elderstall/net/upstream/request_writer.py
+++ b/elderstall/net/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""Writes one request to a connection's transport, with the time that is left as its first byte goes."""
+"""Writing of one request to a connection's transport, with the time left when its first byte is written."""
 
 from __future__ import annotations
 
@@ -10,41 +10,43 @@
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.net.upstream.request import WorkerRequest
 
-WRITE_RETRY = 5.0  # ms after which a request is written again of which the system took no byte
+WRITE_RETRY_DELAY_MS = 5.0  # after the system accepted no byte of a request
 
 
 class RequestOwner(Protocol):
-    """Whoever has a request written."""
+    """Receives the result of writing a request."""
 
     def request_written(self) -> None:
-        """Learn that its last byte was written."""
+        """Handle the write of the request's last byte."""
 
     def request_expired(self) -> None:
-        """Learn that its time was over before a byte was written."""
+        """Handle an attempt that timed out before a byte was written."""
 
     def write_failed(self) -> None:
-        """Learn that the system refused its first byte."""
+        """Handle an error in writing the request's first byte."""
 
 
 @implementer(IPullProducer)
 class RequestWriter:
-    """The writing of one request."""
+    """Writes one request to a transport."""
 
     __slots__ = ("deadlines", "owner", "request", "retry_timer", "transport", "unsent", "written")
 
     def __init__(
         self, owner: RequestOwner, transport: Any, deadlines: Deadlines, request: WorkerRequest
     ) -> None:
-        self.owner, self.transport, self.deadlines = owner, transport, deadlines
+        self.owner = owner
+        self.transport = transport
+        self.deadlines = deadlines
         self.request: WorkerRequest | None = request  # until its first byte is written
-        self.unsent = b""  # what the system did not take at once
+        self.unsent = b""  # the bytes that the system did not accept at once
         self.retry_timer: Deadline | None = None
         self.written = False  # to its last byte
 
     def write(self) -> None:
-        """Hand the request to the system at once, with the time that is left now.
+        """Write the request to the socket immediately, with the time left now.
 
-        What the system does not take is left to the transport, which asks for more once that is all written.
+        Bytes that the system does not accept are written through the transport, as a pull producer.
         """
         self.retry_timer = None
         if self.request is None:
@@ -54,22 +56,24 @@
             self.request = None
             self.owner.request_expired()
             return
-        taken = self.transport.writeSomeData(data)
-        if isinstance(taken, Exception) or taken < 0:
+        written_bytes = self.transport.writeSomeData(data)
+        if isinstance(written_bytes, Exception) or written_bytes < 0:
             self.owner.write_failed()
-        elif taken == 0:
-            self.retry_timer = self.deadlines.after(WRITE_RETRY, self.write)
-        elif taken < len(data):
-            self.request, self.unsent = None, data[taken:]
+        elif written_bytes == 0:
+            self.retry_timer = self.deadlines.after(WRITE_RETRY_DELAY_MS, self.write)
+        elif written_bytes < len(data):
+            self.request = None
+            self.unsent = data[written_bytes:]
             self.transport.registerProducer(self, False)
         else:
             self.request = None
             self._finish()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write the rest, or learn that its last byte has left the program (handed over isn't sent)."""
+        """Write the rest, or report that its last byte has left the transport's buffer."""
         if self.unsent:
-            data, self.unsent = self.unsent, b""
+            data = self.unsent
+            self.unsent = b""
             self.transport.write(data)
         elif not self.written:
             self.transport.unregisterProducer()
@@ -79,12 +83,12 @@
         pass
 
     def cancel(self) -> None:
-        """Write nothing more of a request of which no byte was taken."""
+        """Do not write the request if no byte of it was accepted yet."""
         self.request = None
         if self.retry_timer is not None:
             self.retry_timer.cancel()
 
     def _finish(self) -> None:
-        """Note that the last byte was written."""
+        """Report that the last byte was written."""
         self.written = True
         self.owner.request_written()
--- a/elderstall/net/upstream/responses.py
+++ b/elderstall/net/upstream/responses.py
@@ -1,4 +1,4 @@
-"""Reading of workers' answers: load reports, and how an answer ends an attempt."""
+"""Parsing of workers' answers: load reports, and the outcome of an attempt that an answer ends."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from elderstall.messages import Outcome
 from elderstall.net import http
 
-LARGEST_VALUE = 1e15  # of a load report's field; anything larger is an error of its writer
+MAX_REPORT_VALUE = 1e15  # a larger value in a load report is an error of the worker
 
 LoadReport = tuple[float, ...]  # in the order of the settings' fields
 
 
 def read_report(load: object, fields: tuple[str, ...]) -> LoadReport:
-    """Read a load report in the order of ``fields``; one that lacks any of them is empty."""
+    """Return a load report's values in the order of ``fields``; empty if any of them is missing."""
     if not isinstance(load, dict):
         return ()
     values = [load.get(name) for name in fields]
-    if not all(isinstance(value, int | float) and abs(value) < LARGEST_VALUE for value in values):
+    if not all(isinstance(value, int | float) and abs(value) < MAX_REPORT_VALUE for value in values):
         return ()
     return tuple(float(value) for value in values if value is not None)
 
 
 def read_outcome(message: http.Message, fields: tuple[str, ...]) -> Outcome:
-    """Read an answer that ends an attempt, by the protocol's table."""
+    """Return the outcome that an answer which ends an attempt stands for in the protocol's table."""
     report: LoadReport = ()
     try:
         text = message.headers.get("X-Load-Report")
--- a/elderstall/net/upstream/streams.py
+++ b/elderstall/net/upstream/streams.py
@@ -1,4 +1,4 @@
-"""Attempts whose answers may be event streams: progress as it comes, and one result or error."""
+"""Attempts whose answers may be event streams: progress events, then one result or error."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from elderstall.net.upstream.request import job_request
 from elderstall.net.upstream.transport import WorkerTransport
 
-AFTER_RESULT = 1_000.0  # ms for a worker's stream to end after its last event
-NO_BODY_LIMIT = 0  # a stream is passed on as it comes, so no limit holds for the whole
+STREAM_END_TIMEOUT_MS = 1_000.0  # for a worker's stream to end after its last event
+NO_BODY_LIMIT = 0  # a stream is forwarded piece by piece, so its total size is not limited
 
 
 class StreamExchange(JobExchange):
@@ -24,32 +24,32 @@
     def __init__(self, transport: JobTransport, attempt: JobAttempt) -> None:
         super().__init__(transport, attempt)
         self.on_progress = attempt.on_progress
-        self.events: EventParser | None = None
+        self.event_parser: EventParser | None = None
         self.ended = False
 
     @property
     def ends_attempt(self) -> bool:
-        """Whether the answer is neither a 202 nor a stream: it frees the job to go elsewhere."""
-        return self.message.status != 202 and self.events is None
+        """Whether the answer is neither a 202 nor a stream, which allows another attempt of the job."""
+        return self.message.status != 202 and self.event_parser is None
 
     def head_received(self, message: http.Message) -> None:
-        """Take the head: a stream, or an answer of the platform's protocol."""
+        """Handle the head of a stream, or of an answer that ``JobExchange`` handles."""
         super().head_received(message)
-        kinds = message.headers.tokens("Content-Type")
-        if message.status == 200 and kinds and kinds[0].split(";")[0].strip() == MEDIA_TYPE:
-            self.events = EventParser()
+        media_types = message.headers.tokens("Content-Type")
+        if message.status == 200 and media_types and media_types[0].split(";")[0].strip() == MEDIA_TYPE:
+            self.event_parser = EventParser()
 
     def data_received(self, data: bytes) -> None:
-        """Take a piece of the stream; after the last event nothing counts."""
-        if self.events is None or self.ended:
+        """Handle a piece of the stream; data after the last event is ignored."""
+        if self.event_parser is None or self.ended:
             return
-        for event in self.events.feed(data):
-            self._take(event)
+        for event in self.event_parser.feed(data):
+            self._handle_event(event)
             if self.ended:
                 break
 
-    def _take(self, event: ServerEvent) -> None:
-        """Take one event of the stream."""
+    def _handle_event(self, event: ServerEvent) -> None:
+        """Report a progress event, or the outcome of a result or an error event."""
         if event.event == "progress":
             self.on_progress(parse_share(event.data), event.data)
         elif event.event == "result":
@@ -58,40 +58,40 @@
             self.finish(Outcome(Ending.ERROR))
 
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Take the answer's end: a stream that ends without a result was broken off."""
-        if self.events is not None:
+        """Report the answer's end; a stream that ends without a result or an error is broken."""
+        if self.event_parser is not None:
             self.finish(Outcome(Ending.BROKEN))
         else:
             super().completed(maybe_accepted=maybe_accepted, answer_begun=answer_begun)
 
     def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
-        """Take the connection's end: once a stream has begun, its job may have run."""
-        if self.events is not None:
+        """Report the connection's end; once a stream has begun, its job may have run."""
+        if self.event_parser is not None:
             self.finish(Outcome(Ending.BROKEN))
         else:
             super().failed(ending, answer_begun=answer_begun, worker_unreachable=worker_unreachable)
 
     def finish(self, outcome: Outcome | None) -> None:
-        """Give the attempt's outcome, once; the connection has a little time to finish the answer."""
+        """Report the attempt's outcome, once; the stream must then end within a timeout."""
         if self.ended:
             return
         self.ended = True
-        if self.events is not None:
-            self.transport.deadlines.after(AFTER_RESULT, self.abort)
+        if self.event_parser is not None:
+            self.transport.deadlines.after(STREAM_END_TIMEOUT_MS, self.abort)
         super().finish(outcome)
 
 
 class StreamTransport(WorkerTransport):
-    """The transport that asks workers for streams."""
+    """The transport of attempts that requests event streams from workers."""
 
     def start_attempt(self, pool: Pool, attempt: JobAttempt) -> RequestHandle:
         """Start the exchange of an attempt.
 
-        A stream may begin with the job's start, so the worker's first byte is waited for to the deadline.
+        A stream may begin only when the job starts, so its first byte may come as late as the deadline.
         """
         exchange = StreamExchange(self, attempt)
         request = job_request(attempt.request, pool.address, attempt.ends_at, MEDIA_TYPE)
-        exchange.handle = pool.begin(
+        exchange.handle = pool.start_request(
             request, exchange, max_body=NO_BODY_LIMIT, repeatable=attempt.request.repeatable
         )
         return exchange.handle
--- a/elderstall/net/upstream/transport.py
+++ b/elderstall/net/upstream/transport.py
@@ -1,4 +1,4 @@
-"""The transport of attempts to workers over HTTP, with one pool of connections a worker."""
+"""The transport of attempts to workers over HTTP, with one connection pool per worker."""
 
 from __future__ import annotations
 
@@ -13,12 +13,21 @@
 from elderstall.log import Log
 from elderstall.messages import JobRequest, Outcome
 from elderstall.net import http
-from elderstall.net.upstream.cancel_exchange import CANCEL_WAIT, SHORT_CANCEL_WAIT, CancelExchange
+from elderstall.net.upstream.cancel_exchange import (
+    CANCEL_TIMEOUT_MS,
+    SHORT_CANCEL_TIMEOUT_FACTOR,
+    CancelExchange,
+)
 from elderstall.net.upstream.connection import Services, WorkerConnection
 from elderstall.net.upstream.handle import RequestHandle
-from elderstall.net.upstream.job_exchange import ACCEPT_SOON, ACCEPT_WAIT, JobAttempt, JobExchange
+from elderstall.net.upstream.job_exchange import (
+    ACCEPT_TIMEOUT_FACTOR,
+    REPEATABLE_ACCEPT_TIMEOUT_FACTOR,
+    JobAttempt,
+    JobExchange,
+)
 from elderstall.net.upstream.keep_alive import KeepAlive
-from elderstall.net.upstream.load_exchange import POLL_WAIT, LoadExchange
+from elderstall.net.upstream.load_exchange import POLL_TIMEOUT_FACTOR, LoadExchange
 from elderstall.net.upstream.open_connections import OpenConnections
 from elderstall.net.upstream.pool import Connect, Pool
 from elderstall.net.upstream.request import cancel_request, job_request, load_request
@@ -28,14 +37,14 @@
 
 
 class WorkerAddress(NamedTuple):
-    """Where a worker's process listens, and when it started, Unix ms."""
+    """The address of a worker's process, and when it started, Unix ms."""
 
     address: str
     started: float | None
 
 
 class WorkerTransport:
-    """Takes attempts to workers; see ``messages.AttemptTransport``."""
+    """Sends attempts, cancels and polls to workers over HTTP; see ``messages.AttemptTransport``."""
 
     def __init__(
         self,
@@ -43,69 +52,76 @@
         connect: Connect,
         log: Log,
         report_fields: tuple[str, ...] = (),
-        idle_limit: float = 8_000.0,
+        max_idle_timeout: float = 8_000.0,
         connection_limit: int = 300,
         connect_timeout: float = 250.0,
     ) -> None:
-        self.deadlines, self.connect, self.log = deadlines, connect, log
-        self.report_fields, self.connect_timeout = report_fields, connect_timeout
-        self.keep_alive = KeepAlive(idle_limit, deadlines.now, log)
+        self.deadlines = deadlines
+        self.connect = connect
+        self.log = log
+        self.report_fields = report_fields
+        self.connect_timeout = connect_timeout  # ms
+        self.keep_alive = KeepAlive(max_idle_timeout, deadlines.now, log)
         self.connections: OpenConnections[WorkerConnection] = OpenConnections(connection_limit)
         self.services = Services(deadlines, log, self.keep_alive, self.connections)
         self.on_written: Callable[[], None] = lambda: None  # called for each job whose last byte was written
-        self.addresses: dict[str, WorkerAddress] = {}  # of all workers on the endpoint list
-        self.pools: dict[str, Pool] = {}  # of those that were called, made at the first call
+        self.addresses: dict[str, WorkerAddress] = {}  # of all workers on the endpoint list, by name
+        self.pools: dict[str, Pool] = {}  # by worker; created at the first request to it
 
     # ---- the endpoint list ----
 
     def update_endpoint(self, name: str, address: str, started: float | None) -> None:
-        """Take a worker's address; a changed one or a restart drops the pool."""
-        place = WorkerAddress(address, started)
-        if self.addresses.get(name) != place:
+        """Set a worker's address; a changed address or a restart closes its pool."""
+        worker_address = WorkerAddress(address, started)
+        if self.addresses.get(name) != worker_address:
             self.remove_endpoint(name)
-            self.addresses[name] = place
+            self.addresses[name] = worker_address
 
     def remove_endpoint(self, name: str) -> None:
-        """Drop the pool of a worker that the list no longer names."""
+        """Close the pool of a worker that is no longer on the endpoint list."""
         self.addresses.pop(name, None)
         self.drop_idle(name)
 
     def drop_idle(self, worker: str) -> None:
-        """Drop the idle connections to a worker; see ``messages.AttemptTransport``."""
+        """Close the pool of a worker; see ``messages.AttemptTransport``."""
         if (pool := self.pools.pop(worker, None)) is not None:
             pool.close()
 
     def close(self) -> None:
-        """Drop every pool."""
+        """Close all pools."""
         for name in list(self.addresses):
             self.remove_endpoint(name)
 
-    def _pool_of(self, worker: str) -> Pool | None:
-        """Give a worker's pool, or None where it is not on the list."""
+    def _pool_for(self, worker: str) -> Pool | None:
+        """Return a worker's pool, or None if it is not on the endpoint list."""
         pool = self.pools.get(worker)
-        if pool is None and (place := self.addresses.get(worker)) is not None:
-            pool = self.pools[worker] = Pool(self.services, worker, place.address, self._open_connection)
+        if pool is None and (worker_address := self.addresses.get(worker)) is not None:
+            pool = self.pools[worker] = Pool(
+                self.services, worker, worker_address.address, self._open_connection
+            )
         return pool
 
     def _open_connection(self, address: str, factory: Factory) -> Deferred[WorkerConnection]:
-        """Open a connection to an address, by what is set for that now."""
+        """Open a connection with the current ``connect``, which may be replaced after a pool was created."""
         return self.connect(address, factory)
 
     # ---- answers ----
 
     def read_report(self, load: object) -> LoadReport:
-        """Read a load report in the order of the settings' fields; one that lacks any says nothing."""
+        """Return a load report's values in the order of the settings' fields; empty if any is missing."""
         return read_report(load, self.report_fields)
 
     def read_outcome(self, message: http.Message) -> Outcome:
-        """Read an answer that ends an attempt."""
+        """Return the outcome that an answer which ends an attempt stands for."""
         return read_outcome(message, self.report_fields)
 
-    def path_silent(self, handle: RequestHandle) -> None:
-        """Learn that a worker does not answer a request."""
+    def report_silent_worker(self, handle: RequestHandle) -> None:
+        """Log that a worker does not answer a job, and close the idle connections to it."""
         if (connection := handle.connection) is not None:
-            self.log.write("silent", f"{connection.pool.name} does not answer a job")
-            connection.pool.drop_idle()  # what is idle there may be as dead
+            self.log.write(
+                "silent", f"{connection.pool.name} did not answer a job in time; closing idle connections"
+            )
+            connection.pool.drop_idle()  # they may be dead too
 
     # ---- attempts, cancellations, polls ----
 
@@ -125,10 +141,10 @@
                 answer_begun = handle.answer_begun
                 handle.abort()
                 if answer_begun:
-                    result.callback(None)  # it may be the 202 that has come: then the worker has the job
+                    result.callback(None)  # it may be a 202, after which the worker has the job
 
         result: Deferred[Outcome | None] = Deferred(abort)
-        pool = self._pool_of(worker)
+        pool = self._pool_for(worker)
         if pool is None:
             result.callback(Outcome(Ending.UNREACHABLE))
             return result
@@ -140,49 +156,55 @@
         """Start the exchange of an attempt."""
         exchange = JobExchange(self, attempt)
         repeatable = attempt.request.repeatable
-        within = self.connect_timeout * (ACCEPT_SOON if repeatable else ACCEPT_WAIT)
+        timeout = self.connect_timeout * (
+            REPEATABLE_ACCEPT_TIMEOUT_FACTOR if repeatable else ACCEPT_TIMEOUT_FACTOR
+        )
         request = job_request(attempt.request, pool.address, attempt.ends_at)
-        handle = pool.begin(request, exchange, repeatable=repeatable)
-        exchange.wait_for_answer(handle, within)
+        handle = pool.start_request(request, exchange, repeatable=repeatable)
+        exchange.wait_for_answer(handle, timeout)
         return handle
 
     def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
-        """Have a worker give up a job that it may have accepted; see ``messages.AttemptTransport``."""
+        """Cancel a job that a worker may have accepted; see ``messages.AttemptTransport``."""
         result: Deferred[bool] = Deferred()
-        pool = self._pool_of(worker)
+        pool = self._pool_for(worker)
         if pool is None:
             result.callback(False)
             return result
         exchange = CancelExchange(result)
-        handle = pool.begin(cancel_request(request_id, pool.address), exchange)
+        handle = pool.start_request(cancel_request(request_id, pool.address), exchange)
 
-        def overdue() -> None:
+        def on_timeout() -> None:
             handle.abort()
             exchange.finish(confirmed=False)
 
-        timeout = CANCEL_WAIT if confirmation_required else self.connect_timeout * SHORT_CANCEL_WAIT
-        return self._with_timeout(result, timeout, overdue)
+        timeout = (
+            CANCEL_TIMEOUT_MS if confirmation_required else self.connect_timeout * SHORT_CANCEL_TIMEOUT_FACTOR
+        )
+        return self._with_timeout(result, timeout, on_timeout)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
         """Poll a worker for its load report; see ``messages.AttemptTransport``."""
         result: Deferred[Outcome] = Deferred()
-        pool = self._pool_of(worker)
+        pool = self._pool_for(worker)
         if pool is None:
             result.callback(Outcome(Ending.UNREACHABLE))
             return result
         exchange = LoadExchange(self.read_report, self.log, result)
-        handle = pool.begin(load_request(pool.address), exchange)
+        handle = pool.start_request(load_request(pool.address), exchange)
 
-        def overdue() -> None:
+        def on_timeout() -> None:
             handle.abort()
-            pool.drop_idle()  # what is idle there may be as dead
+            pool.drop_idle()  # they may be dead too
             exchange.failed(Ending.TIMED_OUT, worker_unreachable=True)
 
-        return self._with_timeout(result, self.connect_timeout * POLL_WAIT, overdue)
+        return self._with_timeout(result, self.connect_timeout * POLL_TIMEOUT_FACTOR, on_timeout)
 
-    def _with_timeout(self, result: Deferred[T], timeout: float, overdue: Callable[[], None]) -> Deferred[T]:
-        """Call ``overdue`` unless a result fires within so many ms."""
-        timer = self.deadlines.after(timeout, overdue)
+    def _with_timeout(
+        self, result: Deferred[T], timeout: float, on_timeout: Callable[[], None]
+    ) -> Deferred[T]:
+        """Call ``on_timeout`` unless ``result`` fires within ``timeout`` ms; return ``result``."""
+        timer = self.deadlines.after(timeout, on_timeout)
 
         def cancel_timer(value: T) -> T:
             timer.cancel()
--- a/elderstall/simulation/attempt.py
+++ b/elderstall/simulation/attempt.py
@@ -15,8 +15,8 @@
 from elderstall.engine import Engine
 from elderstall.interface import Ending
 from elderstall.messages import JobRequest, Outcome
-from elderstall.net.upstream.job_exchange import ACCEPT_SOON, ACCEPT_WAIT
-from elderstall.net.upstream.keep_alive import STALE_WITHIN
+from elderstall.net.upstream.job_exchange import ACCEPT_TIMEOUT_FACTOR, REPEATABLE_ACCEPT_TIMEOUT_FACTOR
+from elderstall.net.upstream.keep_alive import STALE_CONNECTION_WINDOW_MS
 from elderstall.simulation.loop import Call, VirtualTime
 from elderstall.simulation.requests import Request, Try
 from elderstall.simulation.scenario import Kind, Network, Scenario, Worker
@@ -246,7 +246,7 @@
     def begin(self) -> None:
         """Go over the newest free connection, or a new one."""
         upstream, loop, network = self.upstream, self.upstream.loop, self.upstream.network
-        wait = ACCEPT_SOON if self.ask.repeatable else ACCEPT_WAIT
+        wait = REPEATABLE_ACCEPT_TIMEOUT_FACTOR if self.ask.repeatable else ACCEPT_TIMEOUT_FACTOR
         link = upstream.free_link(self.worker_host)
         if link is None:
             if upstream.count + upstream.opening >= network.worker_connections:
@@ -313,7 +313,7 @@
         """Name a break: whether it ran, and whether a kept connection had gone before it."""
         if not self.written:
             return Ending.UNREACHABLE
-        quick = self.upstream.loop.now - self.wrote_at <= STALE_WITHIN
+        quick = self.upstream.loop.now - self.wrote_at <= STALE_CONNECTION_WINDOW_MS
         return Ending.STALE_CONNECTION if quick and self.unused > 0 else Ending.BROKEN
 
     def silent(self) -> None:
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -14,7 +14,7 @@
 from elderstall.config import IDLE_PART
 from elderstall.interface import Ending, Endpoint, WorkerState
 from elderstall.messages import JobRequest, Outcome
-from elderstall.net.upstream.cancel_exchange import CANCEL_WAIT
+from elderstall.net.upstream.cancel_exchange import CANCEL_TIMEOUT_MS
 from elderstall.simulation.attempt import Link, SimulatedAttempt, TargetHost, UpstreamOwner
 from elderstall.simulation.loop import Call
 
@@ -85,7 +85,7 @@
             worker_host.cancel(attempt)
             self.loop.after(worker_host.delay(), done.callback, True)
         else:
-            self.loop.after(CANCEL_WAIT, done.callback, False)
+            self.loop.after(CANCEL_TIMEOUT_MS, done.callback, False)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
         """Ask a worker how it stands; its answer takes two trips, and a new connection's more."""
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -14,7 +14,7 @@
 
 from elderstall.net import http
 from elderstall.net.peer import unread
-from elderstall.net.upstream.request import BUDGET_MARGIN, budget_to_send
+from elderstall.net.upstream.request import BUDGET_MARGIN_MS, budget_to_send
 from tests.faulty_sockets import SHORT, FaultPlan, hand_in
 from tests.loopback import Loopback, Side
 
@@ -56,7 +56,7 @@
         left = self.ends[request_id] - self.app.deadlines.now()
         self.assertGreater(told, 0)
         self.assertLessEqual(told, left)
-        self.assertGreaterEqual(told, left - BUDGET_MARGIN - 1)  # and no more is kept back than the margin
+        self.assertGreaterEqual(told, left - BUDGET_MARGIN_MS - 1)  # and no more is kept back than the margin
         return side, told
 
     def serve(self, request_id: str, worker: Side, client: Side, name: str = "w1") -> None:
@@ -175,7 +175,7 @@
                 told = budget_to_send(left)
                 self.assertGreater(told, 0)
                 self.assertLessEqual(told, left)
-                self.assertGreaterEqual(told, 0.95 * left - 1 if left < 400 else left - BUDGET_MARGIN - 1)
+                self.assertGreaterEqual(told, 0.95 * left - 1 if left < 400 else left - BUDGET_MARGIN_MS - 1)
         for left in (-5.0, 0.0, 0.9):
             self.assertLessEqual(budget_to_send(left), 0)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -432,7 +432,7 @@
         self.wait(280)
         self.let_up()
         self.nothing()
-        self.assertTrue([x for x in self.lines if x.startswith("rule nothing written to w1")], self.lines)
+        self.assertTrue([x for x in self.lines if x.startswith("rule request not sent to w1")], self.lines)
         self.wait(5_000)
         self.assertEqual(503, self.answer(side).status)
 
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -8,8 +8,8 @@
 from elderstall.log import Log
 from elderstall.messages import Outcome
 from elderstall.net import http
-from elderstall.net.upstream.keep_alive import FIRST_DOUBLING_TIME, SHORTEST_KEEP, KeepAlive
-from elderstall.net.upstream.open_connections import CLOSING_LIMIT, OpenConnections
+from elderstall.net.upstream.keep_alive import MIN_DOUBLING_TIME_MS, MIN_IDLE_TIMEOUT_MS, KeepAlive
+from elderstall.net.upstream.open_connections import MAX_CLOSING_CONNECTIONS, OpenConnections
 from elderstall.net.upstream.request import WorkerRequest
 from elderstall.net.upstream.responses import read_outcome, read_report
 
@@ -50,39 +50,39 @@
 def test_a_cut_connection_halves_the_time_kept_and_it_grows_back() -> None:
     clock = Clock()
     keep_alive = keep_alive_on(clock)
-    keep_alive.used(400.0)
-    keep_alive.broke_off("w", 400.0)
-    assert keep_alive.keep_for == 200.0
-    assert keep_alive.new_safer
-    clock.at += FIRST_DOUBLING_TIME
-    assert keep_alive.keep_for == 400.0
-    clock.at += 10 * FIRST_DOUBLING_TIME
-    assert keep_alive.keep_for == IDLE_LIMIT
-    assert not keep_alive.new_safer
+    keep_alive.record_use(400.0)
+    keep_alive.record_break("w", 400.0)
+    assert keep_alive.idle_timeout == 200.0
+    assert keep_alive.prefers_new_connections
+    clock.at += MIN_DOUBLING_TIME_MS
+    assert keep_alive.idle_timeout == 400.0
+    clock.at += 10 * MIN_DOUBLING_TIME_MS
+    assert keep_alive.idle_timeout == IDLE_LIMIT
+    assert not keep_alive.prefers_new_connections
 
 
 def test_a_second_cut_soon_after_has_the_time_grow_back_more_slowly() -> None:
     clock = Clock()
     keep_alive = keep_alive_on(clock)
     for idle_for in (400.0, 100.0):
-        keep_alive.used(idle_for)
-        keep_alive.broke_off("w", idle_for)
-    assert (keep_alive.keep_for, keep_alive.doubling_time) == (50.0, 2 * FIRST_DOUBLING_TIME)
+        keep_alive.record_use(idle_for)
+        keep_alive.record_break("w", idle_for)
+    assert (keep_alive.idle_timeout, keep_alive.doubling_time) == (50.0, 2 * MIN_DOUBLING_TIME_MS)
 
 
 def test_the_time_kept_is_never_less_than_the_shortest() -> None:
     keep_alive = keep_alive_on(Clock())
-    keep_alive.used(1.0)
-    keep_alive.broke_off("w", 1.0)
-    assert keep_alive.keep_for == SHORTEST_KEEP
+    keep_alive.record_use(1.0)
+    keep_alive.record_break("w", 1.0)
+    assert keep_alive.idle_timeout == MIN_IDLE_TIMEOUT_MS
 
 
 def test_breaks_of_new_connections_show_no_cut() -> None:
     keep_alive = keep_alive_on(Clock())
     for idle_for in (0.0, 400.0):
-        keep_alive.used(idle_for)
-        keep_alive.broke_off("w", idle_for)
-    assert keep_alive.keep_for == IDLE_LIMIT
+        keep_alive.record_use(idle_for)
+        keep_alive.record_break("w", idle_for)
+    assert keep_alive.idle_timeout == IDLE_LIMIT
 
 
 # ---- their number ----
@@ -101,14 +101,14 @@
 
 
 def test_only_a_few_connections_close_at_once_to_make_room() -> None:
-    connections = OpenConnections["IdleConnection"](2 * CLOSING_LIMIT)
-    for _ in range(2 * CLOSING_LIMIT):
+    connections = OpenConnections["IdleConnection"](2 * MAX_CLOSING_CONNECTIONS)
+    for _ in range(2 * MAX_CLOSING_CONNECTIONS):
         IdleConnection(connections)
     made = 0
     while connections.make_room():
         connections.opening += 1
         made += 1
-    assert made == len(connections.closing) == CLOSING_LIMIT
+    assert made == len(connections.closing) == MAX_CLOSING_CONNECTIONS
 
 
 # ---- bytes ----
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -329,13 +329,13 @@
         cancelled_and_resent = "w expect DELETE a2\nw send 200\nw expect POST a2\n"
         self.play("w close\nlog expect stale\nwait 60\n" + cancelled_and_resent + done.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
-        self.assertAlmostEqual(200, keep_alive.keep_for, delta=5)
+        self.assertAlmostEqual(200, keep_alive.idle_timeout, delta=5)
         self.play("wait 50\nc send job b1 deck-build\nw expect POST b1\n" + done.format("b1"))
         self.assertEqual(3, len(self.world.workers))
         self.play("wait 190\n" + ask.format("a3") + done.format("a3") + "wait 220\nlog expect end:idle")
         self.assertEqual(3, len(self.world.workers))
         self.play(ask.format("a4") + done.format("a4") + "wait 60000")
-        self.assertEqual((4, keep_alive.idle_limit), (len(self.world.workers), keep_alive.keep_for))
+        self.assertEqual((4, keep_alive.max_idle_timeout), (len(self.world.workers), keep_alive.idle_timeout))
 
     def test_workers_that_break_new_connections_do_not_cost_the_kept_ones(self) -> None:
         """Guards against a handshake a job where it is the workers that reset, old connections or new."""
@@ -348,11 +348,11 @@
         self.play("wait 300\n" + ask.format("a2") + "w close\nwait 100\n" + cancelled_and_resent.format("a2"))
         self.play(done.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
-        self.assertEqual(keep_alive.idle_limit, keep_alive.keep_for)
-        keep_alive.new.breaks = 1.0  # one new connection in twenty breaks all the same
-        keep_alive.new.uses, keep_alive.kept.uses = 20.0, 5.0
+        self.assertEqual(keep_alive.max_idle_timeout, keep_alive.idle_timeout)
+        keep_alive.new_connections.breaks = 1.0  # one new connection in twenty breaks all the same
+        keep_alive.new_connections.uses, keep_alive.reused_connections.uses = 20.0, 5.0
         self.play("wait 300\n" + ask.format("a3") + "w close\nlog expect stale")
-        self.assertFalse(keep_alive.new_safer)
+        self.assertFalse(keep_alive.prefers_new_connections)
 
     def test_input_split_anywhere_is_read(self) -> None:
         self.play("""
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -16,7 +16,7 @@
 
 from elderstall.engine.endpoint_feed import EndpointFeed
 from elderstall.net import http
-from elderstall.net.upstream.connect_errors import is_local
+from elderstall.net.upstream.connect_errors import is_local_error
 from tests.faulty_sockets import SHORT, Fault, FaultPlan, descriptors, hand_in, no_descriptor_leaked
 from tests.loopback import Loopback, Side
 
@@ -246,8 +246,8 @@
                     self.end()
 
     def test_which_errors_are_local(self) -> None:
-        self.assertTrue(is_local(OSError(errno.EMFILE, "too many")))
-        self.assertFalse(is_local(OSError(errno.ECONNREFUSED, "refused")))
+        self.assertTrue(is_local_error(OSError(errno.EMFILE, "too many")))
+        self.assertFalse(is_local_error(OSError(errno.ECONNREFUSED, "refused")))
 
 
 class Writing(FailingCalls):
