--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -1,6 +1,6 @@
-"""Kinds of trouble that production adds: quiet times, outages, shutdowns, workers' connections, little time.
+"""Tests of faults in production: long idle periods, outages of discovery, drains, shutdowns and stalls.
 
-On real sockets, by the clock that the test moves; see docs/design/crossings.md, 'What production adds'.
+On real sockets, with a clock that the test advances; see docs/design/crossings.md, 'What production adds'.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from tests.loopback import Loopback, Side
 from tests.scenario import CLASSES, RULES
 
-BEAT = 2_000.0  # ms between discovery's signs of life
-QUIET_BEATS = 900  # half an hour
-OUTAGE_STEPS = 5_000  # half seconds: over a thousand calls
+HEARTBEAT_INTERVAL_MS = 2_000.0
+QUIET_HEARTBEATS = 900  # half an hour
+OUTAGE_STEPS = 5_000  # of half a second each: over a thousand calls for the list
 FLEETS = (1, 16, 17, 200, 3_200)  # dispatchers in the settings
-STEP = 10.0  # ms
-SHORT = [
+STEP_MS = 10.0
+SHORT_DEADLINE_CLASSES = [
     {"name": "deck-fetch", "points": 2, "aim": 200, "deadline": 440, "effect": "safe"},
     {"name": "deck-build", "points": 5, "aim": 300, "deadline": 440, "effect": "unsafe"},
 ]
-KEYED = {
+KEYED_CLASS = {
     "name": "stamp",
     "points": 3,
     "aim": 300,
@@ -36,11 +36,11 @@
 }
 
 
-class Trouble(Loopback):
-    """What is common."""
+class FaultTest(Loopback):
+    """The operations that the tests of faults share."""
 
     def served(self, request_id: str, job_class: str = "deck-fetch", side: Side | None = None) -> Side:
-        """Have a job served; gives its worker's connection."""
+        """Have a job served; return its worker's connection."""
         side = side or self.client()
         side.send(self.job(request_id, job_class))
         worker = self.take(f"POST {request_id}")
@@ -54,43 +54,43 @@
         self.ports = [sock.getsockname()[1] for sock in self.listeners]
 
     def accept(self, sock: socket.socket, sides: list[Side]) -> None:
-        if sock.fileno() >= 0:  # else the worker listens no more
+        if sock.fileno() >= 0:  # otherwise the worker no longer listens
             super().accept(sock, sides)
 
     def name(self, worker: Side) -> str:
         return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def answered_after(self, side: Side, most: float) -> tuple[int, float]:
-        """Wait for the answer; gives its status and how long it took, ms."""
+    def answer_within(self, side: Side, max_ms: float) -> tuple[int, float]:
+        """Wait for the answer; return its status and how long it took, ms."""
         waited = 0.0
         while not side.messages:
-            self.assertLess(waited, most)
-            self.wait(STEP)
-            waited += STEP
+            self.assertLess(waited, max_ms)
+            self.wait(STEP_MS)
+            waited += STEP_MS
             side.read()
         return side.messages.pop(0).status, waited
 
     def bugs(self) -> list[str]:
         return [line for line in self.lines if line.startswith("bug")]
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         self.watches[-1].send(http.chunk(b"\n"))
 
 
-class LongQuiet(Trouble):
-    """Trouble that begins after a long quiet time."""
+class LongQuiet(FaultTest):
+    """Faults that begin after a long time without jobs."""
 
-    def quiet(self, beats: int = QUIET_BEATS) -> None:
-        """Let nothing happen but discovery's signs of life."""
+    def quiet(self, heartbeats: int = QUIET_HEARTBEATS) -> None:
+        """Let time pass with nothing but discovery's heartbeats."""
         self.tell(42)
-        for _ in range(beats):
-            self.jump(BEAT)
+        for _ in range(heartbeats):
+            self.jump(HEARTBEAT_INTERVAL_MS)
             self.turn(2)
-            self.beat()
+            self.send_heartbeat()
             self.turn(2)
         self.assertEqual(1, len(self.asked_lists()))
 
-    def test_kept_connections_are_retired_and_timers_do_not_pile_up(self) -> None:
+    def test_idle_connections_are_closed_and_timers_do_not_accumulate(self) -> None:
         self.begin(workers=2)
         side = self.client()
         first = self.served("a1", side=side)
@@ -107,7 +107,7 @@
         self.served("a2", "deck-build")
         self.assertEqual([], self.bugs())
 
-    def test_a_watch_that_falls_silent_then_is_opened_anew_in_time(self) -> None:
+    def test_a_watch_that_then_falls_silent_is_reopened_in_time(self) -> None:
         for dispatchers in FLEETS:
             with self.subTest(dispatchers):
                 self.begin(workers=2, balancers=dispatchers)
@@ -121,14 +121,14 @@
                 worker = self.served("a1")
                 self.assertEqual("w2", self.name(worker))
 
-    def test_a_drain_told_then_counts_at_once(self) -> None:
+    def test_a_drain_that_is_then_listed_takes_effect_at_once(self) -> None:
         self.begin(workers=2)
         self.quiet(200)
         self.tell(43, w1="draining")
         for n in range(3):
             self.assertEqual("w2", self.name(self.served(f"a{n}")))
 
-    def test_a_worker_that_has_gone_meanwhile_costs_a_job_only_its_connection(self) -> None:
+    def test_a_worker_that_is_gone_by_then_costs_a_job_only_a_failed_connect(self) -> None:
         self.begin(workers=2)
         self.served("a1")
         self.served("a2")
@@ -143,11 +143,11 @@
             self.assertEqual(200, self.answer(side).status)
 
 
-class LongOutages(Trouble):
-    """Discovery is away for 40 minutes."""
+class LongOutages(FaultTest):
+    """Discovery is unreachable for 40 minutes."""
 
-    def test_waits_stay_bounded_however_many_calls_fail(self) -> None:
-        """Doubled a thousand times, a wait no longer fitted a float: the module failed on each call."""
+    def test_the_backoff_stays_bounded_however_many_calls_fail(self) -> None:
+        """A backoff doubled a thousand times overflowed a float, and each later call failed."""
         for dispatchers in FLEETS:
             for waited_for in (0.0, 3_000.0):  # refused at once, and failed in discovery's queue
                 with self.subTest((dispatchers, waited_for)):
@@ -158,7 +158,7 @@
                         self.assertLessEqual(delay, 10_000.0 if waited_for else RETRY_MOST)
                         now += waited_for + delay
 
-    def test_jobs_are_served_all_the_time_and_its_return_is_met_within_2_5_s(self) -> None:
+    def test_jobs_are_served_throughout_and_discovery_is_called_within_2_5_s_of_its_return(self) -> None:
         for dispatchers in (1, 200):
             with self.subTest(dispatchers):
                 self.begin(workers=2, balancers=dispatchers)
@@ -184,8 +184,8 @@
                 self.assertEqual("w2", self.name(self.served("after")))
 
 
-class RestartsAndDrains(Trouble):
-    """SIGTERM and workers that begin to drain at once, in fleets of any size."""
+class RestartsAndDrains(FaultTest):
+    """SIGTERM while workers begin to drain, in fleets of any size."""
 
     def test_a_job_at_a_draining_worker_is_waited_for_and_new_ones_go_elsewhere(self) -> None:
         for dispatchers in FLEETS:
@@ -211,11 +211,13 @@
                 self.assertTrue(self.loop.stopped)
 
 
-class HungShutdown(Trouble):
-    """Workers hang through the whole of a shutdown; SIGKILL may come the longest deadline and 0.7 s later."""
+class HungShutdown(FaultTest):
+    """Workers hang throughout a shutdown; SIGKILL may come 0.7 s after the longest deadline."""
 
-    def hangs(self, classes: list[dict[str, Any]], kill_after: float, **more: Any) -> None:
-        """Have jobs out at workers that say nothing to anything, those before SIGTERM and those after."""
+    def assert_answered_before_kill(
+        self, classes: list[dict[str, Any]], kill_after: float, **more: Any
+    ) -> None:
+        """Send jobs before and after SIGTERM to workers that hang; all are answered before SIGKILL."""
         self.begin(workers=2, classes=classes, **more)
         budget = int(min(3_000, *(c["deadline"] for c in classes)))
         sides = []
@@ -227,7 +229,7 @@
                 self.turn()
                 self.came()
             if n == 4:
-                for worker in self.sides[::2]:  # some have taken a job, and hang then
+                for worker in self.sides[::2]:  # some accept a job before they hang
                     worker.send(http.response(202))
                 self.turn()
                 self.app.sigterm()
@@ -244,18 +246,18 @@
     def test_with_short_deadlines(self) -> None:
         for dispatchers in (1, 200):
             with self.subTest(dispatchers):
-                self.hangs(SHORT, 1_140, balancers=dispatchers)
+                self.assert_answered_before_kill(SHORT_DEADLINE_CLASSES, 1_140, balancers=dispatchers)
 
     def test_with_long_ones(self) -> None:
         for dispatchers in (1, 200):
             with self.subTest(dispatchers):
-                self.hangs(list(CLASSES), 3_700, balancers=dispatchers)
+                self.assert_answered_before_kill(list(CLASSES), 3_700, balancers=dispatchers)
 
 
-class HeldUp(Trouble):
-    """The process may be held up for 0.15 s between reading its clock and writing."""
+class HeldUp(FaultTest):
+    """The process may stall for 0.15 s between reading its clock and writing."""
 
-    def test_the_grace_of_a_drain_covers_it_whatever_the_settings_allow(self) -> None:
+    def test_the_drain_grace_covers_the_stall_whatever_the_settings_allow(self) -> None:
         for within in (160.0, 300.0, 440.0, 1_000.0, 2_000.0):
             with self.subTest(within):
                 self.begin(rules={**RULES, "stop_sending_within": within})
@@ -268,7 +270,7 @@
                 self.let_up()
                 self.nothing()
 
-    def test_within_it_a_job_already_on_its_way_is_written(self) -> None:
+    def test_a_job_whose_connection_is_being_established_is_written_within_the_grace(self) -> None:
         self.begin(rules={**RULES, "stop_sending_within": 440})
         self.held = []
         side = self.client()
@@ -279,8 +281,8 @@
         self.let_up()
         self.take("POST a1")
 
-    def test_a_keyed_job_is_not_repeated_so_late_that_it_might_run_again(self) -> None:
-        self.begin(workers=2, classes=[*CLASSES, KEYED])
+    def test_a_keyed_job_is_not_retried_when_it_might_run_twice(self) -> None:
+        self.begin(workers=2, classes=[*CLASSES, KEYED_CLASS])
         side = self.client()
         side.send(self.job("a1", "stamp"))
         worker = self.take("POST a1")
@@ -288,13 +290,13 @@
         self.held = []
         worker.sock.close()  # it may have run
         self.until(lambda: bool(self.held))
-        self.wait(KEYED["memory_span"] - HELD_UP - 100 + 1)  # type: ignore[operator]
+        self.wait(KEYED_CLASS["memory_span"] - HELD_UP - 100 + 1)  # type: ignore[operator]
         self.let_up()
         self.nothing()
         self.wait(5_000)
         self.assertIn(self.answer(side).status, (502, 503, 504))
 
-    def test_settings_with_less_time_than_that_stop_at_once(self) -> None:
+    def test_a_grace_shorter_than_the_stall_stops_sending_at_once(self) -> None:
         self.begin(rules={**RULES, "stop_sending_within": 100})
         self.held = []
         side = self.client()
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the client side towards workers that know no socket."""
+"""Tests of the components of the client side towards workers that use no socket."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     """A clock that the test sets."""
 
     def __init__(self) -> None:
-        self.at = 1_000_000.0
+        self.time = 1_000_000.0
 
     def now(self) -> float:
-        return self.at
+        return self.time
 
 
 def keep_alive_on(clock: Clock) -> KeepAlive:
@@ -32,7 +32,7 @@
 
 
 class IdleConnection:
-    """A connection as the limit on their number sees it."""
+    """A connection that can be idle and can be closed."""
 
     def __init__(self, connections: OpenConnections[IdleConnection]) -> None:
         self.connections = connections
@@ -47,48 +47,48 @@
 # ---- idle connections ----
 
 
-def test_a_cut_connection_halves_the_time_kept_and_it_grows_back() -> None:
+def test_a_stale_connection_halves_the_idle_timeout_which_grows_back() -> None:
     clock = Clock()
     keep_alive = keep_alive_on(clock)
     keep_alive.record_use(400.0)
     keep_alive.record_break("w", 400.0)
     assert keep_alive.idle_timeout == 200.0
     assert keep_alive.prefers_new_connections
-    clock.at += MIN_DOUBLING_TIME_MS
+    clock.time += MIN_DOUBLING_TIME_MS
     assert keep_alive.idle_timeout == 400.0
-    clock.at += 10 * MIN_DOUBLING_TIME_MS
+    clock.time += 10 * MIN_DOUBLING_TIME_MS
     assert keep_alive.idle_timeout == IDLE_LIMIT
     assert not keep_alive.prefers_new_connections
 
 
-def test_a_second_cut_soon_after_has_the_time_grow_back_more_slowly() -> None:
+def test_a_second_stale_connection_soon_after_slows_the_growth() -> None:
     clock = Clock()
     keep_alive = keep_alive_on(clock)
-    for idle_for in (400.0, 100.0):
-        keep_alive.record_use(idle_for)
-        keep_alive.record_break("w", idle_for)
+    for idle_ms in (400.0, 100.0):
+        keep_alive.record_use(idle_ms)
+        keep_alive.record_break("w", idle_ms)
     assert (keep_alive.idle_timeout, keep_alive.doubling_time) == (50.0, 2 * MIN_DOUBLING_TIME_MS)
 
 
-def test_the_time_kept_is_never_less_than_the_shortest() -> None:
+def test_the_idle_timeout_is_never_less_than_the_minimum() -> None:
     keep_alive = keep_alive_on(Clock())
     keep_alive.record_use(1.0)
     keep_alive.record_break("w", 1.0)
     assert keep_alive.idle_timeout == MIN_IDLE_TIMEOUT_MS
 
 
-def test_breaks_of_new_connections_show_no_cut() -> None:
+def test_the_idle_timeout_stays_if_new_connections_break_too() -> None:
     keep_alive = keep_alive_on(Clock())
-    for idle_for in (0.0, 400.0):
-        keep_alive.record_use(idle_for)
-        keep_alive.record_break("w", idle_for)
+    for idle_ms in (0.0, 400.0):
+        keep_alive.record_use(idle_ms)
+        keep_alive.record_break("w", idle_ms)
     assert keep_alive.idle_timeout == IDLE_LIMIT
 
 
-# ---- their number ----
+# ---- number of connections ----
 
 
-def test_connections_that_open_count_and_the_one_idle_for_longest_gives_way() -> None:
+def test_opening_connections_count_and_the_longest_idle_one_is_closed_for_them() -> None:
     connections = OpenConnections["IdleConnection"](2)
     first, second = IdleConnection(connections), IdleConnection(connections)
     assert connections.make_room()
@@ -104,17 +104,17 @@
     connections = OpenConnections["IdleConnection"](2 * MAX_CLOSING_CONNECTIONS)
     for _ in range(2 * MAX_CLOSING_CONNECTIONS):
         IdleConnection(connections)
-    made = 0
+    opened = 0
     while connections.make_room():
         connections.opening += 1
-        made += 1
-    assert made == len(connections.closing) == MAX_CLOSING_CONNECTIONS
+        opened += 1
+    assert opened == len(connections.closing) == MAX_CLOSING_CONNECTIONS
 
 
-# ---- bytes ----
+# ---- requests and answers ----
 
 
-def test_a_request_is_rendered_with_the_time_left_and_not_at_all_without() -> None:
+def test_a_request_states_the_time_left_and_is_not_rendered_without_any() -> None:
     request = WorkerRequest("POST", "/jobs", "w:1", ends_at=1_000.0)
     data = request.render(600.0)
     assert data is not None
@@ -154,7 +154,7 @@
         ),
     ],
 )
-def test_an_answer_ends_an_attempt_by_the_protocols_table(
+def test_an_answer_gives_the_outcome_of_the_protocols_table(
     status: int, fields: list[tuple[str, str]], outcome: Outcome
 ) -> None:
     message = http.Message((1, 1), http.Headers(fields), status=status)
--- a/tests/test_worker_read_errors_fleet.py
+++ b/tests/test_worker_read_errors_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet some of whose reads fail: what it serves meanwhile and after, on a virtual clock."""
+"""Tests of what a fleet serves during and after a period of failing reads, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tests.loopback import Loopback, Side
 
 WORKERS, SLOTS = 4, 4
-MEAN_WORK = 400.0  # ms; with the rate, ten of sixteen slots are busy in the mean
-RATE = 25.0  # jobs a second
-STEP = 10.0  # ms between looks
-FAULT_FROM, FAULT_UNTIL, END = 2_000.0, 5_000.0, 9_000.0  # ms
-PART_OF_READS = 0.1  # that fail, on connections to workers
-CALL_TRIES = 10  # of a call back that is not answered
-SAFE_PART = 0.8  # of the jobs
+MEAN_WORK_MS = 400.0  # at the job rate, ten of sixteen slots are busy on average
+JOBS_PER_SECOND = 25.0
+STEP_MS = 10.0
+FAULT_START, FAULT_END, END = 2_000.0, 5_000.0, 9_000.0  # ms
+FAILING_READ_FRACTION = 0.1  # of the reads on connections to workers
+MAX_CALL_ATTEMPTS = 10  # for a call-back that is not answered
+SAFE_JOB_FRACTION = 0.8  # of the jobs
 CLASSES = [
     {"name": "thumbs", "points": 2, "aim": 1_500, "deadline": 4_000, "effect": "safe"},
     {"name": "deck-build", "points": 5, "aim": 1_500, "deadline": 4_000, "effect": "unsafe"},
@@ -29,14 +29,23 @@
 
 
 class RareFault(FaultPlan):
-    """A part of the reads on connections to some ports fails, by a seeded draw."""
+    """Fails a seeded random fraction of the reads on connections to some ports."""
 
     def __init__(self, error: int, seed: int) -> None:
         super().__init__()
-        self.error, self.rng, self.ports, self.on, self.happened = error, random.Random(seed), [0], False, 0
+        self.error = error
+        self.rng = random.Random(seed)
+        self.ports = [0]
+        self.active = False
+        self.happened = 0
 
     def next(self, call: str, port: int | None = None) -> int | None:
-        if not self.on or call != "recv" or port not in self.ports or self.rng.random() >= PART_OF_READS:
+        if (
+            not self.active
+            or call != "recv"
+            or port not in self.ports
+            or self.rng.random() >= FAILING_READ_FRACTION
+        ):
             return None
         self.happened += 1
         return self.error
@@ -44,39 +53,39 @@
 
 @dataclass(slots=True)
 class QueueingWorker:
-    """A worker that queues its jobs for its slots."""
+    """A simulated worker that queues jobs until it has a free slot."""
 
     name: str
     queue: deque[str] = field(default_factory=deque)
-    running: list[tuple[float, str]] = field(default_factory=list)  # when each ends, the first at the top
-    given_up: set[str] = field(default_factory=set)
+    running: list[tuple[float, str]] = field(default_factory=list)  # a heap of (time of the end, request id)
+    cancelled: set[str] = field(default_factory=set)
 
     def take(self, request_id: str) -> None:
-        self.given_up.discard(request_id)
+        self.cancelled.discard(request_id)
         self.queue.append(request_id)
 
-    def give_up(self, request_id: str) -> None:
-        self.given_up.add(request_id)
+    def cancel(self, request_id: str) -> None:
+        self.cancelled.add(request_id)
         if request_id in self.queue:
             self.queue.remove(request_id)
 
     def work(self, now: float, rng: random.Random) -> list[str]:
-        """Begin what there are slots for, and give the jobs that have ended."""
+        """Start queued jobs in free slots; return the jobs that have ended."""
         while self.queue and len(self.running) < SLOTS:
-            heapq.heappush(self.running, (now + MEAN_WORK * rng.uniform(0.5, 1.5), self.queue.popleft()))
+            heapq.heappush(self.running, (now + MEAN_WORK_MS * rng.uniform(0.5, 1.5), self.queue.popleft()))
         ended = []
         while self.running and self.running[0][0] <= now:
             _, request_id = heapq.heappop(self.running)
-            if request_id not in self.given_up:
+            if request_id not in self.cancelled:
                 ended.append(request_id)
         return ended
 
 
 class ReadErrors(Loopback):
-    """Jobs come in a steady stream; for three seconds some reads fail."""
+    """Jobs arrive at a constant mean rate; for three seconds some reads fail."""
 
     def play(self, error: int, seed: int) -> tuple[Counter[int], Counter[int]]:
-        """Give the answers by status: to jobs that came while reads failed, and to those that came after."""
+        """Return answers by status: of jobs that arrived while reads failed, and of later jobs."""
         self.plan = hand_in(self, RareFault(error, seed))
         self.begin(workers=WORKERS, classes=CLASSES)
         ports = self.plan.ports = [sock.getsockname()[1] for sock in self.listeners]
@@ -87,46 +96,46 @@
         due, count = 0.0, 0
         while waiting or due < END:
             now = self.app.deadlines.now() - start
-            self.plan.on = FAULT_FROM <= now < FAULT_UNTIL
+            self.plan.active = FAULT_START <= now < FAULT_END
             while due <= min(now, END):
-                job_class = "thumbs" if rng.random() < SAFE_PART else "deck-build"
+                job_class = "thumbs" if rng.random() < SAFE_JOB_FRACTION else "deck-build"
                 side = self.client()
                 side.send(self.job(f"j{count}", job_class, 4_000))
                 waiting[f"j{count}"] = side, now
-                due, count = due + rng.expovariate(RATE / 1_000), count + 1
+                due, count = due + rng.expovariate(JOBS_PER_SECOND / 1_000), count + 1
             self.work(now, rng)
             for request_id, (side, came) in list(waiting.items()):
                 side.read()
                 if side.messages:
-                    if came >= FAULT_FROM:
-                        (during if came < FAULT_UNTIL else after)[side.messages[0].status] += 1
+                    if came >= FAULT_START:
+                        (during if came < FAULT_END else after)[side.messages[0].status] += 1
                     side.sock.close()
                     del waiting[request_id]
-            self.jump(STEP)
+            self.jump(STEP_MS)
             self.turn(4)
         return during, after
 
     def work(self, now: float, rng: random.Random) -> None:
-        """Have the workers take what has come, and call back about what has ended."""
+        """Have the workers accept or cancel received jobs, and call back for those that have ended."""
         for what, side in self.came():
             method, request_id = what.split()
             side.messages.pop(0)
             worker = self.models[side.sock.getsockname()[1]]
             if method == "DELETE":
-                worker.give_up(request_id.removeprefix("/jobs/"))
+                worker.cancel(request_id.removeprefix("/jobs/"))
             elif not side.ended:
                 worker.take(request_id)
             if not side.ended:
                 side.send(http.response(202 if method == "POST" else 200))
         for worker in self.models.values():
             for request_id in worker.work(now, rng):
-                self.tell_done(request_id, worker)
+                self.report_done(request_id, worker)
 
-    def tell_done(self, request_id: str, worker: QueueingWorker) -> None:
-        """Call back until it is answered."""
+    def report_done(self, request_id: str, worker: QueueingWorker) -> None:
+        """Send a call-back for a job, again until it is answered."""
         load = {"cpu_share": 0.5, "x0": SLOTS - len(worker.running)}
         call = {"id": request_id, "from": worker.name, "state": "done", "result": "x", "load": load}
-        for _ in range(CALL_TRIES):
+        for _ in range(MAX_CALL_ATTEMPTS):
             side = self.client()
             side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
             self.until(lambda side=side: side.read() or bool(side.messages) or side.ended)  # type: ignore
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -1,7 +1,7 @@
-"""Calls of the system that fail on connections to workers and to discovery, on real sockets.
+"""Tests of system calls that fail on connections to workers and to discovery, on real sockets.
 
-Each error that Linux documents for a call is given by the socket module that Twisted's transports use. In
-each case the job gets its answer, the next one is served, no descriptor is left open, and nothing loops.
+A patched socket module in Twisted's transports raises each error that Linux documents for a call. In each
+case the job must get its answer, the next job must be served, no descriptor may leak and nothing may loop.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from tests.faulty_sockets import SHORT, Fault, FaultPlan, descriptors, hand_in, no_descriptor_leaked
 from tests.loopback import Loopback, Side
 
-TAKEN = http.response(202)
+ACCEPTED = http.response(202)
 SAFE, UNSAFE = "deck-fetch", "deck-build"
 SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 CONNECT_ERRORS = (
@@ -58,11 +58,11 @@
     errno.ECONNRESET,
     errno.ENOMEM,
 )
-LINES_MOST = 150  # log lines of any one test: the log's burst is 100
+MAX_LOG_LINES = 150  # of one test; the log's rate limit allows a burst of 100
 
 
 class FailingCalls(Loopback):
-    """A dispatcher whose sockets fail by a plan."""
+    """A dispatcher whose socket calls fail as a ``FaultPlan`` says."""
 
     def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
         self.plan = hand_in(self, FaultPlan())
@@ -71,8 +71,8 @@
         self.discovery_port = self.lists.getsockname()[1]
         self.tell(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
 
-    def wait_with_beats(self, ms: float) -> None:
-        """Let time pass while discovery says that it lives."""
+    def wait_with_heartbeats(self, ms: float) -> None:
+        """Let time pass while discovery sends heartbeats."""
         for _ in range(int(ms / 1_000)):
             self.watches[-1].send(http.chunk(b"\n"))
             self.wait(1_000)
@@ -80,8 +80,8 @@
     def name(self, worker: Side) -> str:
         return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def work(self) -> None:
-        """Have workers take every job that has come, and end it at once."""
+    def finish_jobs(self) -> None:
+        """Have the workers accept and finish each received job, and confirm each cancel."""
         for what, side in self.came():
             method, request_id = what.split()
             side.messages.pop(0)
@@ -90,7 +90,7 @@
             if method != "POST":
                 side.send(http.response(200))
                 continue
-            side.send(TAKEN)
+            side.send(ACCEPTED)
             self.turn(3)
             self.call_back(request_id, worker=self.name(side))
 
@@ -101,10 +101,10 @@
         return client
 
     def finish(self, client: Side, ms: float = 3_000) -> http.Message:
-        """Work until a client has its answer, within so much of the program's time."""
+        """Return a client's answer; workers finish jobs for at most ``ms`` meanwhile."""
         end = self.app.deadlines.now() + ms
         while not client.messages and self.app.deadlines.now() < end:
-            self.work()
+            self.finish_jobs()
             self.wait(5)
             client.read()
         message = self.answer(client)
@@ -124,8 +124,8 @@
                     side.sock.close()
                     sides.remove(side)
 
-    def open_now(self) -> int:
-        """Count descriptors with all kept connections to workers closed."""
+    def count_descriptors(self) -> int:
+        """Return the number of open descriptors after closing all idle connections to workers."""
         for name in list(self.app.workers.pools):
             self.app.workers.drop_idle(name)
         self.turn()
@@ -133,64 +133,64 @@
         self.close_ended()
         return descriptors()
 
-    def no_trouble(self, fault: Fault, reported: int = 0) -> None:
-        """See that the fault happened, and that no more than so many errors were raised up to the reactor."""
+    def assert_handled(self, fault: Fault, reported: int = 0) -> None:
+        """Assert that the fault happened, and that exactly ``reported`` errors reached the reactor."""
         self.assertGreater(fault.happened, 0)
         self.assertEqual([], [line for line in self.lines if line.startswith("bug")])
-        self.assertEqual(reported, len(self.caught), self.caught)
-        del self.caught[:]
-        self.assertLess(len(self.lines), LINES_MOST)
+        self.assertEqual(reported, len(self.reactor_errors), self.reactor_errors)
+        del self.reactor_errors[:]
+        self.assertLess(len(self.lines), MAX_LOG_LINES)
 
     def setUp(self) -> None:
-        self.caught: list[Any] = []  # errors that the reactor caught
+        self.reactor_errors: list[Any] = []  # errors raised up to the reactor
 
-        def note(event: dict[str, Any]) -> None:
+        def record(event: dict[str, Any]) -> None:
             if event.get("isError"):
-                self.caught.append(event.get("failure") or event)
+                self.reactor_errors.append(event.get("failure") or event)
 
-        log.addObserver(note)
-        self.addCleanup(log.removeObserver, note)
+        log.addObserver(record)
+        self.addCleanup(log.removeObserver, record)
 
 
 class Opening(FailingCalls):
-    """``socket``, ``connect`` and ``setsockopt`` fail for a moment."""
+    """``socket``, ``connect``, ``getsockopt`` and ``setsockopt`` fail once or for some seconds."""
 
-    def one(self, call: str, error: int, reported: int = 0) -> None:
-        """One failure: the job is served all the same, over another worker or a new connection."""
+    def assert_served_despite(self, call: str, error: int, reported: int = 0) -> None:
+        """Fail one call: the job is still served, by another worker or over a new connection."""
         self.begin(workers=2)
-        before = self.open_now()
+        before = self.count_descriptors()
         fault = self.plan.add(call, error, 1, None if call == "socket" else self.ports[0])
         self.serve("a1")
         self.serve("a2")
         self.serve("a3")
-        self.no_trouble(fault, reported)
+        self.assert_handled(fault, reported)
         self.assertEqual(0, self.app.workers.connections.opening)
-        self.assertEqual(before, self.open_now())
+        self.assertEqual(before, self.count_descriptors())
         self.end()
 
     def test_socket_fails_once(self) -> None:
         for error in SOCKET_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
-                self.one("socket", error)
+                self.assert_served_despite("socket", error)
 
     def test_connect_fails_once(self) -> None:
         for error in CONNECT_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
-                self.one("connect", error)
+                self.assert_served_despite("connect", error)
 
     def test_getsockopt_fails_once(self) -> None:
         for error in (errno.ENOBUFS, errno.ENOMEM):
             with self.subTest(error=errno.errorcode[error]):
-                self.one("getsockopt", error, reported=1)
+                self.assert_served_despite("getsockopt", error, reported=1)
 
     def test_setsockopt_fails_once(self) -> None:
-        """Guards against a connection that is up and never said to be."""
+        """Without handling the error, an established connection would never be reported as such."""
         for error in (errno.ENOBUFS, errno.ENOMEM, errno.EINVAL):
             with self.subTest(error=errno.errorcode[error]):
-                self.one("setsockopt", error, reported=1)
+                self.assert_served_despite("setsockopt", error, reported=1)
 
-    def test_an_error_raised_as_a_connection_is_begun(self) -> None:
-        """It ends the attempt, and is not counted for ever as a connection that is coming up."""
+    def test_an_error_raised_when_a_connection_is_started(self) -> None:
+        """It ends the attempt; the connection must not stay counted as opening."""
         self.begin(workers=2)
         connect = self.app.workers.connect
 
@@ -203,46 +203,46 @@
         self.assertEqual(0, self.app.workers.connections.opening)
 
     def test_no_socket_for_three_seconds(self) -> None:
-        """Nothing loops, each job gets its answer, and jobs are served again once sockets are there."""
+        """Nothing loops, each job is answered, and jobs are served again when sockets are available."""
         for error in SOCKET_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
                 self.begin(workers=4)
-                before = self.open_now()
+                before = self.count_descriptors()
                 fault = self.plan.add("socket", error, None)
                 clients = [self.submit(f"a{n}") for n in range(3)]
-                self.wait_with_beats(3_000)
+                self.wait_with_heartbeats(3_000)
                 self.plan.faults.clear()
                 for client in clients:
                     self.assertIn(self.finish(client).status, (200, 503))
                 self.assertLess(fault.happened, 100)
-                self.wait_with_beats(2_000)
+                self.wait_with_heartbeats(2_000)
                 self.serve("b1", UNSAFE)
-                self.no_trouble(fault)
+                self.assert_handled(fault)
                 self.assertEqual(0, self.app.workers.connections.opening)
-                self.assertEqual(before, self.open_now())
+                self.assertEqual(before, self.count_descriptors())
                 self.end()
 
-    def test_want_of_something_here_says_nothing_of_a_workers_zone(self) -> None:
-        """Guards against zones taken for out of reach, as no connection could be opened."""
-        told: list[bool] = []
-        learn = EndpointFeed.learn_reach
+    def test_local_errors_do_not_count_as_an_unreachable_worker(self) -> None:
+        """If exhausted local resources counted, zones would be taken for unreachable."""
+        unreachable: list[bool] = []
+        learn_reach = EndpointFeed.learn_reach
 
-        def note(feed: EndpointFeed, worker: str, outcome: Any) -> None:
-            told.append(outcome.worker_unreachable)
-            learn(feed, worker, outcome)
+        def record(feed: EndpointFeed, worker: str, outcome: Any) -> None:
+            unreachable.append(outcome.worker_unreachable)
+            learn_reach(feed, worker, outcome)
 
-        EndpointFeed.learn_reach = note  # type: ignore[method-assign, assignment]
-        self.addCleanup(setattr, EndpointFeed, "learn_reach", learn)
+        EndpointFeed.learn_reach = record  # type: ignore[method-assign, assignment]
+        self.addCleanup(setattr, EndpointFeed, "learn_reach", learn_reach)
         local = {*SOCKET_ERRORS, errno.EADDRNOTAVAIL}
         for call, errors in (("socket", SOCKET_ERRORS), ("connect", CONNECT_ERRORS)):
             for error in errors:
                 with self.subTest(call=call, error=errno.errorcode[error]):
                     self.begin()
-                    told.clear()
+                    unreachable.clear()
                     self.plan.add(call, error, 1, None if call == "socket" else self.ports[0])
                     self.submit("a1")
-                    self.until(lambda: bool(told))
-                    self.assertEqual(error not in local, told[0])
+                    self.until(lambda: bool(unreachable))
+                    self.assertEqual(error not in local, unreachable[0])
                     self.end()
 
     def test_which_errors_are_local(self) -> None:
@@ -251,34 +251,34 @@
 
 
 class Writing(FailingCalls):
-    """``send`` fails, or takes less."""
+    """``send`` fails, or accepts fewer bytes."""
 
     def test_the_first_send_fails(self) -> None:
-        """No byte of it was written: it never ran, so a job that must not be repeated goes elsewhere."""
+        """No byte was written, so the job never ran and goes elsewhere even if it must not be repeated."""
         for error in WRITE_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
                 self.begin(workers=2)
-                before = self.open_now()
+                before = self.count_descriptors()
                 fault = self.plan.add("send", error, 1, self.ports[0])
                 for n in range(4):
                     self.serve(f"a{n}", UNSAFE)
-                self.no_trouble(fault)
-                self.assertEqual(before, self.open_now())
+                self.assert_handled(fault)
+                self.assertEqual(before, self.count_descriptors())
                 self.end()
 
-    def test_a_send_fails_over_a_kept_connection(self) -> None:
+    def test_a_send_fails_over_a_reused_connection(self) -> None:
         for error in WRITE_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
                 self.begin()
                 self.serve("a1", UNSAFE)
                 fault = self.plan.add("send", error, 1, self.ports[0])
                 self.serve("a2", UNSAFE)
-                self.no_trouble(fault)
+                self.assert_handled(fault)
                 self.assertEqual(2, len(self.sides))
                 self.end()
 
-    def test_a_send_fails_in_the_midst_of_a_request(self) -> None:
-        """Its last byte was not written: it never ran."""
+    def test_a_send_fails_in_the_middle_of_a_request(self) -> None:
+        """The last byte was not written, so the job never ran."""
         for error in WRITE_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
                 self.begin(workers=2)
@@ -286,7 +286,7 @@
                 fault = self.plan.add("send", error, 1, self.ports[0])
                 for n in range(4):
                     self.serve(f"a{n}", UNSAFE)
-                self.no_trouble(fault)
+                self.assert_handled(fault)
                 self.end()
 
     def test_sends_are_interrupted_and_short(self) -> None:
@@ -298,23 +298,23 @@
         self.assertEqual(1, len(self.sides))
 
     def test_waits_and_calls_are_interrupted(self) -> None:
-        """A signal each millisecond interrupts whatever the program is in: all of it goes on."""
+        """A signal each millisecond interrupts all system calls; the program continues."""
         self.begin()
-        seen: list[int] = []
-        old = signal.signal(signal.SIGALRM, lambda number, frame: seen.append(number))
-        self.addCleanup(signal.signal, signal.SIGALRM, old)
+        signals: list[int] = []
+        previous_handler = signal.signal(signal.SIGALRM, lambda number, frame: signals.append(number))
+        self.addCleanup(signal.signal, signal.SIGALRM, previous_handler)
         signal.setitimer(signal.ITIMER_REAL, 0.001, 0.001)
         try:
             for n in range(5):
                 self.serve(f"a{n}", UNSAFE)
-            self.until(lambda: bool(seen))
+            self.until(lambda: bool(signals))
         finally:
             signal.setitimer(signal.ITIMER_REAL, 0)
-        self.assertEqual([], self.caught)
+        self.assertEqual([], self.reactor_errors)
 
 
 class Reading(FailingCalls):
-    """``recv`` ends a connection, or gives less."""
+    """``recv`` fails, or returns fewer bytes."""
 
     def test_reads_are_short(self) -> None:
         self.begin()
@@ -326,32 +326,33 @@
         self.assertEqual(1, len(self.sides))
 
     def test_the_read_of_a_202_fails(self) -> None:
-        """A safe job goes to another worker once the first has been told; an unsafe one has failed."""
+        """A safe job goes to another worker once the first confirms the cancel; an unsafe job fails."""
         for error in READ_ERRORS:
             for job_class, status in ((SAFE, 200), (UNSAFE, 502)):
                 with self.subTest(error=errno.errorcode[error], job_class=job_class):
                     self.begin(workers=4)
-                    before = self.open_now()
+                    before = self.count_descriptors()
                     client = self.submit("a1", job_class)
                     fault = self.fail_202("a1", error)
                     self.assertEqual(status, self.finish(client).status, self.lines)
                     self.serve("a2", UNSAFE)
-                    self.no_trouble(fault)
-                    self.assertEqual(before, self.open_now())
+                    self.assert_handled(fault)
+                    self.assertEqual(before, self.count_descriptors())
                     self.end()
 
     def fail_202(self, request_id: str, error: int) -> Fault:
-        """Have a worker take a job, and the read of its 202 fail."""
+        """Have a worker accept a job while the read of its 202 fails."""
         worker = self.take(f"POST {request_id}")
         fault = self.plan.add("recv", error, 1, worker.sock.getsockname()[1])
-        worker.send(TAKEN)
+        worker.send(ACCEPTED)
         self.turn()
         return fault
 
     def test_a_job_whose_attempt_broke_gets_the_first_slot_that_comes_free(self) -> None:
-        """Guards against a repeat that waits at the head of its queue and holds up those behind it.
+        """A retry that kept waiting at the head of its queue would block the jobs behind it.
 
-        Both workers are full as the attempt breaks; a slot that comes free is offered to held jobs at once.
+        Both workers are full when the attempt breaks; a slot that becomes free is offered to
+        held jobs at once.
         """
         for error in (errno.ETIMEDOUT, errno.EHOSTUNREACH):
             with self.subTest(error=errno.errorcode[error]):
@@ -361,35 +362,35 @@
                 fault = self.fail_202("a1", error)
                 fresh = self.submit("a3")
                 worker = self.take("POST a2")
-                worker.send(TAKEN)
+                worker.send(ACCEPTED)
                 self.turn()
                 self.call_back("a2", worker=self.name(worker))
                 self.assertEqual(["DELETE /jobs/a1"], [what for what, _ in self.came()])
                 for client in (broken, other, fresh):
                     self.assertEqual(200, self.finish(client).status, self.lines)
-                self.no_trouble(fault)
+                self.assert_handled(fault)
                 self.end()
 
 
 class Discovery(FailingCalls):
-    """Calls on the watch fail: it is opened anew, the list known so far is used on, and nothing loops."""
+    """Calls on the watch fail: it is reopened, the known list stays in use, and nothing loops."""
 
     def test_the_watch_is_read_with_errors(self) -> None:
         for error in READ_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
                 self.begin()
-                asked = len(self.asked_lists())
+                list_calls = len(self.asked_lists())
                 fault = self.plan.add("recv", error, 1, self.discovery_port)
                 self.tell(43, whole=True, w1="up")
                 self.serve("a1")
-                self.until_asked(asked + 1)
+                self.wait_for_list_calls(list_calls + 1)
                 self.assertEqual(1, fault.happened)
                 self.tell(44, whole=True, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
-                self.no_trouble(fault)
+                self.assert_handled(fault)
                 self.end()
 
-    def until_asked(self, times: int, ms: float = 10_000) -> None:
+    def wait_for_list_calls(self, times: int, ms: float = 10_000) -> None:
         end = self.app.deadlines.now() + ms
         while len(self.asked_lists()) < times and self.app.deadlines.now() < end:
             self.wait(50)
@@ -408,7 +409,7 @@
             for error in errors:
                 with self.subTest(call=call, error=errno.errorcode[error]):
                     self.begin()
-                    asked = len(self.asked_lists())
+                    list_calls = len(self.asked_lists())
                     before = descriptors()
                     self.watches[-1].sock.close()
                     del self.watches[:]
@@ -417,11 +418,11 @@
                     self.wait(5_000)
                     self.assertLess(fault.happened, 30)
                     self.plan.faults.clear()
-                    self.until_asked(1)
-                    self.assertGreater(asked, 0)
+                    self.wait_for_list_calls(1)
+                    self.assertGreater(list_calls, 0)
                     self.serve("a1")
-                    self.no_trouble(fault)
-                    self.open_now()
+                    self.assert_handled(fault)
+                    self.count_descriptors()
                     self.assertEqual(before, descriptors())
                     self.end()
 
@@ -432,13 +433,13 @@
                 self.watches[-1].sock.close()
                 del self.watches[:]
                 fault = self.plan.add("send", error, 1, self.discovery_port)
-                self.until_asked(1)
-                self.no_trouble(fault)
+                self.wait_for_list_calls(1)
+                self.assert_handled(fault)
                 self.end()
 
 
 class Counting(unittest.TestCase):
-    """The tests' own count of descriptors."""
+    """The check of these tests for leaked descriptors."""
 
     def test_a_leak_is_seen(self) -> None:
         with self.assertRaises(AssertionError), no_descriptor_leaked(self):
