--- a/elderstall/net/upstream/pool.py
+++ b/elderstall/net/upstream/pool.py
@@ -16,9 +16,8 @@
 from elderstall.net.upstream.handle import RequestHandle
 from elderstall.net.upstream.request import WorkerRequest
 
-Connect = Callable[
-    [str, Factory], Deferred[WorkerConnection]
-]  # connects to an address within the connect timeout
+# Connects to an address within the connect timeout.
+Connect = Callable[[str, Factory], Deferred[WorkerConnection]]
 
 
 class Pool(Factory):
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -114,7 +114,8 @@
         client = self.send("a1")
         worker, _ = self.receive_attempt("a1")
         self.serve("a1", worker, client)
-        send, received = self.app.workers.send, list[bytes]()
+        send = self.app.workers.send
+        received = list[bytes]()
 
         def send_and_peek(*args: Any) -> Any:
             sending = send(*args)
@@ -141,32 +142,32 @@
         self.nothing()
 
     def test_an_attempt_that_times_out_before_its_job(self) -> None:
-        for kept in (False, True):
-            with self.subTest(kept=kept):
+        for reused in (False, True):
+            with self.subTest(reused=reused):
                 self.begin()
                 client = self.send("a1")
                 worker, _ = self.receive_attempt("a1")
                 self.serve("a1", worker, client)
-                if not kept:
+                if not reused:
                     self.app.workers.drop_idle("w1")
                     self.turn()
-                self.held = None if kept else []
+                self.held = None if reused else []
                 self.send("a2")
                 self.until(lambda: "a2" in self.app.engine.jobs.by_request_id)
                 job = self.app.engine.jobs.by_request_id["a2"]
-                if kept:
+                if reused:
                     self.receive_attempt("a2")
                 outcomes: list[Any] = []
-                ends = self.app.deadlines.now() + (0.0 if kept else 300.0)
+                ends = self.app.deadlines.now() + (0.0 if reused else 300.0)
                 sending = self.app.workers.send("w1", job.request, ends, lambda *_: None, lambda: None)
                 sending.addCallback(outcomes.append)
-                if not kept:
+                if not reused:
                     self.turn()
                     self.stall(300.0)
                     self.let_up()
                 self.turn()
                 self.assertEqual(["never sent"], [outcome.ending.value for outcome in outcomes])
-                self.assertLessEqual(sum(name == "POST a2" for name, _ in self.came()), int(not kept))
+                self.assertLessEqual(sum(name == "POST a2" for name, _ in self.came()), int(not reused))
                 self.end()
 
     def test_the_margin_hardly_reduces_a_short_time(self) -> None:
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -40,7 +40,7 @@
     """The operations that the tests of faults share."""
 
     def served(self, request_id: str, job_class: str = "deck-fetch", side: Side | None = None) -> Side:
-        """Have a job served; return its worker's connection."""
+        """Submit a job and serve it; return its worker's connection."""
         side = side or self.client()
         side.send(self.job(request_id, job_class))
         worker = self.take(f"POST {request_id}")
@@ -81,7 +81,7 @@
     """Faults that begin after a long time without jobs."""
 
     def quiet(self, heartbeats: int = QUIET_HEARTBEATS) -> None:
-        """Let time pass with nothing but discovery's heartbeats."""
+        """Advance the time with nothing but discovery's heartbeats."""
         self.tell(42)
         for _ in range(heartbeats):
             self.jump(HEARTBEAT_INTERVAL_MS)
@@ -151,7 +151,9 @@
         for dispatchers in FLEETS:
             for waited_for in (0.0, 3_000.0):  # refused at once, and failed in discovery's queue
                 with self.subTest((dispatchers, waited_for)):
-                    calls, rng, now = ListCalls(dispatchers, 10_000.0), random.Random(1), 0.0
+                    calls = ListCalls(dispatchers, 10_000.0)
+                    rng = random.Random(1)
+                    now = 0.0
                     for _ in range(3_000):
                         calls.call(now)
                         delay = calls.fail(rng, now + waited_for)
@@ -175,7 +177,8 @@
                 self.lists = socket.create_server(address)
                 self.lists.setblocking(False)
                 self.addCleanup(self.lists.close)
-                called, waited = len(self.asked_lists()), 0.0
+                called = len(self.asked_lists())
+                waited = 0.0
                 while len(self.asked_lists()) == called:
                     self.wait(50)
                     waited += 50
--- a/tests/test_worker_read_errors_fleet.py
+++ b/tests/test_worker_read_errors_fleet.py
@@ -90,10 +90,13 @@
         self.begin(workers=WORKERS, classes=CLASSES)
         ports = self.plan.ports = [sock.getsockname()[1] for sock in self.listeners]
         self.models = {port: QueueingWorker(f"w{n + 1}") for n, port in enumerate(ports)}
-        rng, start = random.Random(seed), self.app.deadlines.now()
+        rng = random.Random(seed)
+        start = self.app.deadlines.now()
         waiting: dict[str, tuple[Side, float]] = {}
-        during, after = Counter[int](), Counter[int]()
-        due, count = 0.0, 0
+        during = Counter[int]()
+        after = Counter[int]()
+        due = 0.0
+        count = 0
         while waiting or due < END:
             now = self.app.deadlines.now() - start
             self.plan.active = FAULT_START <= now < FAULT_END
@@ -116,7 +119,7 @@
         return during, after
 
     def work(self, now: float, rng: random.Random) -> None:
-        """Have the workers accept or cancel received jobs, and call back for those that have ended."""
+        """Accept or cancel the jobs that the workers received; call back for those that have ended."""
         for what, side in self.came():
             method, request_id = what.split()
             side.messages.pop(0)
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -72,7 +72,7 @@
         self.tell(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
 
     def wait_with_heartbeats(self, ms: float) -> None:
-        """Let time pass while discovery sends heartbeats."""
+        """Advance the time while discovery sends heartbeats."""
         for _ in range(int(ms / 1_000)):
             self.watches[-1].send(http.chunk(b"\n"))
             self.wait(1_000)
@@ -81,7 +81,7 @@
         return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
 
     def finish_jobs(self) -> None:
-        """Have the workers accept and finish each received job, and confirm each cancel."""
+        """Accept and finish each job that the workers received, and confirm each cancel."""
         for what, side in self.came():
             method, request_id = what.split()
             side.messages.pop(0)
@@ -341,7 +341,7 @@
                     self.end()
 
     def fail_202(self, request_id: str, error: int) -> Fault:
-        """Have a worker accept a job while the read of its 202 fails."""
+        """Answer a job with a 202 whose read fails; return the fault."""
         worker = self.take(f"POST {request_id}")
         fault = self.plan.add("recv", error, 1, worker.sock.getsockname()[1])
         worker.send(ACCEPTED)
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -39,14 +39,14 @@
             for seen in (False, True):  # whether the reactor reads the end before the job arrives
                 with self.subTest((reset, seen)):
                     self.begin()
-                    kept = self.served("a1")
+                    connection = self.served("a1")
                     self.wait(3_000)
                     side = self.client()
                     self.turn()
                     if reset:
-                        self.reset(kept)
+                        self.reset(connection)
                     else:
-                        kept.sock.close()
+                        connection.sock.close()
                     if seen:
                         self.turn()
                     side.send(self.job("a2", "deck-build"))
@@ -57,9 +57,9 @@
 
     def test_a_safe_job_on_a_dead_connection_is_retried_over_a_new_one(self) -> None:
         self.begin(classes=[*CLASSES, LONG_DEADLINE_CLASS])
-        kept = self.served("a1")
+        connection = self.served("a1")
         self.wait(3_000)
-        self.stop_answering(kept)
+        self.stop_answering(connection)
         side = self.client()
         side.send(self.job("a2", "album"))
         self.wait(270)
@@ -70,16 +70,16 @@
 
     def test_an_unsafe_job_on_a_dead_connection_fails_long_before_its_deadline(self) -> None:
         self.begin()
-        kept = self.served("a1")
+        connection = self.served("a1")
         self.wait(3_000)
-        self.stop_answering(kept)
+        self.stop_answering(connection)
         side = self.client()
         side.send(self.job("a2", "deck-build"))
         status, waited = self.answer_within(side, 1_100)
         self.assertEqual(502, status)
         self.nothing()  # it may have run
-        kept.read()
-        self.assertTrue(kept.ended)
+        connection.read()
+        self.assertTrue(connection.ended)
         self.served("a3", "deck-build")
 
     def test_one_job_on_a_dead_connection_closes_all_idle_ones_of_that_worker(self) -> None:
@@ -88,15 +88,15 @@
         for n, side in enumerate(sides):
             side.send(self.job(f"a{n}", "album"))
             self.turn()
-        kept: list[Side] = []
-        while len(kept) < 3:  # each is sent when a slot is free
+        connections: list[Side] = []
+        while len(connections) < 3:  # each is sent when a slot is free
             found = [(what, side) for what, side in self.came() if what.startswith("POST")]
             for what, worker in found:
                 worker.messages.pop(0)
                 worker.send(http.response(202))
                 self.turn()
                 self.call_back(what.split()[1])
-                kept.append(worker)
+                connections.append(worker)
             self.wait(20)
         self.wait(3_000)
         idle = [side for side in self.sides if not side.ended]
