--- a/elderstall/decisions/answers.py
+++ b/elderstall/decisions/answers.py
@@ -1,4 +1,4 @@
-"""Final answers of jobs: rejected with a time to come back, or failed; and the table of open jobs."""
+"""Final answers of jobs, rejected with a retry delay or failed, and the table of open jobs."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from elderstall.decisions.records import Job
 from elderstall.interface import DeduplicationScope, Effect, FailJob, RejectJob
 
-RETRY_AFTER_LEAST = 200.0  # ms: less only adds to what is overloaded
-RETRY_AFTER_MOST = 2_000.0  # ms: more is not heeded
+MIN_RETRY_AFTER_MS = 200.0  # an earlier retry only adds to the overload
+MAX_RETRY_AFTER_MS = 2_000.0  # longer delays are not heeded by clients
 
 
 class Answers:
-    """Owns the jobs that are owed an answer."""
+    """Owns the jobs that still need an answer."""
 
     def __init__(
         self,
@@ -23,33 +23,36 @@
         capacity: CapacityModel,
         shedding: LoadShedding,
     ) -> None:
-        self.context, self.endpoints = context, endpoints
-        self.capacity, self.shedding = capacity, shedding
+        self.context = context
+        self.endpoints = endpoints
+        self.capacity = capacity
+        self.shedding = shedding
         self.open: dict[int, Job] = {}
         self.awaiting_reports: dict[int, Job] = {}  # open jobs that wait for polled workers' reports
 
-    def finish(self, job: Job, why: str = "") -> None:
-        """Give the final answer: a rejection where trying again is harmless, else a failure."""
+    def finish(self, job: Job, reason: str = "") -> None:
+        """Send the final answer: a rejection where a retry by the client is harmless, else a failure."""
         self.close(job)
-        if self._harmless(job):
-            self.context.add_action(RejectJob(job.id, self.retry_after(), why))
+        if self._is_retry_harmless(job):
+            self.context.add_action(RejectJob(job.id, self.retry_after(), reason))
         else:
             self.context.add_action(FailJob(job.id))
 
     def close(self, job: Job) -> None:
         """Mark a job as answered; its attempts may still be in flight."""
-        job.answered, job.queued = True, False
+        job.answered = True
+        job.queued = False
         self.awaiting_reports.pop(job.id, None)
         self.open.pop(job.id, None)
 
-    def abandoned(self, job_id: int) -> None:
-        """Take that nothing is owed for a job any more."""
+    def release(self, job_id: int) -> None:
+        """Close a job that needs no answer any more, if it is open."""
         if job_id in self.open:
             self.close(self.open[job_id])
 
     @staticmethod
-    def _harmless(job: Job) -> bool:
-        """Say whether a client may be told to try again."""
+    def _is_retry_harmless(job: Job) -> bool:
+        """Return whether a retry by the client can have no second effect."""
         job_class = job.cls
         if job_class.effect is Effect.IDEMPOTENT:
             return True
@@ -58,14 +61,14 @@
         return job_class.effect is Effect.IDEMPOTENCY_KEY and job_class.scope is DeduplicationScope.ALL
 
     def retry_after(self) -> float:
-        """Give the time, ms, in which our part of the fleet works off what we owe.
+        """Return the time, ms, in which this dispatcher's fraction of the fleet completes its open jobs.
 
-        Guards against clients that come back at once and keep a full fleet full; no answer waits for it.
+        Clients that retried at once would keep a saturated fleet saturated. The answer itself isn't delayed.
         """
         if self.context.mode.polls_before_placing:
-            # All dispatchers see the same fleet, of which our own jobs tell too little.
-            span = RETRY_AFTER_MOST - RETRY_AFTER_LEAST
-            return RETRY_AFTER_LEAST + span * min(1.0, self.shedding.level)
-        own_capacity = self.endpoints.total_capacity * self.capacity.fleet_fraction
-        owed = sum(job.work * job.slots for job in self.open.values())
-        return min(max(owed / max(own_capacity, 1e-9), RETRY_AFTER_LEAST), RETRY_AFTER_MOST)
+            # All dispatchers share the fleet; the open jobs of this one show too little of its load.
+            span = MAX_RETRY_AFTER_MS - MIN_RETRY_AFTER_MS
+            return MIN_RETRY_AFTER_MS + span * min(1.0, self.shedding.level)
+        fleet_share_capacity = self.endpoints.total_capacity * self.capacity.fleet_fraction
+        open_work = sum(job.work * job.slots for job in self.open.values())
+        return min(max(open_work / max(fleet_share_capacity, 1e-9), MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
--- a/elderstall/decisions/capacity.py
+++ b/elderstall/decisions/capacity.py
@@ -1,4 +1,4 @@
-"""What the workers can do, and which part of that is ours: learned speeds, slots and shares."""
+"""Learned speeds, slots and capacities of workers, and this dispatcher's share of them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from elderstall.decisions.records import Attempt, Worker
 from elderstall.routing.subset import MIN_LARGE_FLEET
 
-PRIOR_JOBS = 5.0  # a worker's own speed weighs as its kind's until it has completed about so many jobs
-MEMORY_JOBS = 30.0  # completed jobs over which speeds are forgotten, to follow a worker that slows
-SEEN_TIMES = 2.0  # times the slots ever seen: what a cold worker's are believed to be at most
-FREE_LEAST = 0.9  # slots that a report must show free for more than one job of ours: it is a second old
-MAX_ATTEMPTS_PER_WORKER = 3  # where starts are not notified: the share of its slots is a guess
-OWNED_WORKERS = 16  # of one dispatcher, where workers are polled: few, so that connections are kept
-PREFERRED_WORKERS = 200  # of a large fleet, that jobs go to first, so that connections to them are kept
-PREFERRED_TIMES = 4.0  # times the workers that our traffic fills, if that is more
-FLEET_FRACTION_MARGIN = 1.25  # times the mean work that arrives here: some capacity beyond it
+KIND_PRIOR_JOBS = 5.0  # completed jobs at which a worker's own speed weighs as much as that of its kind
+SPEED_WINDOW_JOBS = 30.0  # over which learned speeds decay, to follow a worker that becomes slower
+MAX_COLD_SLOTS_FACTOR = 2.0  # of the slots ever seen: upper bound on the slots assumed of a cold worker
+MIN_FREE_SLOTS = 0.9  # that a report must show to allow a second job, as it may be a second old
+MAX_ATTEMPTS_PER_WORKER = 3  # where starts are not notified, as the share of slots is only estimated
+OWNED_WORKERS = 16  # per dispatcher, where workers are polled: few, so that connections are reused
+PREFERRED_WORKERS = 200  # of a large fleet, used first so that connections to them are reused
+PREFERRED_DEMAND_FACTOR = 4.0  # of the workers that this dispatcher's traffic fills, if that is more
+FLEET_FRACTION_MARGIN = 1.25  # of the mean work that arrives here, to leave spare capacity
 
 
 @dataclass(slots=True)
@@ -29,73 +29,81 @@
 
     work_done: float = 0.0  # decayed, ms on a standard core
     run_time: float = 0.0  # decayed, ms
-    peak_slots: float = 1.0  # most slots seen on any of them
-    assumed_slots: float = ASSUMED_SLOTS  # until reports tell
+    peak_slots: float = 1.0  # maximum of slots seen on any of them
+    assumed_slots: float = ASSUMED_SLOTS  # until load reports show them
 
 
 class CapacityModel:
     """Estimates of workers' speed, slots and capacity, and of this dispatcher's share of them."""
 
     def __init__(self, context: DecisionContext, estimates: WorkEstimates) -> None:
-        self.context, self.estimates = context, estimates
+        self.context = context
+        self.estimates = estimates
         self.kinds: defaultdict[str, KindStatistics] = defaultdict(KindStatistics)
         self.fleet_fraction = 1 / context.settings.dispatchers  # of the fleet's capacity, 0 to 1
         self.owned_fraction = 1.0  # of the workers, owned by this dispatcher where workers are polled, 0 to 1
         self.preferred_fraction = math.inf  # of the workers, by preference position, that jobs go to first
-        self._workers = 0  # that are up
-        self._need = 0.0  # part of the fleet that the work which comes to us fills
+        self._up_workers = 0
+        self._demand_fraction = 0.0  # of the fleet's capacity, that the work arriving here fills
         self.total_slot_share = 0.0  # slots of the whole fleet that this dispatcher may use
         self.ms_per_unit = 1.0  # mean running time of a ms of work
 
     def count_workers(self, workers: int) -> None:
-        """Take how many workers are up: of many, few are our own."""
+        """Update the owned and preferred fractions to the number of workers that are up."""
         self.owned_fraction = min(
             1.0, max(self.context.settings.min_owned_fraction, OWNED_WORKERS / max(1, workers))
         )
-        self._workers = workers
+        self._up_workers = workers
         self._size_preferred()
 
     def update_fleet_fraction(self, work: float, interval: float, fleet_capacity: float) -> None:
-        """Size our part of the fleet by the work, ms, that came to us in an interval, ms."""
+        """Update the fleet fraction from the work, ms, that arrived here in an interval, ms."""
         wanted = FLEET_FRACTION_MARGIN * work / interval
-        self._need = wanted / fleet_capacity
-        self.fleet_fraction = max(1 / self.context.settings.dispatchers, self._need)
+        self._demand_fraction = wanted / fleet_capacity
+        self.fleet_fraction = max(1 / self.context.settings.dispatchers, self._demand_fraction)
         self._size_preferred()
 
     def _size_preferred(self) -> None:
-        """Size the part of a large fleet that jobs go to first; of another it is all.
+        """Set the fraction of a large fleet that jobs go to first; in a small fleet it is the whole.
 
-        Guards against a connection for nearly every job: what does not fit on our own workers would go round
-        all that are known, and no connection would be kept long enough to be used again.
+        Otherwise jobs that don't fit on owned workers would rotate over all known workers, no connection
+        would be kept long enough to be reused, and nearly every job would open one.
         """
-        large = self.context.settings.subset_dispatchers_per_worker or self._workers > MIN_LARGE_FLEET
-        if self._workers and large:
-            self.preferred_fraction = max(PREFERRED_WORKERS / self._workers, PREFERRED_TIMES * self._need)
+        large = self.context.settings.subset_dispatchers_per_worker or self._up_workers > MIN_LARGE_FLEET
+        if self._up_workers and large:
+            self.preferred_fraction = max(
+                PREFERRED_WORKERS / self._up_workers, PREFERRED_DEMAND_FACTOR * self._demand_fraction
+            )
         else:
             self.preferred_fraction = math.inf
 
     def update_totals(self, fleet: Iterable[Worker], fleet_capacity: float) -> None:
-        """Sum up what is ours of a fleet, and its pace."""
+        """Update the total slot share and the mean running time of a ms of work."""
         fleet = list(fleet)
         self.total_slot_share = sum(worker.slot_share for worker in fleet)
         self.ms_per_unit = sum(worker.slots for worker in fleet) / fleet_capacity
 
     def refresh(self, workers: Iterable[Worker]) -> None:
-        """Work out workers' speed, slots, capacity and our part; kinds stand in for what is not seen yet."""
-        settings, now = self.context.settings, self.context.now
-        prior, dispatchers_per_worker = PRIOR_JOBS * self.estimates.typical, settings.dispatchers_per_worker
+        """Update workers' speed, slots, capacity and slot share.
+
+        Where too little was seen of a worker, the statistics of its kind are used.
+        """
+        settings = self.context.settings
+        now = self.context.now
+        prior = KIND_PRIOR_JOBS * self.estimates.typical
+        dispatchers_per_worker = settings.dispatchers_per_worker
         slow_start = settings.slow_start_duration + settings.slow_start_window
         by_kind: dict[str, tuple[float, float]] = {}
         for worker in workers:
             if worker.kind not in by_kind:
                 kind = self.kinds[worker.kind]
-                shown = prior * ((kind.work_done + prior) / (kind.run_time + prior))
-                by_kind[worker.kind] = shown, max(kind.peak_slots, kind.assumed_slots)
-            shown, slots = by_kind[worker.kind]
-            # Hardly any worker is in slow start: no calls for the others.
+                kind_speed = prior * ((kind.work_done + prior) / (kind.run_time + prior))
+                by_kind[worker.kind] = kind_speed, max(kind.peak_slots, kind.assumed_slots)
+            kind_speed, slots = by_kind[worker.kind]
+            # Few workers are in slow start; for the others the call is avoided to save CPU.
             cold = worker.started is not None and now - worker.started <= slow_start
             warm_up_fraction = worker.warm_up_fraction(now, settings) if cold else 1.0
-            worker.speed = (worker.work_done + shown) / (worker.run_time + prior)
+            worker.speed = (worker.work_done + kind_speed) / (worker.run_time + prior)
             worker.slots = slots if slots > worker.peak_slots else worker.peak_slots
             worker.capacity = worker.slots * worker.speed * warm_up_fraction
             worker.slot_share = self._slot_share(worker, warm_up_fraction, dispatchers_per_worker, cold=cold)
@@ -103,64 +111,72 @@
     def _slot_share(
         self, worker: Worker, warm_up_fraction: float, dispatchers_per_worker: float, *, cold: bool
     ) -> float:
-        """Give our part of a worker's slots."""
+        """Return this dispatcher's share of a worker's slots."""
         if self.context.mode.polls_before_placing:
-            # Of cold ones no more are ours, so that all dispatchers together keep to the slow-start rule.
-            near = worker.preference_position < self.owned_fraction
+            # Cold workers are shared by their owners alone, so that all dispatchers together keep to the
+            # slow-start rule.
+            is_owned = worker.preference_position < self.owned_fraction
             return float(
-                near or (not cold and worker.preference_position < 2 * worker.slots * self.fleet_fraction)
+                is_owned or (not cold and worker.preference_position < 2 * worker.slots * self.fleet_fraction)
             )
         if worker.slots < WHOLE_SLOTS_THRESHOLD * dispatchers_per_worker:
-            # Guards against queues filled unseen: of a part under a slot, whole slots of few are ours.
+            # A share far below one slot would let dispatchers fill workers' queues unseen. Instead this
+            # dispatcher has whole slots of few workers.
             return float(worker.preference_position < worker.slots * warm_up_fraction * self.fleet_fraction)
         return worker.slots * warm_up_fraction / dispatchers_per_worker
 
     def open_slots(self, worker: Worker) -> int:
-        """Give the slots open to us: where starts are not notified, by our part of it if one is free."""
-        if self.context.settings.notifies_start or worker.free_slots < FREE_LEAST:
+        """Return the slots of a worker that this dispatcher may use at once.
+
+        Where starts are not notified and a report shows a free slot, the fleet fraction sets them too.
+        """
+        if self.context.settings.notifies_start or worker.free_slots < MIN_FREE_SLOTS:
             return worker.slot_limit
         return max(
             worker.slot_limit, min(MAX_ATTEMPTS_PER_WORKER, int(1 + 2 * worker.slots * self.fleet_fraction))
         )
 
-    def saw_slots(self, worker: Worker, slots: int) -> None:
-        """Take a number of slots that a worker was seen to have."""
+    def record_slots(self, worker: Worker, slots: int) -> None:
+        """Record a number of slots that a worker was seen to have."""
         worker.peak_slots = max(worker.peak_slots, slots)
         kind = self.kinds[worker.kind]
         kind.peak_slots = max(kind.peak_slots, slots)
 
-    def saw_start(self, worker: Worker, slots: int) -> None:
-        """Take the start of a job of so many slots; call it before the job counts as running.
+    def record_start(self, worker: Worker, slots: int) -> None:
+        """Record the start of a job of ``slots`` slots; call it before the job counts as running.
 
-        Guards the slow-start rule: the end that made room for it may be notified only after it, so with the
-        others that run it would show a slot too many, and a worker of one slot for one of two.
+        The end of the job whose slots it uses may be notified only after this start. Counted with the jobs
+        that run, it would show a slot too many: a worker of one slot would be taken for one of two, and the
+        slow-start rule would be violated.
         """
-        self.saw_slots(worker, max(worker.slots_running - worker.stale_slots, slots))
+        self.record_slots(worker, max(worker.slots_running - worker.stale_slots, slots))
         worker.last_start_at = self.context.now
 
-    def saw_end(self, attempt: Attempt) -> None:
-        """Take the end of an attempt that had started; call it while the attempt still counts as running."""
+    def record_end(self, attempt: Attempt) -> None:
+        """Record the end of a started attempt; call it while the attempt still counts as running."""
         worker = attempt.worker
         if self.context.now - worker.last_start_at > self.context.mode.prompt_slack:
-            # An end as late as that would have been notified by now.
-            self.saw_slots(worker, worker.slots_running - worker.stale_slots)
+            # An end before the last start would have been notified by now, so all of these are running.
+            self.record_slots(worker, worker.slots_running - worker.stale_slots)
         worker.stale_slots = min(worker.stale_slots, worker.slots_running - attempt.job.slots)
 
     def cold_capacity(self, worker: Worker) -> float:
-        """Give what a cold worker does now: speed x slots x warm-up fraction, in ms of work a ms.
+        """Return the capacity of a cold worker: speed x slots x warm-up fraction, in ms of work a ms.
 
-        Guards the slow-start rule: until a report tells, the slots of a kind are a guess, and thirty light
-        dispatchers that each take a worker of one slot for one of four overload it together.
+        Until a report shows them, the slots of a kind are assumed. Thirty dispatchers with little traffic
+        that each take a worker of one slot for one of four would overload it together and violate the
+        slow-start rule, so the slots are bounded by those seen.
         """
         seen = max(worker.peak_slots, self.kinds[worker.kind].peak_slots)
         warm_up_fraction = worker.warm_up_fraction(self.context.now, self.context.settings)
-        return min(worker.slots, SEEN_TIMES * seen) * worker.speed * warm_up_fraction
+        return min(worker.slots, MAX_COLD_SLOTS_FACTOR * seen) * worker.speed * warm_up_fraction
 
     def record_run(self, attempt: Attempt, run_time: float) -> None:
-        """Take the running time, ms, of a served job into its worker's speed and its class's mean work."""
-        job, worker = attempt.job, attempt.worker
+        """Update a worker's speed and a class's mean work with the running time, ms, of a served job."""
+        job = attempt.job
+        worker = attempt.worker
         run_time = max(run_time, 1.0)
-        fade = 1 - 1 / MEMORY_JOBS
+        fade = 1 - 1 / SPEED_WINDOW_JOBS
         kind_fade = (fade + 1) / 2
         kind = self.kinds[worker.kind]
         worker.work_done = worker.work_done * fade + job.work
--- a/elderstall/decisions/dispatcher.py
+++ b/elderstall/decisions/dispatcher.py
@@ -1,7 +1,7 @@
-"""One dispatcher's decisions: routes each event to the part that it concerns, and gives the actions.
+"""One dispatcher's decisions: routes each event to the component that handles it and returns the actions.
 
-The ordinary path of a job: its priority weight names its tier; the tier's own pool, or another by the solved
-fractions, takes it; the next worker in that pool's rotation gets it. See docs/design.md.
+The ordinary path of a job: its priority weight selects its tier; it goes to the tier's own pool, or to
+another by the solved fractions, and there to the next worker in rotation order. See docs/design.md.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from elderstall.decisions.polling import LoadPoller, PolledPlacement
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.queue import JobQueue
-from elderstall.decisions.queue_model import INTERVAL
+from elderstall.decisions.queue_model import SOLVE_INTERVAL_MS
 from elderstall.decisions.reserved_workers import ReservedWorkers
 from elderstall.decisions.slow_start import SlowStart
 from elderstall.decisions.solver import Solver
@@ -61,7 +61,7 @@
 
 
 class Dispatcher:
-    """One dispatcher: ``handle`` takes an event and returns the actions it calls for."""
+    """One dispatcher: ``handle`` maps an event to actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = context = DecisionContext(settings, seed)
@@ -145,76 +145,78 @@
             EndpointListUpdate: self._endpoint_list,
             WorkersForgotten: lambda event: self.endpoints.forget(event.workers),
             JobArrived: self.intake.arrived,
-            JobTakenOver: self.inheritance.take_job,
-            JobReleased: lambda event: self.answers.abandoned(event.job),
-            ResponseStarted: lambda event: self.answers.abandoned(event.job),
-            AttemptProgressed: self.outcomes.noted,
+            JobTakenOver: self.inheritance.take_over_job,
+            JobReleased: lambda event: self.answers.release(event.job),
+            ResponseStarted: lambda event: self.answers.release(event.job),
+            AttemptProgressed: self.outcomes.progressed,
             AttemptEnded: self.outcomes.ended,
             LoadPolled: self._load_report,
             TimerFired: self._timer_fired,
             SettingsChanged: self._settings_changed,
-            LearnedStateReceived: lambda event: self.inheritance.take_learned(event.data),
+            LearnedStateReceived: lambda event: self.inheritance.restore_learned(event.data),
         }
-        self._adopt()
+        self._apply_settings()
 
     def handle(self, now: float, event: Event) -> Actions:
-        """Take one event at a time, ms, and return what to do, in order."""
+        """Handle an event at time ``now``, ms, and return the actions in order."""
         self.context.begin_event(now)
         if (handler := self._handlers.get(type(event))) is not None:
             handler(event)
         return self.context.actions
 
     def unavailable(self, now: float) -> set[str]:
-        """Name the workers that get no new jobs now, or only those of their probation."""
+        """Return the names of workers that get no new jobs now, or only those of their probation."""
         return self.endpoints.unavailable(now)
 
     def learned(self) -> dict[str, Any]:
-        """Give what was learned, as plain data, for the process that takes over."""
+        """Return the learned state as plain data, for the successor process."""
         return self.inheritance.learned()
 
-    def _adopt(self) -> None:
-        """Take the settings in force in every part."""
-        settings, mode = self.context.settings, self.context.mode
-        self.list_polling.adopt()
-        self.shedding.adopt(job_class.priority_weight for job_class in settings.classes)
-        self.estimates.adopt(settings.classes)
+    def _apply_settings(self) -> None:
+        """Apply the current settings to the components."""
+        settings = self.context.settings
+        mode = self.context.mode
+        self.list_polling.change_settings()
+        self.shedding.set_weights(job_class.priority_weight for job_class in settings.classes)
+        self.estimates.change_classes(settings.classes)
         self.solver.update_typical_work()
-        self.quotas.adopt(settings.tenants, settings.dispatchers, mode.large_fleet)
+        self.quotas.change_settings(settings.tenants, settings.dispatchers, mode.large_fleet)
 
     def _begin(self, _: Started) -> None:
-        """Start the cadences, and ask for the endpoint list."""
-        self.context.set_timer(TIMER_SOLVE, INTERVAL)
+        """Start the solver's timer, and request the endpoint list."""
+        self.context.set_timer(TIMER_SOLVE, SOLVE_INTERVAL_MS)
         self.list_polling.begin()
 
     def _timer_fired(self, event: TimerFired) -> None:
-        """Run what is due."""
-        now = self.context.now + self.context.settings.tick / 2  # a timer may fire a hair early
+        """Handle a timer by its token."""
+        now = self.context.now + self.context.settings.tick / 2  # a timer may fire slightly early
         if event.token == TIMER_SOLVE:
-            self.context.set_timer(TIMER_SOLVE, INTERVAL)
+            self.context.set_timer(TIMER_SOLVE, SOLVE_INTERVAL_MS)
             self._solve()
             self.queue.review()
         elif event.token == TIMER_REVIEW_QUEUE:
             self.queue.timer_fired()
         elif event.token == TIMER_POLL_TIMEOUT:
-            self.polled_placement.timed_out(now)
+            self.polled_placement.place_timed_out(now)
         elif event.token == TIMER_POLL_ENDPOINTS:
             self.list_polling.timer_fired(now)
 
     def _solve(self) -> None:
-        """Re-solve the policy, and log what a solve of the sizes went out from."""
+        """Re-solve the policy, and log the inputs of a solve of the pool sizes."""
         summary = self.solver.solve()
         if summary is None:
             return
-        running, queued = self.in_flight.slots_running, len(self.queue)
+        running = self.in_flight.slots_running
+        queued = len(self.queue)
         self.context.add_action(
             LogLine(
-                f"{summary.policy}, our part {summary.total_slot_share:.0f} slots, {running} run, "
-                f"pace {summary.pace:.2f}, {queued} jobs held"
+                f"{summary.policy}, slot share {summary.total_slot_share:.0f}, {running} slots running, "
+                f"{summary.ms_per_unit_work:.2f} ms per ms of work, {queued} jobs queued"
             )
         )
 
     def _endpoint_list(self, event: EndpointListUpdate) -> None:
-        """Take a watch event, or that a call or a watch has failed."""
+        """Handle an endpoint list update, or the failure of a list call or of a watch."""
         if event.scope in (ListScope.FAILED, ListScope.SILENT):
             self.list_polling.failed(event.scope)
             return
@@ -224,22 +226,23 @@
             self.queue.review()
 
     def _rebuild_pools(self) -> None:
-        """Cut the pools anew from the workers that are up."""
+        """Divide the workers that are up among the pools again."""
         self.endpoints.rebuild()
         self.pools.rescale()
 
     def _load_report(self, event: LoadPolled) -> None:
-        """Take a polled worker's report, and place the jobs that waited for it alone."""
+        """Record a polled worker's report, and place the jobs that waited for it alone."""
         worker = self.poller.record(event)
         if self.context.mode.polls_for_queued:
             self.queue.offer(worker)
-        self.polled_placement.reported(worker)
+        self.polled_placement.report_received(worker)
 
     def _settings_changed(self, event: SettingsChanged) -> None:
-        """Take new settings and keep what was learned; a job keeps its class, and its place in the order."""
-        queued, tiers = self.queue.queued_jobs(), self.context.mode.tiers
+        """Replace the settings; learned state, the classes of jobs and the order of the queue are kept."""
+        queued = self.queue.queued_jobs()
+        tiers = self.context.mode.tiers
         self.context.change_settings(event.settings)
-        self._adopt()
+        self._apply_settings()
         if self.context.mode.tiers != tiers:
             self.pools.reset()
             self.solver.reset()
--- a/elderstall/decisions/forwarding.py
+++ b/elderstall/decisions/forwarding.py
@@ -1,4 +1,4 @@
-"""Starts attempts."""
+"""Starts attempts and accounts for them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 from elderstall.decisions.slow_start import SlowStart
 from elderstall.interface import Effect, SendAttempt
 
-SURELY_LATE = 1.5  # times its hinted work: a job given up then would not have been in time, as hints err
+LATE_WORK_FACTOR = 1.5  # of the hinted work, as hints err: a job cancelled then would have been late anyway
 
 
 class Forwarder:
-    """Sends a job to the worker chosen, and books what that takes."""
+    """Sends a job to the chosen worker, and accounts for the capacity that it uses."""
 
     def __init__(
         self, context: DecisionContext, pools: Pools, in_flight: InFlight, slow_start: SlowStart
     ) -> None:
-        self.context, self.pools = context, pools
-        self.in_flight, self.slow_start = in_flight, slow_start
+        self.context = context
+        self.pools = pools
+        self.in_flight = in_flight
+        self.slow_start = slow_start
 
     def send(self, job: Job, worker: Worker) -> None:
         """Start an attempt."""
@@ -28,25 +30,28 @@
         job.attempts += 1
         job.in_flight += 1
         job.queued = False
-        if not job.poll_rounds:  # else it took its turn when it was polled
+        if not job.poll_rounds:  # otherwise virtual time advanced when it was polled
             self.pools.advance_virtual_time(worker, job.work * job.slots)
         worker.slots_in_flight += job.slots
         if self.context.mode.polls_for_queued:
             worker.free_slots -= job.slots
-        self.pools.moved(worker)
+        self.pools.update_rotation(worker)
         if settings.fetch_price and job.key is not None:
             worker.cached_keys.append(job.key)
         self.in_flight.add(attempt)
         self.slow_start.record(worker, job)
-        time_out = max(settings.tick, self._ends(job) - self.context.now)
-        self.context.add_action(SendAttempt(job.id, worker.name, time_out))
+        timeout = max(settings.tick, self._attempt_deadline(job) - self.context.now)
+        self.context.add_action(SendAttempt(job.id, worker.name, timeout))
 
-    def _ends(self, job: Job) -> float:
-        """Say when an attempt is given up, ms."""
+    def _attempt_deadline(self, job: Job) -> float:
+        """Return the time, ms, at which an attempt is cancelled."""
         job_class = job.cls
         polls = self.context.mode.polls_before_placing
         if polls and not job_class.late_share and job_class.effect is Effect.NOT_IDEMPOTENT:
-            # Guards queues against jobs that can earn nothing any more; harmless ones would only come again.
-            wanted = job.arrived + job_class.latency_objective + job_class.stretch * job.work * SURELY_LATE
-            return min(job.deadline, wanted)
+            # A job that is too late to be worth anything is cancelled to keep it from workers' queues. One
+            # that may be repeated isn't, as the client would only send it again.
+            latest_useful = (
+                job.arrived + job_class.latency_objective + job_class.stretch * job.work * LATE_WORK_FACTOR
+            )
+            return min(job.deadline, latest_useful)
         return job.deadline
--- a/elderstall/decisions/inheritance.py
+++ b/elderstall/decisions/inheritance.py
@@ -1,4 +1,4 @@
-"""How a dispatcher goes on under new settings, or as a new process with what the former one had learned."""
+"""Transfer of learned state and open jobs from one process of a dispatcher to its successor."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from elderstall.decisions.solver import Solver
 from elderstall.interface import JobTakenOver
 
-# The keys under which a worker's learned values are handed over: fixed, as two versions meet there.
+# Keys under which a worker's learned values are handed over; fixed, as two versions exchange them.
 WORKER_KEYS = {
     "turn": "virtual_time",
     "peak": "peak_slots",
@@ -29,14 +29,14 @@
 }
 
 
-def learned_of(worker: Worker) -> dict[str, Any]:
-    """Give what was learned of a worker's process, as plain data."""
+def learned_worker_state(worker: Worker) -> dict[str, Any]:
+    """Return what was learned of a worker's process, as plain data."""
     values = {key: getattr(worker, name) for key, name in WORKER_KEYS.items()}
     return {"started": worker.started, "pushed": list(worker.warm_up_sends), **values}
 
 
-def relearn(worker: Worker, data: dict[str, Any]) -> None:
-    """Take what was learned of a worker, if it is of the same process."""
+def restore_worker(worker: Worker, data: dict[str, Any]) -> None:
+    """Restore what was learned of a worker, if its process is the same."""
     if data["started"] != worker.started:
         return
     worker.warm_up_sends.extend((at, work) for at, work in data["pushed"])
@@ -45,7 +45,7 @@
 
 
 class Inheritance:
-    """Hands learned values over to the next process, and takes those of the former one."""
+    """Exports learned state for the successor, and restores that of the predecessor."""
 
     def __init__(
         self,
@@ -58,19 +58,26 @@
         intake: Intake,
         solver: Solver,
     ) -> None:
-        self.context, self.endpoints, self.capacity = context, endpoints, capacity
-        self.pools, self.estimates, self.in_flight = pools, estimates, in_flight
-        self.intake, self.solver = intake, solver
+        self.context = context
+        self.endpoints = endpoints
+        self.capacity = capacity
+        self.pools = pools
+        self.estimates = estimates
+        self.in_flight = in_flight
+        self.intake = intake
+        self.solver = solver
 
     def learned(self) -> dict[str, Any]:
-        """Give what was learned, as plain data."""
+        """Return the learned state as plain data."""
         kinds = {
             name: [kind.work_done, kind.run_time, kind.peak_slots, kind.assumed_slots]
             for name, kind in self.capacity.kinds.items()
         }
         policy = self.pools.policy
         return {
-            "workers": {worker.name: learned_of(worker) for worker in self.endpoints.workers.values()},
+            "workers": {
+                worker.name: learned_worker_state(worker) for worker in self.endpoints.workers.values()
+            },
             "kinds": kinds,
             "mean": self.estimates.mean,
             "ended": self.estimates.completed,
@@ -80,45 +87,46 @@
             "policy": (policy.fractions, policy.sizes),
         }
 
-    def take_learned(self, data: dict[str, Any]) -> None:
-        """Go on with what the former process had learned; where settings differ, with what still fits."""
+    def restore_learned(self, data: dict[str, Any]) -> None:
+        """Restore the predecessor's learned state; where settings differ, as far as it still applies."""
         for name, values in data["workers"].items():
             if name in self.endpoints.workers:
-                relearn(self.endpoints.workers[name], values)
+                restore_worker(self.endpoints.workers[name], values)
         self.capacity.kinds.update({name: KindStatistics(*values) for name, values in data["kinds"].items()})
         self.estimates.mean |= data["mean"]
         self.estimates.completed |= data["ended"]
         self.capacity.fleet_fraction = data["claim"]
         self.endpoints.virtual_time = data["turn"]
         self.solver.update_typical_work()
-        self._take_policy(data)
+        self._restore_policy(data)
         self.endpoints.rebuild()
         self.pools.rescale()
         self.capacity.total_slot_share = sum(worker.slot_share for worker in self.endpoints.fleet)
 
-    def _take_policy(self, data: dict[str, Any]) -> None:
-        """Take the former policy where the number of tiers is the same."""
+    def _restore_policy(self, data: dict[str, Any]) -> None:
+        """Restore the predecessor's policy if the number of tiers is the same."""
         if len(data["load"]) != self.context.mode.tiers:
             return
         fractions, sizes = data["policy"]
-        self.solver.load, self.solver.intervals = data["load"], 1
+        self.solver.load = data["load"]
+        self.solver.intervals = 1
         self.pools.adopt_policy(Policy(tuple(fractions), tuple(sizes)))
 
-    def take_job(self, event: JobTakenOver) -> None:
-        """Take a job over from the former process, and go on with its attempt if one is in flight."""
-        job = self._job_of(event)
+    def take_over_job(self, event: JobTakenOver) -> None:
+        """Take a job over from the predecessor, with its attempt if one is in flight."""
+        job = self._create_job(event)
         self.intake.answers.open[job.id] = job
         if event.worker is None:
             self.intake.place(job)
             return
         worker = self.endpoints.workers.get(event.worker) or Worker.unlisted(event.worker)
-        self.in_flight.adopt(Attempt(job, event.attempts - 1, worker, event.sent_at))
+        self.in_flight.add_inherited(Attempt(job, event.attempts - 1, worker, event.sent_at))
         job.in_flight = 1
         worker.slots_in_flight += job.slots
-        self.pools.moved(worker)
+        self.pools.update_rotation(worker)
 
-    def _job_of(self, event: JobTakenOver) -> Job:
-        """Make a job of what is known of it."""
+    def _create_job(self, event: JobTakenOver) -> Job:
+        """Create a job from the event."""
         work = event.work_hint if event.work_hint else self.estimates.of_class(event.cls)
         job = Job(
             event.job,
@@ -134,5 +142,5 @@
         )
         if event.ran_on is not None:
             job.ran_on = self.endpoints.workers.get(event.ran_on) or Worker.unlisted(event.ran_on)
-            job.ran_at = event.arrived  # at the earliest
+            job.ran_at = event.arrived  # the earliest possible time
         return job
--- a/elderstall/decisions/outcomes.py
+++ b/elderstall/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""What starts and ends of attempts say of their workers, and how their jobs go on."""
+"""Learns about workers from starts and ends of attempts, and decides how their jobs continue."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from elderstall.decisions.records import MIN_BACKOFF_MS, Attempt, Job
 from elderstall.interface import NEVER_RAN, AttemptEnded, AttemptProgressed, Effect, Ending
 
-PROBATION_JOBS = 4  # served in a row: one that fails half of its jobs would pass by chance in one of 16 rows
-REPORT_TRUST = 0.9  # of reported free slots are believed, for reports are noisy
-LATE_BACKOFF = 0.5  # jobs: time at most that a worker is left alone after starting our job late
-TIMED_OUT_TIMES = 2.0  # times the length of a timed-out attempt that its worker is left alone at least
-BRIEF = 100.0  # ms: a worker may drop what has so little time left without a word; that is no fault of it
-GIVEN_UP_BACKOFF = 500.0  # ms a worker is left alone for a job given up as late: that says little
+PROBATION_JOBS = 4  # served in a row: a worker that fails half of its jobs passes 1 time in 16
+REPORTED_SLOTS_FACTOR = 0.9  # of the reported free slots, as reports are noisy
+MAX_LATE_START_BACKOFF_FACTOR = 0.5  # of the job's work: maximum backoff after a late start
+TIMEOUT_BACKOFF_FACTOR = 2.0  # of a timed-out attempt's duration: minimum backoff of its worker
+BRIEF_ATTEMPT_MS = 100.0  # a worker may silently drop an attempt with so little time left; that is no fault
+MAX_CANCELLED_BACKOFF_MS = 500.0  # of a job cancelled as late, which shows little about the worker
 
-NOT_THE_WORKERS_FAULT = frozenset({Ending.NEVER_SENT, Ending.CANCELLED, Ending.STALE_CONNECTION})
+ENDINGS_WITHOUT_WORKER_FAULT = frozenset({Ending.NEVER_SENT, Ending.CANCELLED, Ending.STALE_CONNECTION})
 
 
 class Outcomes:
-    """Takes what becomes of attempts."""
+    """Handles progress and ends of attempts."""
 
     def __init__(
         self,
@@ -37,61 +37,73 @@
         intake: Intake,
         queue: JobQueue,
     ) -> None:
-        self.context, self.endpoints, self.capacity = context, endpoints, capacity
-        self.pools, self.in_flight = pools, in_flight
-        self.answers, self.intake, self.queue = answers, intake, queue
+        self.context = context
+        self.endpoints = endpoints
+        self.capacity = capacity
+        self.pools = pools
+        self.in_flight = in_flight
+        self.answers = answers
+        self.intake = intake
+        self.queue = queue
 
-    def noted(self, event: AttemptProgressed) -> None:
-        """Take a start: prompt, it shows a free slot and tries for one more; late, that there was none."""
-        attempt = self.in_flight.started((event.job, event.number)) if event.started else None
+    def progressed(self, event: AttemptProgressed) -> None:
+        """Handle the start of an attempt.
+
+        A prompt start shows a free slot, and the slot limit grows to try for more; a late one shows that
+        there was none.
+        """
+        attempt = self.in_flight.record_start((event.job, event.number)) if event.started else None
         if attempt is None:
             return
-        worker, delay = attempt.worker, self.context.now - attempt.sent_at
-        if self.in_flight.saw_delay(worker, delay):
-            # Grows by the job's own slots, or jobs of many slots would never fit among those of one.
-            grown = min(worker.slot_limit + attempt.job.slots, int(worker.slots))
-            worker.slot_limit = max(grown, worker.slots_in_flight + 1)
+        worker = attempt.worker
+        delay = self.context.now - attempt.sent_at
+        if self.in_flight.record_start_delay(worker, delay):
+            # Grows by the job's slots, or jobs of several slots would never fit beside those of one.
+            grown_limit = min(worker.slot_limit + attempt.job.slots, int(worker.slots))
+            worker.slot_limit = max(grown_limit, worker.slots_in_flight + 1)
         else:
             worker.slot_limit = max(1, worker.slots_running)
-            backoff = min(delay, LATE_BACKOFF * attempt.job.work)
+            backoff = min(delay, MAX_LATE_START_BACKOFF_FACTOR * attempt.job.work)
             worker.backoff_until = max(worker.backoff_until, self.context.now + backoff)
-        self.pools.moved(worker)
+        self.pools.update_rotation(worker)
         self.queue.offer(worker)
 
     def ended(self, event: AttemptEnded) -> None:
-        """Take the end of an attempt."""
+        """Handle the end of an attempt."""
         attempt = self.in_flight.remove((event.job, event.number))
         if attempt is None:
             return
-        self._take_report(attempt, event.report)
+        self._record_report(attempt, event.report)
         self._learn(attempt, event.ending)
-        self.pools.moved(attempt.worker)
+        self.pools.update_rotation(attempt.worker)
         job = attempt.job
         if event.ending not in NEVER_RAN and job.ran_on is None:
-            job.ran_at, job.ran_on = attempt.sent_at, attempt.worker
+            job.ran_at = attempt.sent_at
+            job.ran_on = attempt.worker
         if event.final:
             self.answers.close(job)
         elif not job.answered and job.in_flight == 0:
-            self._go_on(job, event.ending)
+            self._retry_or_answer(job, event.ending)
         self.queue.offer(attempt.worker)
 
-    def _take_report(self, attempt: Attempt, report: tuple[float, ...]) -> None:
-        """Take the load report that came with an answer."""
+    def _record_report(self, attempt: Attempt, report: tuple[float, ...]) -> None:
+        """Record the load report that came with a response."""
         field = self.context.settings.report_free_slots
         if not report or field is None:
             return
         worker = attempt.worker
         self.capacity.kinds[worker.kind].assumed_slots = 1.0
-        worker.reported_at, worker.free_slots = self.context.now, report[field]
-        self.capacity.saw_slots(worker, int(report[field] * REPORT_TRUST))
+        worker.reported_at = self.context.now
+        worker.free_slots = report[field]
+        self.capacity.record_slots(worker, int(report[field] * REPORTED_SLOTS_FACTOR))
 
     def _learn(self, attempt: Attempt, ending: Ending) -> None:
-        """Learn of a worker from how its attempt ended."""
+        """Update a worker's state by how its attempt ended."""
         if ending is Ending.SERVED:
             self._served(attempt)
         elif ending in (Ending.ERROR, Ending.BROKEN):
             self._failed(attempt)
-        elif ending not in NOT_THE_WORKERS_FAULT:
+        elif ending not in ENDINGS_WITHOUT_WORKER_FAULT:
             self._unavailable(attempt, ending)
 
     def _served(self, attempt: Attempt) -> None:
@@ -100,11 +112,11 @@
         if not worker.probation:
             worker.backoff = 0.0
             self.endpoints.on_probation.pop(worker.name, None)
-        since = attempt.sent_at if attempt.started_at is None else attempt.started_at
-        self.endpoints.record_run(attempt, self.context.now - since)
+        started_at = attempt.sent_at if attempt.started_at is None else attempt.started_at
+        self.endpoints.record_run(attempt, self.context.now - started_at)
 
     def _failed(self, attempt: Attempt) -> None:
-        """Put a worker on probation: one that fails jobs fast looks idle and would draw those that follow."""
+        """Put a worker on probation: one that fails jobs fast seems idle and would attract further jobs."""
         worker = attempt.worker
         worker.probation = PROBATION_JOBS
         worker.grow_backoff(MIN_BACKOFF_MS)
@@ -112,27 +124,28 @@
         worker.backoff_until = max(worker.backoff_until, self.context.now + worker.backoff)
 
     def _unavailable(self, attempt: Attempt, ending: Ending) -> None:
-        """Leave a worker alone that is full, out of reach or too slow."""
-        worker, now = attempt.worker, self.context.now
+        """Back off from a worker that is full, unreachable or too slow."""
+        worker = attempt.worker
+        now = self.context.now
         timed_out = ending is Ending.TIMED_OUT
-        least = TIMED_OUT_TIMES * (now - attempt.sent_at) if timed_out else MIN_BACKOFF_MS
+        min_backoff = TIMEOUT_BACKOFF_FACTOR * (now - attempt.sent_at) if timed_out else MIN_BACKOFF_MS
         if self.context.mode.polls_before_placing:
-            least = min(least, GIVEN_UP_BACKOFF)
-        if timed_out and now - attempt.sent_at < BRIEF:
-            worker.backoff = max(least, worker.backoff)
+            min_backoff = min(min_backoff, MAX_CANCELLED_BACKOFF_MS)
+        if timed_out and now - attempt.sent_at < BRIEF_ATTEMPT_MS:
+            worker.backoff = max(min_backoff, worker.backoff)
         else:
-            worker.grow_backoff(least)
+            worker.grow_backoff(min_backoff)
         worker.backoff_until = now + worker.backoff
         worker.slot_limit = max(1, worker.slots_in_flight)
 
-    def _go_on(self, job: Job, ending: Ending) -> None:
+    def _retry_or_answer(self, job: Job, ending: Ending) -> None:
         """Retry a job whose attempt has ended, or answer it."""
         settings = self.context.settings
-        spent = job.attempts >= settings.max_attempts
-        no_time = self.context.now >= job.deadline - 2 * settings.tick
-        # Guards against a second effect.
-        unsure = job.ran_on is not None and job.cls.effect is Effect.NOT_IDEMPOTENT
-        if spent or no_time or unsure or ending is Ending.TIMED_OUT:
+        is_exhausted = job.attempts >= settings.max_attempts
+        is_out_of_time = self.context.now >= job.deadline - 2 * settings.tick
+        # A retry could have a second effect.
+        may_have_run = job.ran_on is not None and job.cls.effect is Effect.NOT_IDEMPOTENT
+        if is_exhausted or is_out_of_time or may_have_run or ending is Ending.TIMED_OUT:
             self.answers.finish(job)
         else:
             self.intake.place(job)
--- a/elderstall/decisions/placement.py
+++ b/elderstall/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Which worker gets a job: the ordinary path through the pools, by key, or where a repeat is dropped."""
+"""Choice of the worker for a job: through the pools, by key, or where a repeat would be dropped."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 from elderstall.decisions.rotation import Rotation
 from elderstall.interface import Effect
 
-LONG_JOB = 5.0  # mean jobs: a long job of a heavy-tailed class, which a slow worker may end late
-BUSY_TIMES = 2.0  # times the fleet's mean of jobs a core: a worker that the list shows above gets none by key
-GROUP_RANKS = (0, 2, 4)  # the best rank that a worker of each group of a rotation can have
-REST_RANK = GROUP_RANKS[-1]
-WORST_RANK = 9  # above any that a worker can have
+# Of the mean work: a long job of a heavy-tailed class, which a slow worker may end late.
+LONG_JOB_FACTOR = 5.0
+MAX_BUSY_FACTOR = 2.0  # of the fleet's mean jobs per core: a worker listed above it gets no job by key
+GROUP_RANKS = (0, 2, 4)  # best possible rank of a worker of each group of a rotation
+NOT_PREFERRED_RANK = GROUP_RANKS[-1]
+WORST_RANK = 9  # worse than that of any worker
 
-Rank = tuple[int, bool, float, int]  # past our share or too slow; another zone; turn; place
+# Beyond the slot share or too slow; in another zone; virtual time; position in the pool.
+Rank = tuple[int, bool, float, int]
 
 
-def long_run(job: Job) -> tuple[float, float]:
-    """Give the running time at speed 1, ms, that a long job of a job's kind has, and when it is wanted."""
-    run = LONG_JOB * job.work
-    return run, job.cls.latency_objective + job.cls.stretch * LONG_JOB * job.work
+def long_job_times(job: Job) -> tuple[float, float]:
+    """Return the running time at speed 1, ms, and the latency objective, ms, of a long job of the class."""
+    run_time = LONG_JOB_FACTOR * job.work
+    return run_time, job.cls.latency_objective + job.cls.stretch * LONG_JOB_FACTOR * job.work
 
 
 class Placement:
@@ -37,11 +39,17 @@
         eligibility: Eligibility,
         in_flight: InFlight,
     ) -> None:
-        self.context, self.endpoints, self.pools = context, endpoints, pools
-        self.eligibility, self.in_flight = eligibility, in_flight
+        self.context = context
+        self.endpoints = endpoints
+        self.pools = pools
+        self.eligibility = eligibility
+        self.in_flight = in_flight
 
     def choose(self, job: Job) -> Worker | None:
-        """Follow the ordinary path; if the job's pool has none of the best rank, look in the others too."""
+        """Return the worker for a job, if any accepts it.
+
+        The other pools are searched too if the job's own has no worker of the best rank.
+        """
         if job.ran_on is not None:
             return self._for_repeat(job)
         if self.in_flight.is_saturated():
@@ -56,16 +64,21 @@
         return self._from_pools(order, job)
 
     def _from_pools(self, order: list[int], job: Job) -> Worker | None:
-        best, least = None, WORST_RANK
+        best = None
+        best_rank = WORST_RANK
         for pool in order:
-            if least and (found := self.next_in(self.pools.rotation(pool), job))[0] < least:
-                least, best = found
-        # Guards against blind sends to a full fleet: past own whole slots, jobs wait at one overdue start.
-        blind = best is not None and least > 1 and best.slot_share in (0.0, 1.0)
-        return None if blind and self.in_flight.is_saturated(late=True) else best
+            if best_rank and (found := self.next_accepting(self.pools.rotation(pool), job))[0] < best_rank:
+                best_rank, best = found
+        # Beyond whole slots of its own, this dispatcher doesn't know which workers are free. While a start is
+        # overdue, jobs wait, or they would be sent blindly to a saturated fleet.
+        is_blind = best is not None and best_rank > 1 and best.slot_share in (0.0, 1.0)
+        return None if is_blind and self.in_flight.is_saturated(late=True) else best
 
     def _on_probation(self, job: Job) -> Worker | None:
-        """Guard against a worker kept out which no job asks for its probation: a harmless one does."""
+        """Return a worker on probation that accepts the job, if the job may be repeated.
+
+        Otherwise a worker could stay on probation without ever getting a job that ends it.
+        """
         if job.cls.effect is not Effect.IDEMPOTENT:
             return None
         for worker in self.endpoints.probation_candidates():
@@ -73,55 +86,62 @@
                 return worker
         return None
 
-    def next_in(self, rotation: Rotation, job: Job) -> tuple[int, Worker | None]:
-        """Give a pool's next worker that accepts a job, and its rank: our own slots, fast for long jobs."""
+    def next_accepting(self, rotation: Rotation, job: Job) -> tuple[int, Worker | None]:
+        """Return the best rank of a pool's workers that accept a job, and the next worker of that rank.
+
+        Workers within this dispatcher's slot share and fast enough for long jobs have the best rank.
+        """
         best: Worker | None = None
-        least: Rank = (WORST_RANK, False, 0.0, 0)
-        run, wanted = long_run(job)
-        for floor, entries in zip(GROUP_RANKS, rotation, strict=True):
-            if least[0] < floor:
+        best_rank: Rank = (WORST_RANK, False, 0.0, 0)
+        run_time, objective = long_job_times(job)
+        for group_rank, entries in zip(GROUP_RANKS, rotation, strict=True):
+            if best_rank[0] < group_rank:
                 break
-            for virtual_time, place, _, worker in entries:
+            for virtual_time, position, _, worker in entries:
                 if worker.backoff_until > self.context.now:
                     continue
-                slow = run > wanted * worker.speed
+                slow = run_time > objective * worker.speed
                 rank = (
-                    (floor + slow, False, virtual_time, place)
-                    if floor == REST_RANK
-                    else (self._rank(worker, job, virtual_time, place, slow=slow))
+                    (group_rank + slow, False, virtual_time, position)
+                    if group_rank == NOT_PREFERRED_RANK
+                    else (self._rank_worker(worker, job, virtual_time, position, slow=slow))
                 )
-                if rank < least and self.eligibility.accepts(worker, job):
-                    best, least = worker, rank
-                    if rank[0] == floor and not rank[1]:
+                if rank < best_rank and self.eligibility.accepts(worker, job):
+                    best = worker
+                    best_rank = rank
+                    if rank[0] == group_rank and not rank[1]:
                         break  # the others of the group come later in the rotation
-        return least[0], best
+        return best_rank[0], best
 
-    def _rank(self, worker: Worker, job: Job, virtual_time: float, place: int, *, slow: bool) -> Rank:
-        """Rank a worker for a job; the least is best."""
+    def _rank_worker(
+        self, worker: Worker, job: Job, virtual_time: float, position: int, *, slow: bool
+    ) -> Rank:
+        """Return the rank of a worker for a job; the lowest is best."""
         settings = self.context.settings
-        # Where slots are whole, a cold worker in whose window we have a turn is as good as our own.
-        past_share = worker.slots_in_flight + job.slots > worker.slot_share and (
+        # Where shares are whole slots, a cold worker that this dispatcher may use in the current slow-start
+        # window ranks like one of its own slots.
+        is_past_share = worker.slots_in_flight + job.slots > worker.slot_share and (
             worker.slots_in_flight > 0
             or (not worker.slot_share and not worker.in_slow_start(self.context.now, settings))
         )
-        rank = 2 * past_share + slow
+        rank = 2 * is_past_share + slow
         crossing = rank < 2 and worker.zone != settings.zone and settings.cross_zone_price > 0
-        return rank, crossing, virtual_time, place
+        return rank, crossing, virtual_time, position
 
     def _by_key(self, order: list[int], job: Job) -> Worker | None:
-        """Give an accepting worker of those that every dispatcher's hash names for the job's key."""
+        """Return a worker that accepts the job, of the first ones in rendezvous order for its key."""
         mean = self.endpoints.mean_jobs_per_core
         for pool in order:
             for worker in self.pools.key_candidates(pool, job.key or ""):
-                # Guards against many dispatchers that ask one worker for a key: the list shows it.
-                spare = 1 - (job.slots - 1) / max(ASSUMED_SLOTS, worker.slots)
-                most = max(spare, BUSY_TIMES * mean / job.slots)
-                if worker.jobs_per_core <= most and self.eligibility.accepts(worker, job):
+                # Many dispatchers may send a key's jobs to one worker; its load shows in the endpoint list.
+                spare_jobs_per_core = 1 - (job.slots - 1) / max(ASSUMED_SLOTS, worker.slots)
+                max_jobs_per_core = max(spare_jobs_per_core, MAX_BUSY_FACTOR * mean / job.slots)
+                if worker.jobs_per_core <= max_jobs_per_core and self.eligibility.accepts(worker, job):
                     return worker
         return None
 
     def _for_repeat(self, job: Job) -> Worker | None:
-        """Give the next accepting worker of those at which a job that may have run may run again."""
+        """Return the next worker in rotation order that accepts a job that may have run."""
         workers = self.endpoints.workers.values()
         accepting = (worker for worker in workers if self.eligibility.accepts_repeat(worker, job))
         return min(accepting, key=lambda worker: worker.virtual_time, default=None)
--- a/elderstall/decisions/polling.py
+++ b/elderstall/decisions/polling.py
@@ -6,30 +6,31 @@
 from itertools import chain, islice
 
 from elderstall.decisions.answers import Answers
-from elderstall.decisions.capacity import FREE_LEAST
+from elderstall.decisions.capacity import MIN_FREE_SLOTS
 from elderstall.decisions.context import TIMER_POLL_TIMEOUT, DecisionContext
 from elderstall.decisions.eligibility import Eligibility
 from elderstall.decisions.endpoints import Endpoints
 from elderstall.decisions.estimates import WorkEstimates
 from elderstall.decisions.forwarding import Forwarder
 from elderstall.decisions.load_shedding import LoadShedding
-from elderstall.decisions.placement import Placement, long_run
+from elderstall.decisions.placement import Placement, long_job_times
 from elderstall.decisions.pools import Pools
 from elderstall.decisions.queue import JobQueue
 from elderstall.decisions.records import MIN_BACKOFF_MS, Job, Worker
 from elderstall.decisions.urgency import Urgency
 from elderstall.interface import Ending, LoadPolled, PollLoad
 
-POLLED_AT_ONCE = 3  # workers polled before a job goes to one: two are often both full, four gain nothing
-POLL_ROUNDS = 3  # times that a job polls, each time others, while all are full
-POLL_TIMEOUT = 30.0  # ms for their reports, which take two trips: a silent one must not make a job late
-REPORT_FRESH_FOR = 150.0  # ms for which a report stands for jobs that follow at once
-FULL_FOR = 300.0  # ms after which a full worker is polled again: its report is hardly a new one before
-POLLED_FOR_QUEUED = 3  # workers with attempts of ours polled when a job is queued: some have capacity
+# Polled before a job goes to one of them: two are often both full, a fourth gains nothing.
+WORKERS_PER_POLL = 3
+MAX_POLL_ROUNDS = 3  # per job, each of other workers, while all polled ones are full
+POLL_TIMEOUT_MS = 30.0  # a report takes a round trip; a silent worker must not make a job late
+REPORT_FRESH_MS = 150.0  # for which a report is used for further jobs
+FULL_REPORT_MS = 300.0  # after which a full worker is polled again: earlier its report would hardly differ
+WORKERS_POLLED_FOR_QUEUED = 3  # with attempts in flight, polled when a job is queued: some have capacity
 
 
 class LoadPoller:
-    """Asks workers for load reports, and takes them."""
+    """Polls workers for load reports, and records the reports."""
 
     def __init__(
         self,
@@ -39,26 +40,32 @@
         estimates: WorkEstimates,
         shedding: LoadShedding,
     ) -> None:
-        self.context, self.endpoints, self.pools = context, endpoints, pools
-        self.estimates, self.shedding = estimates, shedding
+        self.context = context
+        self.endpoints = endpoints
+        self.pools = pools
+        self.estimates = estimates
+        self.shedding = shedding
 
     def poll(self, workers: Iterable[Worker]) -> None:
-        """Poll workers that have not reported just now; a poll is a turn, or full ones would stay first."""
+        """Poll workers without a fresh report.
+
+        A poll advances virtual time, or full workers would remain first in rotation order.
+        """
         for worker in workers:
-            self.pools.advance_virtual_time(worker, self.estimates.typical / POLLED_AT_ONCE)
-            self.pools.moved(worker)
-            if not worker.poll_pending and self.context.now - worker.reported_at > REPORT_FRESH_FOR:
+            self.pools.advance_virtual_time(worker, self.estimates.typical / WORKERS_PER_POLL)
+            self.pools.update_rotation(worker)
+            if not worker.poll_pending and self.context.now - worker.reported_at > REPORT_FRESH_MS:
                 worker.poll_pending = True
                 self.context.add_action(PollLoad(worker.name))
 
-    def poll_next_own(self) -> None:
-        """Poll the next of our own workers, to learn how full the fleet is."""
+    def poll_next_owned(self) -> None:
+        """Poll the next owned worker, to learn how full the fleet is."""
         now = self.context.now
         ready = (worker for worker in self.pools.owned_in_rotation_order(0) if worker.backoff_until < now)
         self.poll(list(islice(ready, 1)))
 
     def poll_for_queued(self) -> None:
-        """Poll workers with attempts of ours, those that reported longest ago first."""
+        """Poll workers with attempts of this dispatcher in flight, those with the oldest reports first."""
         if not self.context.mode.polls_for_queued:
             return
         now = self.context.now
@@ -67,25 +74,27 @@
             for worker in self.endpoints.fleet
             if worker.slots_in_flight and not worker.poll_pending and worker.backoff_until < now
         )
-        self.poll(sorted(candidates, key=lambda worker: worker.reported_at)[:POLLED_FOR_QUEUED])
+        self.poll(sorted(candidates, key=lambda worker: worker.reported_at)[:WORKERS_POLLED_FOR_QUEUED])
 
     def record(self, event: LoadPolled) -> Worker:
-        """Take a load report, or that none came; gives the worker."""
+        """Record a load report, or that none arrived, and return the worker."""
         worker = self.endpoints.workers[event.worker]
         worker.poll_pending = False
-        field, now = self.context.settings.report_free_slots, self.context.now
+        field = self.context.settings.report_free_slots
+        now = self.context.now
         if event.report and field is not None:
-            worker.reported_at, worker.free_slots = now, event.report[field]
-            self.shedding.record(now, full=worker.free_slots < FREE_LEAST)
+            worker.reported_at = now
+            worker.free_slots = event.report[field]
+            self.shedding.record(now, full=worker.free_slots < MIN_FREE_SLOTS)
         elif event.ending not in (Ending.SERVED, Ending.FULL, Ending.NEVER_SENT):
             worker.grow_backoff(MIN_BACKOFF_MS)
             worker.backoff_until = max(worker.backoff_until, now + worker.backoff)
-        self.pools.moved(worker)
+        self.pools.update_rotation(worker)
         return worker
 
 
 class PolledPlacement:
-    """Places jobs by the reports of workers polled for them: what we see by ourselves is too little."""
+    """Places jobs by reports of polled workers, as the jobs sent from here show too little of their load."""
 
     def __init__(
         self,
@@ -100,20 +109,28 @@
         answers: Answers,
         urgency: Urgency,
     ) -> None:
-        self.context, self.endpoints, self.pools, self.poller = context, endpoints, pools, poller
-        self.eligibility, self.placement, self.forwarder = eligibility, placement, forwarder
-        self.queue, self.answers, self.urgency = queue, answers, urgency
+        self.context = context
+        self.endpoints = endpoints
+        self.pools = pools
+        self.poller = poller
+        self.eligibility = eligibility
+        self.placement = placement
+        self.forwarder = forwarder
+        self.queue = queue
+        self.answers = answers
+        self.urgency = urgency
 
     def poll_for(self, job: Job) -> bool:
-        """Poll the next of our own workers for a job; says no if there is none to poll."""
+        """Poll the next owned workers for a job, and return whether there were any to poll."""
         pool = self.pools.draw_pool(job)
-        job.polled_before, job.polled = job.polled_before + job.polled, []
+        job.polled_before = job.polled_before + job.polled
+        job.polled = []
         job.poll_rounds += 1
         reserved = self.endpoints.reserved.candidates(job, self.context.rng)
         for worker in chain(reserved, self.pools.owned_in_rotation_order(pool)):
-            if self._worth_polling(worker, job):
+            if self._is_worth_polling(worker, job):
                 job.polled.append(worker)
-                if len(job.polled) == POLLED_AT_ONCE:
+                if len(job.polled) == WORKERS_PER_POLL:
                     break
         if not job.polled:
             return False
@@ -121,36 +138,38 @@
         job.polled_at = self.context.now
         self.poller.poll(job.polled)
         if any(worker.poll_pending for worker in job.polled):
-            self.context.set_timer(TIMER_POLL_TIMEOUT, POLL_TIMEOUT)
+            self.context.set_timer(TIMER_POLL_TIMEOUT, POLL_TIMEOUT_MS)
         else:
             self._decide(job)
         return True
 
-    def _worth_polling(self, worker: Worker, job: Job) -> bool:
-        """Say whether a report may tell what is not known yet, and the worker may get the job."""
-        known_full = worker.free_slots < FREE_LEAST and self.context.now - worker.reported_at < FULL_FOR
+    def _is_worth_polling(self, worker: Worker, job: Job) -> bool:
+        """Return whether a report may show something new and the worker may get the job."""
+        known_full = (
+            worker.free_slots < MIN_FREE_SLOTS and self.context.now - worker.reported_at < FULL_REPORT_MS
+        )
         if known_full or worker in job.polled_before + job.polled:
             return False
         return self.eligibility.accepts(worker, job)
 
-    def reported(self, worker: Worker) -> None:
-        """Place the jobs that waited for this worker's report alone."""
+    def report_received(self, worker: Worker) -> None:
+        """Place the jobs that waited only for this worker's report."""
         for job in [job for job in self.answers.awaiting_reports.values() if worker in job.polled]:
             if not any(polled.poll_pending for polled in job.polled):
                 self._decide(job)
 
-    def timed_out(self, now: float) -> None:
-        """Place the jobs that have waited for long enough."""
+    def place_timed_out(self, now: float) -> None:
+        """Place the jobs whose polls have timed out."""
         waiting = self.answers.awaiting_reports.values()
-        for job in [job for job in waiting if now >= job.polled_at + POLL_TIMEOUT]:
+        for job in [job for job in waiting if now >= job.polled_at + POLL_TIMEOUT_MS]:
             self._decide(job)
 
     def _decide(self, job: Job) -> None:
-        """Send a job to the best of the polled workers; if none accepts it, go the ordinary path."""
+        """Send a job to the best of the polled workers, or by the ordinary path if none accepts it."""
         del self.answers.awaiting_reports[job.id]
         best = self._best_polled(job)
-        full = best is None or best.free_slots < FREE_LEAST
-        if full and job.poll_rounds < POLL_ROUNDS and self.poll_for(job):
+        is_full = best is None or best.free_slots < MIN_FREE_SLOTS
+        if is_full and job.poll_rounds < MAX_POLL_ROUNDS and self.poll_for(job):
             return
         if best is None and not self.urgency.out_of_time(job):
             best = self.placement.choose(job)
@@ -160,15 +179,15 @@
             self.queue.enqueue(job)
 
     def _best_polled(self, job: Job) -> Worker | None:
-        run, wanted = long_run(job)
+        run_time, objective = long_job_times(job)
         accepting = [worker for worker in job.polled if self.eligibility.accepts(worker, job)]
         return min(
             accepting,
             default=None,
             key=lambda worker: (
-                worker.free_slots < FREE_LEAST,
-                worker.reported_at < job.polled_at - REPORT_FRESH_FOR,
-                run > wanted * worker.speed,
+                worker.free_slots < MIN_FREE_SLOTS,
+                worker.reported_at < job.polled_at - REPORT_FRESH_MS,
+                run_time > objective * worker.speed,
                 -worker.free_slots,
                 -worker.speed,
             ),
--- a/elderstall/decisions/pools.py
+++ b/elderstall/decisions/pools.py
@@ -1,4 +1,4 @@
-"""The pools of the tiers: their sizes, the fractions of jobs redirected between them, and their rotations."""
+"""The pools of the tiers: sizes, fractions of jobs redirected between them, and rotations."""
 
 from __future__ import annotations
 
@@ -16,89 +16,93 @@
     rendezvous_order,
     tier_pairs,
 )
-from elderstall.decisions.rotation import FAR, NEAR, REST, Rotation, Rotations
+from elderstall.decisions.rotation import BEYOND_SHARE, NOT_PREFERRED, WITHIN_SHARE, Rotation, Rotations
 
-KEY_CANDIDATES = 8  # workers of a pool, in order, that a key's jobs try: a key asked for a lot needs several
-MAX_VIRTUAL_TIME_DEBT_MS = 1_000.0  # virtual ms of turns that a passed-over worker may catch up
-EQUAL_SIZE = 1000  # of each pool at first; sizes are rescaled to the workers that there are
+MAX_KEY_CANDIDATES = 8  # workers of a pool tried for a key's jobs: a popular key needs several
+MAX_VIRTUAL_TIME_DEBT_MS = 1_000.0  # that a worker which was passed over may catch up
+INITIAL_POOL_SIZE = 1000  # of each pool; sizes are rescaled to the number of workers
 
 
 class Pools:
-    """One pool a tier, under the policy that the solver has found."""
+    """One pool per tier, under the policy found by the solver."""
 
     def __init__(self, context: DecisionContext, endpoints: Endpoints, capacity: CapacityModel) -> None:
-        self.context, self.endpoints, self.capacity = context, endpoints, capacity
+        self.context = context
+        self.endpoints = endpoints
+        self.capacity = capacity
         self._key_candidates: dict[tuple[int, str], list[Worker]] = {}
         self.reset()
 
     def reset(self) -> None:
-        """Start anew, as the number of tiers is another."""
+        """Reset all pools after a change of the number of tiers."""
         mode = self.context.mode
         self.pools: list[list[Worker]] = [[] for _ in mode.tier_edges]
         self.rotations = Rotations(self.pools, self.rotation_group)
-        # Pools start alike; many dispatchers are long in solving, so there work over quota gets little.
+        # Pools start with equal sizes. In a large fleet solving takes long to adapt, so tiers that only jobs
+        # over quota use start with minimal pools there.
         used = {
             mode.tier_of(job_class.priority_weight) for job_class in mode.classes.values() if mode.large_fleet
         }
-        sizes = tuple(1 if used and tier not in used else EQUAL_SIZE for tier in range(mode.tiers))
+        sizes = tuple(1 if used and tier not in used else INITIAL_POOL_SIZE for tier in range(mode.tiers))
         self.adopt_policy(Policy((0,) * len(tier_pairs(mode.tiers)), sizes))
 
     def adopt_policy(self, policy: Policy) -> None:
-        """Take a policy; ``rescale`` hands the workers out by its sizes."""
+        """Replace the policy; ``rescale`` then divides the workers by its sizes."""
         self.policy = policy
         self.pool_fractions = pool_fractions(policy, self.context.mode.tiers)
 
     def resize(self, weights: Sequence[float]) -> None:
-        """Size the pools by weights."""
+        """Size the pools in proportion to weights."""
         self.policy = Policy(
             self.policy.fractions, divide_proportionally(len(self.endpoints.pooled), weights)
         )
         self.rescale()
 
     def rescale(self) -> None:
-        """Rescale the pool sizes to the workers there are, and hand out the workers."""
-        pooled, shared = self.endpoints.pooled, self.endpoints.shared
+        """Rescale the pool sizes to the number of workers, and divide the workers among the pools."""
+        pooled = self.endpoints.pooled
+        shared = self.endpoints.shared
         total = len(pooled)
         if total and total != sum(self.policy.sizes):
             self.policy = Policy(self.policy.fractions, divide_proportionally(total, self.policy.sizes))
         self._key_candidates.clear()
-        at = 0
+        start = 0
         for pool, size in zip(self.pools, self.policy.sizes, strict=True):
-            pool[:] = pooled[at : at + size] + shared
-            at += size
+            pool[:] = pooled[start : start + size] + shared
+            start += size
         self.rotations.fill()
 
-    def settle(self) -> None:
-        """Take that our share of many workers may have changed."""
-        self.rotations.settle(self.endpoints.fleet)
+    def regroup(self) -> None:
+        """Update the rotations after the slot shares of many workers may have changed."""
+        self.rotations.regroup(self.endpoints.fleet)
 
     def draw_pool(self, job: Job) -> int:
-        """Draw the pool that a job goes to: its tier's own, or another by the solved fractions."""
+        """Return a random pool for a job: its tier's own, or another by the solved fractions."""
         return self.context.rng.choices(range(self.context.mode.tiers), self.pool_fractions[job.tier])[0]
 
     def rotation(self, pool: int) -> Rotation:
-        """Give the rotation of a pool."""
+        """Return the rotation of a pool."""
         return self.rotations[pool]
 
-    def owned_in_rotation_order(self, first_of: int) -> Iterator[Worker]:
-        """Give our own workers of all pools in the order of their turns, but the next of one pool first."""
-        return self.rotations.turns(NEAR, first_of)
+    def owned_in_rotation_order(self, first_pool: int) -> Iterator[Worker]:
+        """Yield the owned workers of all pools in rotation order, after the next one of ``first_pool``."""
+        return self.rotations.in_order(WITHIN_SHARE, first_pool)
 
     def rotation_group(self, worker: Worker) -> int | None:
-        """Say where a worker stands in the rotation, by our share of it and of the fleet; full: nowhere."""
+        """Return a worker's group in the rotation, by its slot share and preference; None if it is full."""
         used = worker.slots_in_flight
         if used and used >= self.capacity.open_slots(worker):
             return None
         if worker.preference_position >= self.capacity.preferred_fraction:
-            return REST
+            return NOT_PREFERRED
         if used:
-            return NEAR if used + 1 <= worker.slot_share else FAR
-        cold = worker.in_slow_start(self.context.now, self.context.settings)
-        ours = worker.slot_share or (cold and not self.context.mode.polls_before_placing)
-        return NEAR if ours else FAR
+            return WITHIN_SHARE if used + 1 <= worker.slot_share else BEYOND_SHARE
+        is_cold = worker.in_slow_start(self.context.now, self.context.settings)
+        within_share = worker.slot_share or (is_cold and not self.context.mode.polls_before_placing)
+        return WITHIN_SHARE if within_share else BEYOND_SHARE
 
     def advance_virtual_time(self, worker: Worker, work: float) -> None:
-        """Charge a worker its turn: the time that the work, ms, takes it."""
+        """Advance a worker's virtual time by the time that the work, ms, takes it."""
         endpoints = self.endpoints
         endpoints.virtual_time = max(endpoints.virtual_time, worker.virtual_time)
         worker.virtual_time = (
@@ -106,13 +110,13 @@
             + work / worker.capacity
         )
 
-    def moved(self, worker: Worker) -> None:
-        """Take that a worker's turn, or what it has of ours, has changed."""
+    def update_rotation(self, worker: Worker) -> None:
+        """Update a worker's place in the rotations after its virtual time or load has changed."""
         self.rotations.move(worker)
 
     def key_candidates(self, pool: int, key: str) -> list[Worker]:
-        """Give the workers of a pool that every dispatcher's hash names for a key."""
+        """Return the first workers of a pool in rendezvous order for a key, the same at every dispatcher."""
         if (pool, key) not in self._key_candidates:
             workers = rendezvous_order(key, self.pools[pool], self.endpoints.largest_weight)
-            self._key_candidates[pool, key] = workers[:KEY_CANDIDATES]
+            self._key_candidates[pool, key] = workers[:MAX_KEY_CANDIDATES]
         return self._key_candidates[pool, key]
--- a/elderstall/decisions/rotation.py
+++ b/elderstall/decisions/rotation.py
@@ -1,7 +1,7 @@
-"""Workers in the order of their turns, so that the next one is found without a look at all of them.
+"""Workers in order of virtual time, so that the next one is found without a scan of all workers.
 
-The structure decides nothing: ``pools.Pools`` says what makes a worker near, far or full. An entry may
-be out of date only towards being offered in vain, never towards being left out.
+The structure makes no decisions: ``pools.Pools`` determines each worker's group. An entry may be outdated
+only such that a worker is offered that doesn't accept the job, never such that one is left out.
 """
 
 from __future__ import annotations
@@ -14,94 +14,99 @@
 
 from elderstall.decisions.records import Worker
 
-NEAR, FAR, REST = range(3)  # groups: our own part of a worker, past it, beyond our stretch of the fleet
-Entry = tuple[float, int, str, Worker]  # turn, place in the pool, its name; places are unique
-RotationKey = tuple[int | None, float]  # group and turn
+WITHIN_SHARE, BEYOND_SHARE, NOT_PREFERRED = range(3)  # groups; the last is outside the preferred fraction
+Entry = tuple[float, int, str, Worker]  # virtual time, unique position in the pool, name
+RotationKey = tuple[int | None, float]  # group and virtual time
 
 
 @dataclass(slots=True)
 class Rotation:
-    """One pool: groups in ascending order of turn; full workers stand in none.
+    """One pool's workers in groups, each in ascending order of virtual time; full workers are in no group.
 
-    Where a worker stands follows from its place in the pool and from ``Worker.rotation_key``.
+    A worker's entry is determined by its position in the pool and by ``Worker.rotation_key``.
     """
 
     groups: tuple[list[Entry], ...] = field(default_factory=lambda: ([], [], []))
-    places: dict[str, int] = field(default_factory=dict)
+    positions: dict[str, int] = field(default_factory=dict)
     pool: list[Worker] = field(default_factory=list)
 
     def fill(self, workers: list[Worker], grouped: dict[str, int | None]) -> None:
-        """Start anew with a pool's workers, in its order, each in its group or in none."""
+        """Rebuild from a pool's workers in pool order, each in its group or in none."""
         self.pool = workers[:]
-        self.places = {w.name: place for place, w in enumerate(workers)}
+        self.positions = {w.name: position for position, w in enumerate(workers)}
         for group in self.groups:
             group.clear()
-        for place, w in enumerate(workers):
-            if (group_of := grouped[w.name]) is not None:
-                self.groups[group_of].append((w.virtual_time, place, w.name, w))
+        for position, w in enumerate(workers):
+            if (worker_group := grouped[w.name]) is not None:
+                self.groups[worker_group].append((w.virtual_time, position, w.name, w))
         for group in self.groups:
             group.sort()
 
     def move(self, w: Worker, old: RotationKey | None, new: RotationKey) -> None:
-        """Put one worker where it belongs now: O(log n) comparisons."""
-        place = self.places.get(w.name)
-        if place is None:
+        """Move one worker from its old entry to its new one, with O(log n) comparisons."""
+        position = self.positions.get(w.name)
+        if position is None:
             return
         if old is not None and old[0] is not None:
             entries = self.groups[old[0]]
-            del entries[bisect_left(entries, (old[1], place, w.name, w))]
+            del entries[bisect_left(entries, (old[1], position, w.name, w))]
         if new[0] is not None:
-            insort(self.groups[new[0]], (new[1], place, w.name, w))
+            insort(self.groups[new[0]], (new[1], position, w.name, w))
 
     def __iter__(self) -> Iterator[list[Entry]]:
         return iter(self.groups)
 
 
 class Rotations:
-    """Those of all pools; a worker that serves every tier stands in each."""
+    """The rotations of all pools; a worker that serves every tier is in each."""
 
-    def __init__(self, pools: list[list[Worker]], group: Callable[[Worker], int | None]) -> None:
-        self.pools, self.group = pools, group
-        self.of = [Rotation() for _ in pools]
+    def __init__(self, pools: list[list[Worker]], group_of: Callable[[Worker], int | None]) -> None:
+        self.pools = pools
+        self.group_of = group_of
+        self.rotations = [Rotation() for _ in pools]
 
     def __getitem__(self, pool: int) -> Rotation:
-        return self.of[pool]
+        return self.rotations[pool]
 
-    def turns(self, group: int, first_of: int) -> Iterator[Worker]:
-        """Give a group's workers of all pools in the order of their turns, but the next of one pool first."""
-        first = self.of[first_of].groups[group][:1]
+    def in_order(self, group: int, first_pool: int) -> Iterator[Worker]:
+        """Yield a group's workers of all pools in rotation order, after the next one of ``first_pool``."""
+        first = self.rotations[first_pool].groups[group][:1]
         yield from (entry[-1] for entry in first)
-        for entry in merge(*(rotation.groups[group] for rotation in self.of)):
+        for entry in merge(*(rotation.groups[group] for rotation in self.rotations)):
             if entry not in first:
                 yield entry[-1]
 
     def move(self, w: Worker) -> None:
-        """Note that a worker's turn, or what it has of ours, has changed."""
-        old, new = w.rotation_key, (self.group(w), w.virtual_time)
+        """Update a worker's entries after its group or virtual time may have changed."""
+        old = w.rotation_key
+        new = (self.group_of(w), w.virtual_time)
         if old != new:
             w.rotation_key = new
-            for rotation in self.of:
+            for rotation in self.rotations:
                 rotation.move(w, old, new)
 
-    def settle(self, workers: Iterable[Worker]) -> None:
-        """Note that our part of many workers may have changed, with the pools as they were."""
+    def regroup(self, workers: Iterable[Worker]) -> None:
+        """Update the entries of many workers; the pools are unchanged."""
         for w in workers:
             self.move(w)
 
     def fill(self) -> None:
-        """Note that the pools, or all workers, may have changed."""
-        other = [not same(rotation.pool, pool) for rotation, pool in zip(self.of, self.pools, strict=True)]
-        self.settle(w for pool in self.pools for w in pool)
-        if not any(other):
+        """Update all entries after the pools or any workers may have changed."""
+        is_changed = [
+            not has_same_workers(rotation.pool, pool)
+            for rotation, pool in zip(self.rotations, self.pools, strict=True)
+        ]
+        self.regroup(w for pool in self.pools for w in pool)
+        if not any(is_changed):
             return
         grouped = {
             w.name: w.rotation_key[0] for pool in self.pools for w in pool if w.rotation_key is not None
         }
-        for rotation, pool, changed in zip(self.of, self.pools, other, strict=True):
+        for rotation, pool, changed in zip(self.rotations, self.pools, is_changed, strict=True):
             if changed:
                 rotation.fill(pool, grouped)
 
 
-def same(old: list[Worker], new: list[Worker]) -> bool:
-    """Say whether two pools are of the same workers, one by one: to compare what they hold takes long."""
+def has_same_workers(old: list[Worker], new: list[Worker]) -> bool:
+    """Return whether two pools hold the same workers, compared by identity, as equality is slow."""
     return len(old) == len(new) and all(map(is_, old, new))
--- a/elderstall/decisions/solver.py
+++ b/elderstall/decisions/solver.py
@@ -1,4 +1,4 @@
-"""The two cadences of the design: fractions at every interval, and pool sizes too at every tenth."""
+"""Periodic solving: redirected fractions at every interval, and pool sizes too at every tenth."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from elderstall.decisions.estimates import WorkEstimates
 from elderstall.decisions.hill_climb import climb
 from elderstall.decisions.pools import Pools
-from elderstall.decisions.queue_model import INTERVAL, utility
+from elderstall.decisions.queue_model import SOLVE_INTERVAL_MS, utility
 from elderstall.decisions.records import Job, Policy, build_load
 from elderstall.decisions.reserved_workers import spare_time
 
-RESIZE_EVERY = 10  # the design's 1:10 between the two cadences
-EVALUATIONS = 200  # of policies at most; the design's, where the CPU allows them
-RESIZE_EVALUATIONS = 500
-EVALUATIONS_PER_JOB = 5  # since the last solve: the rates of a light dispatcher are too rough for more
-EVALUATION_US = 2.0  # CPU of one evaluation as settings count it, measured and rounded up
-CPU_PART = 0.1  # of the CPU allowed may go to solving; the rest belongs to the jobs
-NEWEST_WEIGHT = 0.5  # of the newest interval in rates
+RESIZE_INTERVALS = 10  # solves of fractions per solve of sizes (see the design)
+MAX_EVALUATIONS = 200  # of policies, where the CPU allows them
+MAX_RESIZE_EVALUATIONS = 500
+MAX_EVALUATIONS_PER_JOB = 5  # smoothed jobs: with little traffic the rates are too rough for more
+EVALUATION_US = 2.0  # CPU of one evaluation, as counted by the settings, rounded up
+SOLVER_CPU_FRACTION = 0.1  # of the allowed CPU; the rest is for the jobs
+NEWEST_WEIGHT = 0.5  # of the newest interval in the smoothed load
 
-TierLoad = list[float]  # jobs, slot-work, work and objective, summed over jobs; work in ms
+TierLoad = list[float]  # jobs, and sums over them of slot-ms, work and latency objective, ms
 
 
 @dataclass(slots=True, frozen=True)
 class SolverSummary:
-    """What a solve of the sizes went out from."""
+    """Inputs of a solve of the pool sizes."""
 
     policy: Policy
-    total_slot_share: float  # of the fleet
-    pace: float  # ms that a ms of work takes
+    total_slot_share: float  # slots
+    ms_per_unit_work: float  # mean running time of a ms of work
 
 
 class Solver:
-    """Watches what each tier brings, and finds the policy of the pools."""
+    """Tracks the load of each tier, and searches for the policy of the pools."""
 
     def __init__(
         self,
@@ -46,12 +46,15 @@
         pools: Pools,
         estimates: WorkEstimates,
     ) -> None:
-        self.context, self.endpoints, self.capacity = context, endpoints, capacity
-        self.pools, self.estimates = pools, estimates
+        self.context = context
+        self.endpoints = endpoints
+        self.capacity = capacity
+        self.pools = pools
+        self.estimates = estimates
         self.reset()
 
     def reset(self) -> None:
-        """Start anew, as the number of tiers is another."""
+        """Reset after a change of the number of tiers."""
         tiers = self.context.mode.tiers
         self.arriving: list[TierLoad] = [[0.0] * 4 for _ in range(tiers)]  # in this interval
         self.load: list[TierLoad] = [[0.0] * 4 for _ in range(tiers)]  # smoothed
@@ -66,44 +69,45 @@
             tier[n] += amount
 
     def update_typical_work(self) -> None:
-        """Work out the typical job anew, and which jobs are urgent, which follows from it."""
+        """Update the work of a typical job, and which jobs are urgent, which depends on it."""
         self.estimates.update_typical()
         mean = self.estimates.mean
-        self.endpoints.reserved.adopt(
+        self.endpoints.reserved.set_spare_times(
             spare_time(job_class.latency_objective, job_class.stretch, mean[job_class.name])
             for job_class in self.context.settings.classes
         )
 
     def solve(self) -> SolverSummary | None:
-        """Take an interval; solve for the fractions, or the sizes too. Gives a summary at the latter."""
-        resize = self.intervals % RESIZE_EVERY == 0
+        """End an interval and solve for the fractions, and for the sizes if due; then return a summary."""
+        resize = self.intervals % RESIZE_INTERVALS == 0
         self.intervals += 1
         self._smooth()
         self.update_typical_work()
         fleet = self.endpoints.fleet
         capacity = sum(worker.capacity for worker in fleet) or 1.0
         work = sum(tier[1] for tier in self.load)
-        self.capacity.update_fleet_fraction(work, INTERVAL, capacity)
+        self.capacity.update_fleet_fraction(work, SOLVE_INTERVAL_MS, capacity)
         self.endpoints.refresh()
         if not (self.context.mode.polls_before_placing and self._size_by_work()):
-            self.pools.settle()
+            self.pools.regroup()
         self.capacity.update_totals(fleet, capacity)
-        total_slot_share, pace = self.capacity.total_slot_share, self.capacity.ms_per_unit
-        summary = SolverSummary(self.pools.policy, total_slot_share, pace) if resize else None
+        total_slot_share = self.capacity.total_slot_share
+        ms_per_unit = self.capacity.ms_per_unit
+        summary = SolverSummary(self.pools.policy, total_slot_share, ms_per_unit) if resize else None
         self._climb(resize=resize)
         return summary
 
     def _smooth(self) -> None:
-        """Take the interval's arrivals into the smoothed load."""
+        """Add the interval's arrivals to the smoothed load."""
         weight = 1.0 if self.intervals == 1 else NEWEST_WEIGHT
         for load, arrived in zip(self.load, self.arriving, strict=True):
             load[:] = [old + (new - old) * weight for old, new in zip(load, arrived, strict=True)]
             arrived[:] = [0.0] * 4
 
     def _size_by_work(self) -> bool:
-        """Size the pools by the work that each tier has brought: too little is seen here for the model.
+        """Size the pools by the work of each tier, and return whether the workers were divided again.
 
-        Says whether the workers were handed out anew.
+        In a large fleet one dispatcher sees too little traffic for the queue model.
         """
         new = (tier[1] for tier in self.load)
         self.total_work = [sum(pair) for pair in zip(self.total_work, new, strict=True)]
@@ -114,10 +118,11 @@
 
     def _climb(self, *, resize: bool) -> None:
         """Search for a better policy within the budget."""
-        tiers, budget = self.context.mode.tiers, self._budget(resize=resize)
+        tiers = self.context.mode.tiers
+        budget = self._budget(resize=resize)
         if tiers == 1 or not self.endpoints.pooled or budget < 2:
             return
-        scale = self.context.settings.dispatchers_per_worker / INTERVAL
+        scale = self.context.settings.dispatchers_per_worker / SOLVE_INTERVAL_MS
         load = build_load(self.load, scale, self.endpoints.pooled, self.endpoints.shared)
         policy = climb(
             self.pools.policy,
@@ -132,10 +137,12 @@
             self.pools.rescale()
 
     def _budget(self, *, resize: bool) -> int:
-        """Give how many policies may be evaluated, by the CPU that settings allow and the jobs seen."""
+        """Return how many policies may be evaluated, by the allowed CPU and the jobs seen."""
         settings = self.context.settings
         jobs = sum(tier[0] for tier in self.load)
-        limits = (settings.cpu_us_per_s * INTERVAL / 1000, settings.cpu_us_per_job * jobs)
+        limits = (settings.cpu_us_per_s * SOLVE_INTERVAL_MS / 1000, settings.cpu_us_per_job * jobs)
         allowed = min((limit for limit in limits if limit), default=math.inf)
-        most = min(RESIZE_EVALUATIONS if resize else EVALUATIONS, EVALUATIONS_PER_JOB * jobs)
-        return int(min(most, allowed * CPU_PART / EVALUATION_US))
+        max_evaluations = min(
+            MAX_RESIZE_EVALUATIONS if resize else MAX_EVALUATIONS, MAX_EVALUATIONS_PER_JOB * jobs
+        )
+        return int(min(max_evaluations, allowed * SOLVER_CPU_FRACTION / EVALUATION_US))
--- a/elderstall/decisions/urgency.py
+++ b/elderstall/decisions/urgency.py
@@ -1,4 +1,4 @@
-"""How long a job can wait."""
+"""Limits on how long a job can wait."""
 
 from __future__ import annotations
 
@@ -6,24 +6,25 @@
 from elderstall.decisions.context import DecisionContext
 from elderstall.decisions.records import Job
 
-USUAL_PART = 0.5  # most jobs of a heavy-tailed class are about half its mean
+TYPICAL_WORK_FRACTION = 0.5  # of the mean: most jobs of a heavy-tailed class have about half of it
 
 
 class Urgency:
-    """What time and settings leave of a job's wait."""
+    """Computes the waiting time that a job's deadline and latency objective allow."""
 
     def __init__(self, context: DecisionContext, capacity: CapacityModel) -> None:
-        self.context, self.capacity = context, capacity
+        self.context = context
+        self.capacity = capacity
 
     def patience(self, job: Job) -> float:
-        """Give the time, ms from arrival, after which a queued job of usual length would end late."""
+        """Return the time, ms from arrival, after which a queued job of typical work would end late."""
         stretch = job.cls.stretch - self.capacity.ms_per_unit
-        return job.cls.latency_objective + stretch * job.work * USUAL_PART
+        return job.cls.latency_objective + stretch * job.work * TYPICAL_WORK_FRACTION
 
     def out_of_time(self, job: Job) -> bool:
-        """Say whether a queued job can earn nothing any more."""
+        """Return whether a queued job can no longer be completed in useful time."""
         limit = job.cls.deadline if job.cls.late_share else self.patience(job)
-        # Guards its one answer until the next review, and against work for a client that has gone.
+        # Leaves time to answer the job at the next review, and avoids work for disconnected clients.
         until_review = self.context.mode.review_interval
         latest = job.deadline - until_review - 2 * self.context.settings.tick - job.work
         return self.context.now >= min(latest, job.arrived + limit)
--- a/elderstall/limits/__init__.py
+++ b/elderstall/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on what each tenant may take, without I/O; times are handed in."""
+"""Decisions on tenants' quotas. Nothing here does I/O; times are passed in."""
--- a/elderstall/limits/shares.py
+++ b/elderstall/limits/shares.py
@@ -1,14 +1,15 @@
-"""How far a tenant's jobs are within its share, as one of many dispatchers can tell.
-
-A tenant's share is a rate over all dispatchers. Traffic is spread unevenly, so a dispatcher with thrice the
-mean traffic sees three times its even part of each share although every tenant may be well within. It does
-not know the fleet's traffic; it knows its own, and how that is made up. So its part of a share is its even
-part, or the tenant's part of all shares in its own traffic, whichever is more: the fleet is taken to carry no
-more than the shares, and a tenant to exceed its own only where it crowds out the others.
-
-Which of a tenant's jobs are the ones beyond its share nobody can tell: each counts for what it is worth on
-average, by the part that is within. Where dispatchers are few, each meters an even part of a share by a
-token bucket, job by job.
+"""Estimates how far a tenant's jobs are within its quota, as seen by one of several dispatchers.
+
+A quota is a rate over all dispatchers. Traffic is spread unevenly, so a dispatcher with three times the mean
+traffic sees three times the even share of each quota although every tenant may be well within it. A
+dispatcher doesn't know the traffic of the fleet, only its own traffic and how that is divided among tenants.
+So its share of a quota is the even share, or the tenant's share of the sum of all quotas applied to the
+traffic of this dispatcher, whichever is more: the fleet is assumed to carry no more than the sum of the
+quotas, and a tenant to exceed its own quota only where it displaces the others.
+
+It can't be told which of a tenant's jobs are the ones beyond its quota: each counts with the average weight,
+by the fraction that is within the quota. Where dispatchers are few, each meters an even share of a quota job
+by job with a token bucket.
 """
 
 from __future__ import annotations
@@ -19,22 +20,23 @@
 
 from elderstall.interface import Tenant
 
-SEEN_FOR = 10_000.0  # ms after which what was seen counts for a third: some jobs of each at a light one
-REBASE_AFTER = 30 * SEEN_FOR  # ms: weights up to e to the 30th, of which rounding loses nothing that counts
-MOST_EXPONENT = 700.0  # that a float can take
-CHANCE = 5.0  # jobs of a tenant beyond its part that come by chance: at a light dispatcher they do
+COUNT_DECAY_MS = 10_000.0  # counts fall to 1/e in it; long enough to see several jobs of a tenant at low load
+REBASE_AFTER_MS = 30 * COUNT_DECAY_MS  # weights grow up to e to the 30th: their rounding errors don't matter
+MAX_EXPONENT = 700.0  # above it the exponential doesn't fit a float
+CHANCE_EXCESS_JOBS = 5.0  # above its share: a tenant within its quota has so many by chance at low load
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket, full at first."""
 
     tokens: float = math.inf
-    at: float = 0.0
+    filled_at: float = 0.0  # ms
 
-    def take(self, now: float, rate: float, most: float) -> bool:
-        """Fill it at ``rate`` a ms up to ``most``, and take one token if it is there."""
-        self.tokens, self.at = min(most, self.tokens + (now - self.at) * rate), now
+    def take(self, now: float, rate: float, capacity: float) -> bool:
+        """Refill at ``rate`` tokens a ms up to ``capacity``, and return whether a token was there to take."""
+        self.tokens = min(capacity, self.tokens + (now - self.filled_at) * rate)
+        self.filled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -42,44 +44,54 @@
 
 
 class QuotaTracker:
-    """What was seen of each tenant, against its share."""
+    """Counts each tenant's jobs and compares them with its quota."""
 
     def __init__(self) -> None:
-        self.quotas, self.dispatchers, self.many = dict[str, float](), 1, False  # jobs a ms over all
-        self.all_quotas = 0.0
-        self.tokens = dict[str, Bucket]()  # where dispatchers are few: each has an even part of a share
-        # Where they are many: jobs, each weighing more by e for every SEEN_FOR after ``base`` that it came
-        # later, instead of all before it fading. So a job touches its own tenant's figure alone.
-        self.seen, self.all_seen, self.base = dict[str, float](), 0.0, 0.0
-
-    def adopt(self, tenants: Iterable[Tenant], dispatchers: int, many: bool) -> None:
-        """Take settings; what was seen of tenants that are still there stays."""
-        self.quotas, self.dispatchers = {t.name: t.quota_per_s / 1000 for t in tenants}, dispatchers
-        self.many = many
-        self.tokens = {name: self.tokens.get(name, Bucket()) for name in self.quotas}
-        self.all_quotas = sum(self.quotas.values())
-        self.seen = {name: self.seen.get(name, 0.0) for name in self.quotas}
-        self.all_seen = sum(self.seen.values())
-
-    def within(self, now: float, tenant: str | None) -> float:
-        """Count a job, and give the part of its tenant's jobs that is within its share."""
+        self.quotas = dict[str, float]()  # jobs a ms over all dispatchers
+        self.dispatchers = 1
+        self.large_fleet = False
+        self.total_quota = 0.0
+        self.tokens = dict[str, TokenBucket]()  # in a small fleet: an even share of a quota each
+        # In a large fleet: decayed counts of jobs. Instead of decaying all earlier jobs, each new one weighs
+        # more by a factor of e for every COUNT_DECAY_MS after ``base_time``. So a job changes only the count
+        # of its own tenant.
+        self.counts = dict[str, float]()
+        self.total_count = 0.0
+        self.base_time = 0.0  # ms
+
+    def change_settings(self, tenants: Iterable[Tenant], dispatchers: int, large_fleet: bool) -> None:
+        """Replace the settings; counts of tenants that remain are kept."""
+        self.quotas = {t.name: t.quota_per_s / 1000 for t in tenants}
+        self.dispatchers = dispatchers
+        self.large_fleet = large_fleet
+        self.tokens = {name: self.tokens.get(name, TokenBucket()) for name in self.quotas}
+        self.total_quota = sum(self.quotas.values())
+        self.counts = {name: self.counts.get(name, 0.0) for name in self.quotas}
+        self.total_count = sum(self.counts.values())
+
+    def count_job(self, now: float, tenant: str | None) -> float:
+        """Count a job, and return the fraction of its tenant's jobs that is within the quota."""
         if tenant is None or tenant not in self.quotas:
             return 1.0
         quota = self.quotas[tenant]
-        if not self.many:
-            even = quota / self.dispatchers
-            return float(self.tokens[tenant].take(now, even, max(1.0, even * 1000)))
-        if now - self.base > REBASE_AFTER:
+        if not self.large_fleet:
+            even_share = quota / self.dispatchers
+            return float(self.tokens[tenant].take(now, even_share, max(1.0, even_share * 1000)))
+        if now - self.base_time > REBASE_AFTER_MS:
             self.rebase(now)
-        weight = math.exp((now - self.base) / SEEN_FOR)
-        self.seen[tenant] += weight
-        self.all_seen += weight
-        ours = self.all_seen / weight * quota / self.all_quotas if self.all_quotas else 0.0
-        count = self.seen[tenant] / weight
-        return min(1.0, (max(quota * SEEN_FOR / self.dispatchers, ours) + CHANCE) / count)
+        weight = math.exp((now - self.base_time) / COUNT_DECAY_MS)
+        self.counts[tenant] += weight
+        self.total_count += weight
+        traffic_share = self.total_count / weight * quota / self.total_quota if self.total_quota else 0.0
+        count = self.counts[tenant] / weight
+        return min(
+            1.0,
+            (max(quota * COUNT_DECAY_MS / self.dispatchers, traffic_share) + CHANCE_EXCESS_JOBS) / count,
+        )
 
     def rebase(self, now: float) -> None:
-        """Let what was seen weigh as it does now: weights would grow without a bound."""
-        fade = math.exp(max(-MOST_EXPONENT, (self.base - now) / SEEN_FOR))
-        self.seen = {name: count * fade for name, count in self.seen.items()}
-        self.all_seen, self.base = sum(self.seen.values()), now
+        """Move the base time to now and rescale the counts, whose weights would grow without bound."""
+        fade = math.exp(max(-MAX_EXPONENT, (self.base_time - now) / COUNT_DECAY_MS))
+        self.counts = {name: count * fade for name, count in self.counts.items()}
+        self.total_count = sum(self.counts.values())
+        self.base_time = now
--- a/elderstall/recovery/__init__.py
+++ b/elderstall/recovery/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions on coming back from failure: when to ask again, and how a fleet keeps from asking all at once.
+"""Decisions on recovery from failures: when to retry, and how a fleet avoids retrying all at once.
 
-Nothing here does I/O or reads a clock; times and random numbers are handed in. The decision module and the
-wire use these rooms; they import nothing of either.
+Nothing here does I/O or reads a clock; times and random numbers are passed in. The decisions and the network
+code import this package; it imports neither.
 """
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 from elderstall import Dispatcher
 from elderstall.decisions.capacity import OWNED_WORKERS
 from elderstall.decisions.context import TIMER_POLL_TIMEOUT
-from elderstall.decisions.polling import POLL_ROUNDS, POLL_TIMEOUT, POLLED_AT_ONCE
+from elderstall.decisions.polling import MAX_POLL_ROUNDS, POLL_TIMEOUT_MS, WORKERS_PER_POLL
 from elderstall.interface import (
     Actions,
     Effect,
@@ -84,7 +84,7 @@
         """Guards against jobs sent blind to where other dispatchers' jobs wait."""
         d = module()
         names = asked(d.handle(10_001.0, JobArrived(1, "order", 20_000.0)))
-        self.assertEqual(POLLED_AT_ONCE, len(names))
+        self.assertEqual(WORKERS_PER_POLL, len(names))
         for name, free in zip(names[:-1], (0.0, 2.0), strict=True):
             self.assertEqual([], sent(d.handle(10_002.0, LoadPolled(name, Ending.SERVED, (free,)))))
         self.assertEqual([names[1]], sent(d.handle(10_003.0, LoadPolled(names[2], Ending.SERVED, (1.0,)))))
@@ -93,7 +93,7 @@
         d = module()
         names = asked(d.handle(10_001.0, JobArrived(1, "order", 20_000.0)))
         out = told(d, 10_002.0, names, 0.0)
-        self.assertEqual(POLLED_AT_ONCE * (POLL_ROUNDS - 1), len(set(asked(out))))
+        self.assertEqual(WORKERS_PER_POLL * (MAX_POLL_ROUNDS - 1), len(set(asked(out))))
         self.assertEqual(1, len(sent(out)))
 
     def test_a_silent_worker_delays_a_job_by_no_more_than_the_wait(self) -> None:
@@ -101,9 +101,11 @@
         d = module()
         actions = d.handle(10_001.0, JobArrived(1, "fetch", 5_000.0))
         names = asked(actions)
-        self.assertIn(SetTimer(TIMER_POLL_TIMEOUT, POLL_TIMEOUT), actions)
+        self.assertIn(SetTimer(TIMER_POLL_TIMEOUT, POLL_TIMEOUT_MS), actions)
         d.handle(10_002.0, LoadPolled(names[0], Ending.SERVED, (1.0,)))
-        self.assertEqual([names[0]], sent(d.handle(10_001.0 + POLL_TIMEOUT, TimerFired(TIMER_POLL_TIMEOUT))))
+        self.assertEqual(
+            [names[0]], sent(d.handle(10_001.0 + POLL_TIMEOUT_MS, TimerFired(TIMER_POLL_TIMEOUT)))
+        )
         late = d.handle(10_251.0, LoadPolled(names[1], Ending.TIMED_OUT))
         self.assertEqual([], sent(late))
         self.assertIn(names[1], d.unavailable(10_252.0))
@@ -112,8 +114,8 @@
         d = module()
         d.handle(10_001.0, JobArrived(1, "order", 20_000.0))
         now, out = 10_001.0, 0
-        for _ in range(POLL_ROUNDS + 1):
-            now += POLL_TIMEOUT
+        for _ in range(MAX_POLL_ROUNDS + 1):
+            now += POLL_TIMEOUT_MS
             out += len(sent(d.handle(now, TimerFired(TIMER_POLL_TIMEOUT))))
         self.assertEqual(1, out)
 
@@ -178,7 +180,7 @@
         self.assertTrue(20 <= len(refused) <= 55, len(refused))  # most, yet the class is not shut out
         self.assertTrue(all(a.retry_after >= 200.0 for a in refused))
         self.assertTrue(
-            all(len(asked(some)) <= POLLED_AT_ONCE for some in actions)
+            all(len(asked(some)) <= WORKERS_PER_POLL for some in actions)
         )  # it keeps an eye on the fleet
         orders = [d.handle(now, JobArrived(200 + n, "order", 20_000.0, work_hint=300.0)) for n in range(20)]
         self.assertFalse([a for some in orders for a in some if isinstance(a, RejectJob)])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -237,7 +237,7 @@
     def cold(self, worker: str) -> bool:
         module = self.app.engine.decisions
         module.context.now = self.app.deadlines.now()
-        return module.slow_start.binds(module.endpoints.workers[worker])
+        return module.slow_start.applies(module.endpoints.workers[worker])
 
     def test_it_is_cold_for_the_settings_span_and_no_longer(self) -> None:
         span = RULES["cold"] + RULES["overload_for"]
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -561,7 +561,7 @@
         """Have a job sent."""
         worker = self.module.endpoints.workers[COLD]
         worker.slot_limit = 8
-        self.module.pools.moved(worker)
+        self.module.pools.update_rotation(worker)
         actions = self.module.handle(self.now, JobArrived(job, "build", 15_000.0, work_hint=300.0))
         self.assertTrue(any(isinstance(action, SendAttempt) for action in actions))
 
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall.decisions.load_shedding import KEPT, REJECTED_MOST, LoadShedding
+from elderstall.decisions.load_shedding import MAX_REJECTED_FRACTION, MIN_ADMITTED_FRACTION, LoadShedding
 from elderstall.interface import (
     AttemptEnded,
     Effect,
@@ -28,7 +28,7 @@
     Started,
     Tenant,
 )
-from elderstall.limits.shares import CHANCE, SEEN_FOR, QuotaTracker
+from elderstall.limits.shares import CHANCE_EXCESS_JOBS, COUNT_DECAY_MS, QuotaTracker
 
 WORTHS = st.lists(st.floats(0.01, 1_000.0), min_size=1, max_size=8)
 
@@ -36,7 +36,7 @@
 def pressed(worths: list[float], full: float) -> LoadShedding:
     """Give the pressure of a fleet of which a part is full."""
     p = LoadShedding()
-    p.adopt(worths)
+    p.set_weights(worths)
     p.full = full
     return p
 
@@ -56,8 +56,10 @@
             p.rejection_probability(over * min(worths)), chances[0]
         )  # work beyond shares goes first
         for chance in chances:  # each level keeps its part of what the best served one is given
-            self.assertGreaterEqual(1.0 - chance, min(KEPT, 1.0 - REJECTED_MOST) - 1e-9)
-            self.assertGreaterEqual(1.0 - chance, KEPT * (1.0 - chances[-1]) - 1e-9)
+            self.assertGreaterEqual(
+                1.0 - chance, min(MIN_ADMITTED_FRACTION, 1.0 - MAX_REJECTED_FRACTION) - 1e-9
+            )
+            self.assertGreaterEqual(1.0 - chance, MIN_ADMITTED_FRACTION * (1.0 - chances[-1]) - 1e-9)
 
     @given(WORTHS, st.floats(0.0, 1.0), st.randoms())
     def test_the_order_in_which_classes_are_named_decides_nothing(
@@ -108,7 +110,7 @@
         rng = random.Random(seed)
         fleet = [LoadShedding() for _ in range(dispatchers)]
         for p in fleet:
-            p.adopt(priority_weight for priority_weight, _ in classes)
+            p.set_weights(priority_weight for priority_weight, _ in classes)
         whole = sum(part for _, part in classes)
         taken, full, now = [0.0] * len(classes), 0.0, 0.0
         for step in range(400):
@@ -125,8 +127,10 @@
                 taken = [t + c * min(1.0, 1.0 / let) / 300 for t, c in zip(taken, chances, strict=True)]
         mean = sum(t * part for t, (_, part) in zip(taken, classes, strict=True)) / whole
         for (priority_weight, _), share in zip(classes, taken, strict=True):
-            self.assertGreaterEqual(share, 0.9 * KEPT * min(1.0, 1.0 / load), (priority_weight, taken))
-            self.assertGreaterEqual(share, 0.9 * KEPT * mean, (priority_weight, taken))
+            self.assertGreaterEqual(
+                share, 0.9 * MIN_ADMITTED_FRACTION * min(1.0, 1.0 / load), (priority_weight, taken)
+            )
+            self.assertGreaterEqual(share, 0.9 * MIN_ADMITTED_FRACTION * mean, (priority_weight, taken))
         order = [t for _, t in sorted(zip((w for w, _ in classes), taken, strict=True))]
         self.assertTrue(all(a <= b + 1e-6 for a, b in zip(order, order[1:], strict=False)), order)
 
@@ -147,33 +151,36 @@
         """Every tenant at nine tenths of its share, one dispatcher at `busy` times the mean."""
         rng, shares, now = random.Random(seed), QuotaTracker(), 0.0
         quotas = {f"t{n}": part * 2.0 for n, part in enumerate(parts)}  # jobs a ms: 2,000 a second at most
-        shares.adopt([Tenant(name, 1_000.0 * q) for name, q in quotas.items()], dispatchers, True)
+        shares.change_settings([Tenant(name, 1_000.0 * q) for name, q in quotas.items()], dispatchers, True)
         rate = 0.9 * sum(quotas.values()) * busy / dispatchers
         within = []
         for _ in range(600):
             now += rng.expovariate(rate)
             tenant = rng.choices(list(quotas), list(quotas.values()))[0]
-            within.append(shares.within(now, tenant))
+            within.append(shares.count_job(now, tenant))
         self.assertGreater(sum(within) / len(within), 0.9)
         self.assertGreater(min(within), 0.5)
 
     def test_a_tenant_that_crowds_out_others_is_beyond_its_share_by_what_it_brings_more(self) -> None:
         rng, shares, now = random.Random(1), QuotaTracker(), 0.0
-        shares.adopt([Tenant("quiet", 100.0), Tenant("loud", 100.0)], 100, True)
+        shares.change_settings([Tenant("quiet", 100.0), Tenant("loud", 100.0)], 100, True)
         within: dict[str, list[float]] = {"quiet": [], "loud": []}
         for _ in range(4_000):  # ten times the even part of all shares comes here, four fifths of it of one
             now += rng.expovariate(10 * 0.2 / 100)
             tenant = "loud" if rng.random() < 0.8 else "quiet"
-            within[tenant].append(shares.within(now, tenant))
+            within[tenant].append(shares.count_job(now, tenant))
         self.assertEqual(1.0, min(within["quiet"]))
         self.assertAlmostEqual(0.5 / 0.8, sum(within["loud"][-500:]) / 500, delta=0.08)
 
     @given(st.floats(0.0, 1e6), st.integers(1, 1_024))
     def test_a_few_jobs_by_chance_are_within(self, at: float, dispatchers: int) -> None:
         shares = QuotaTracker()
-        shares.adopt([Tenant("t", 0.0), Tenant("u", 0.0)], dispatchers, True)
-        self.assertEqual([1.0] * int(CHANCE), [shares.within(at, "t") for _ in range(int(CHANCE))])
-        self.assertEqual(1.0, shares.within(at, None))
+        shares.change_settings([Tenant("t", 0.0), Tenant("u", 0.0)], dispatchers, True)
+        self.assertEqual(
+            [1.0] * int(CHANCE_EXCESS_JOBS),
+            [shares.count_job(at, "t") for _ in range(int(CHANCE_EXCESS_JOBS))],
+        )
+        self.assertEqual(1.0, shares.count_job(at, None))
 
     def test_purchases_at_a_busy_dispatcher_of_a_full_fleet_are_not_refused_as_beyond_shares(self) -> None:
         """The cause: three times the mean traffic, every tenant within its share, all workers full."""
@@ -222,26 +229,28 @@
     ) -> None:
         tenants = [Tenant(f"t{n}", 0.5 + n) for n in range(4)]
         shares = QuotaTracker()
-        shares.adopt(tenants, 200, many=True)
+        shares.change_settings(tenants, 200, large_fleet=True)
         seen, at = [0.0] * 4, now
         quotas = [t.quota_per_s / 1000 for t in tenants]
         for tenant, gap in jobs:
             now += gap
-            seen = [count * math.exp((at - now) / SEEN_FOR) for count in seen]
+            seen = [count * math.exp((at - now) / COUNT_DECAY_MS) for count in seen]
             at = now
             seen[tenant] += 1.0
             ours = sum(seen) * quotas[tenant] / sum(quotas)
-            within = min(1.0, (max(quotas[tenant] * SEEN_FOR / 200, ours) + CHANCE) / seen[tenant])
-            self.assertAlmostEqual(within, shares.within(now, f"t{tenant}"), places=9)
-            self.assertLess(shares.all_seen, 1e16)
+            within = min(
+                1.0, (max(quotas[tenant] * COUNT_DECAY_MS / 200, ours) + CHANCE_EXCESS_JOBS) / seen[tenant]
+            )
+            self.assertAlmostEqual(within, shares.count_job(now, f"t{tenant}"), places=9)
+            self.assertLess(shares.total_count, 1e16)
 
     def test_a_job_looks_at_no_other_tenant(self) -> None:
         shares = QuotaTracker()
-        shares.adopt([Tenant(f"t{n}", 1.0) for n in range(1_000)], 200, many=True)
-        shares.within(1.0, "t0")
-        before = dict(shares.seen)
-        shares.within(5_000.0, "t1")
-        self.assertEqual({"t1"}, {name for name, count in shares.seen.items() if count != before[name]})
+        shares.change_settings([Tenant(f"t{n}", 1.0) for n in range(1_000)], 200, large_fleet=True)
+        shares.count_job(1.0, "t0")
+        before = dict(shares.counts)
+        shares.count_job(5_000.0, "t1")
+        self.assertEqual({"t1"}, {name for name, count in shares.counts.items() if count != before[name]})
 
 
 if __name__ == "__main__":
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -85,17 +85,17 @@
     @given(st.floats(0.0, 1.0))
     def test_the_lane_is_sized_by_the_urgent_work_seen(self, part: float) -> None:
         reserved, rng = ReservedWorkers(), random.Random(1)
-        reserved.adopt([200.0])
+        reserved.set_spare_times([200.0])
         fleet = [Worker.from_endpoint(Endpoint(f"worker-{n}")) for n in range(2_000)]
         for n in range(5_000):
             cls = JobClass("c", 1.0, 100.0 if rng.random() < part else 9_000.0, 60_000.0, stretch=1.0)
             reserved.candidates(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
-        reserved.fill(fleet)
+        reserved.select(fleet)
         cls = JobClass("long", 1.0, 9_000.0, 60_000.0, stretch=1.0)
         long = Job(1, cls, 1.0, 0, 1, 5_000.0, None, 0.0, 60_000.0)
         kept = sum(reserved.excludes(w, long) for w in fleet) / len(fleet)
         self.assertAlmostEqual(
-            min(reserved_workers.SHARE_MOST, part / reserved_workers.TARGET_LOAD), kept, delta=0.04
+            min(reserved_workers.MAX_RESERVED_FRACTION, part / reserved_workers.TARGET_LOAD), kept, delta=0.04
         )
 
     def test_each_asks_a_few_of_the_lane_and_all_together_ask_it_evenly(self) -> None:
@@ -104,8 +104,8 @@
             w.name for rank in range(200) for w in module(200, rank, names).endpoints.reserved.workers
         )
         self.assertEqual(lane_of(names), set(asked))
-        self.assertEqual(200 * reserved_workers.POLLED_MOST, sum(asked.values()))
-        mean = 200 * reserved_workers.POLLED_MOST / len(asked)
+        self.assertEqual(200 * reserved_workers.MAX_POLLED_RESERVED, sum(asked.values()))
+        mean = 200 * reserved_workers.MAX_POLLED_RESERVED / len(asked)
         self.assertLess(max(asked.values()), 1.6 * mean)
         self.assertGreater(min(asked.values()), 0.4 * mean)
 
@@ -143,8 +143,8 @@
         self, spares: list[float], latency_objective: float, stretch: float, work: float
     ) -> None:
         reserved, w = ReservedWorkers(), Worker("w", "k", None, 0, None, (0, "w"))
-        reserved.adopt(spares)
-        reserved.fill([w])
+        reserved.set_spare_times(spares)
+        reserved.select([w])
         cls = JobClass("c", 1.0, latency_objective, 60_000.0, stretch=stretch)
         job = Job(1, cls, 1.0, 0, 1, work, None, 0.0, 60_000.0)
         if reserved.excludes(w, job):
@@ -156,7 +156,7 @@
     @given(st.floats(0.0, 1.0), st.integers(0, 2**32))
     def test_no_more_urgent_work_goes_to_the_lane_first_than_it_bears(self, part: float, seed: int) -> None:
         reserved, rng, went, total = ReservedWorkers(), random.Random(seed), 0.0, 0.0
-        reserved.adopt([200.0])
+        reserved.set_spare_times([200.0])
         reserved.workers = [Worker("w", "k", None, 0, None, (0, "w"))]
         for n in range(4_000):
             urgent = rng.random() < part
@@ -165,7 +165,9 @@
             asks = bool(reserved.candidates(job, rng))
             self.assertTrue(urgent or not asks)
             went, total = went + asks * (n >= 1_000), total + (n >= 1_000)
-        self.assertLessEqual(went / total, reserved_workers.TARGET_LOAD * reserved_workers.SHARE_MOST + 0.05)
+        self.assertLessEqual(
+            went / total, reserved_workers.TARGET_LOAD * reserved_workers.MAX_RESERVED_FRACTION + 0.05
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -26,15 +26,15 @@
 )
 from elderstall.recovery import listing
 from elderstall.recovery.listing import (
-    AGAIN_EACH,
-    AGAIN_LEAST,
-    BROKEN_MOST,
-    CROWDED_AFTER,
-    LARGE_JITTER,
-    LIVED_LEAST,
-    MANY,
-    RETRY_MOST,
-    SPREAD_EACH,
+    LARGE_FLEET_MIN_JITTER,
+    MAX_BROKEN_WATCH_RETRY_MS,
+    MAX_RETRY_MS,
+    MAX_SMALL_FLEET,
+    MIN_RETRY_MS,
+    MIN_WATCH_LIFETIME_MS,
+    OVERLOADED_AFTER_MS,
+    RETRY_PER_DISPATCHER_MS,
+    SPREAD_PER_DISPATCHER_MS,
     ListCalls,
 )
 
@@ -65,14 +65,14 @@
     """Up to sixteen dispatchers call as they did before."""
 
     def test_the_first_call_goes_at_once(self) -> None:
-        self.assertEqual(1, follows(started(module(MANY))))
+        self.assertEqual(1, follows(started(module(MAX_SMALL_FLEET))))
 
     def test_failed_calls_double_from_250_ms_to_a_quarter_of_ask_within(self) -> None:
         calls, rng, old = ListCalls(8, 10_000.0), random.Random(3), random.Random(3)
         waited = 0.0
         for _ in range(8):
             waited = min(max(250.0, waited * 2), 2_500.0)  # the rule of the program before
-            self.assertEqual(waited * old.uniform(0.6, 1.0), calls.fail(rng, 0.0))
+            self.assertEqual(waited * old.uniform(0.6, 1.0), calls.delay_after_failure(rng, 0.0))
 
 
 class Large(unittest.TestCase):
@@ -83,7 +83,7 @@
         actions = started(d)
         self.assertEqual(0, follows(actions))
         (delay,) = asks_in(actions)
-        self.assertLessEqual(delay, min(SPREAD_EACH * 40, 2_500.0))
+        self.assertLessEqual(delay, min(SPREAD_PER_DISPATCHER_MS * 40, 2_500.0))
         self.assertEqual(1, follows(d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))))
 
     def test_a_timer_that_fires_a_hair_early_calls_all_the_same(self) -> None:
@@ -99,33 +99,33 @@
         d.handle(delay + 5, EndpointListUpdate(ListScope.CHANGES, ()))
         self.assertEqual(0, follows(d.handle(delay + 2_500.0, TimerFired(TIMER_POLL_ENDPOINTS))))
 
-    @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
+    @given(st.integers(MAX_SMALL_FLEET + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_refused_at_once_waits_double_up_to_what_the_6_s_leave(
         self, n: int, seed: int, rounds: int
     ) -> None:
         """A discovery that is down costs nobody anything: its return has to be met well within 6 s."""
         calls, rng = ListCalls(n, 10_000.0), random.Random(seed)
         for k in range(1, rounds + 1):
-            calls.call(1_000.0 * k)
-            delay = calls.fail(rng, 1_000.0 * k + CROWDED_AFTER - 1)
-            self.assertEqual(min(AGAIN_EACH * n * 2 ** (k - 1), RETRY_MOST), calls.waited)
-            self.assertGreaterEqual(delay, max(AGAIN_LEAST, LARGE_JITTER * calls.waited))
-            self.assertLessEqual(delay, max(AGAIN_LEAST, calls.waited))
-        self.assertFalse(calls.answered(0.0))  # no call is out: a list known before answers none
-
-    @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
+            calls.record_call(1_000.0 * k)
+            delay = calls.delay_after_failure(rng, 1_000.0 * k + OVERLOADED_AFTER_MS - 1)
+            self.assertEqual(min(RETRY_PER_DISPATCHER_MS * n * 2 ** (k - 1), MAX_RETRY_MS), calls.retry_bound)
+            self.assertGreaterEqual(delay, max(MIN_RETRY_MS, LARGE_FLEET_MIN_JITTER * calls.retry_bound))
+            self.assertLessEqual(delay, max(MIN_RETRY_MS, calls.retry_bound))
+        self.assertFalse(calls.record_answer(0.0))  # no call is out: a list known before answers none
+
+    @given(st.integers(MAX_SMALL_FLEET + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_in_a_crowded_queue_the_first_wait_keeps_to_the_6_s_and_the_next_double(
         self, n: int, seed: int, rounds: int
     ) -> None:
         calls, rng = ListCalls(n, 10_000.0), random.Random(seed)
         for k in range(1, rounds + 1):
-            calls.call(10_000.0 * k)
-            delay = calls.fail(rng, 10_000.0 * k + CROWDED_AFTER)
-            self.assertEqual(min(RETRY_MOST * 2 ** (k - 1), 10_000.0), calls.waited)
-            self.assertTrue(AGAIN_LEAST <= delay <= max(AGAIN_LEAST, calls.waited))
-        calls.call(0.0)
-        calls.answered(0.0)
-        self.assertEqual(0, calls.crowded)
+            calls.record_call(10_000.0 * k)
+            delay = calls.delay_after_failure(rng, 10_000.0 * k + OVERLOADED_AFTER_MS)
+            self.assertEqual(min(MAX_RETRY_MS * 2 ** (k - 1), 10_000.0), calls.retry_bound)
+            self.assertTrue(MIN_RETRY_MS <= delay <= max(MIN_RETRY_MS, calls.retry_bound))
+        calls.record_call(0.0)
+        calls.record_answer(0.0)
+        self.assertEqual(0, calls.overload_failures)
 
     @given(st.integers(1, 1_024), st.floats(1.0, 1e6), st.integers(0, 2**32))
     def test_no_first_failure_of_any_fleet_puts_the_next_call_off_past_the_6_s(
@@ -134,11 +134,15 @@
         rng = random.Random(seed)
         for waited_for in (0.0, 3_000.0):
             calls = ListCalls(n, poll_interval)
-            self.assertLessEqual(calls.first(rng), RETRY_MOST)
-            calls.call(0.0)
-            self.assertLessEqual(calls.fail(rng, waited_for), RETRY_MOST)
-
-    @given(st.integers(MANY + 1, 1_024), st.integers(0, 2**32), st.floats(LIVED_LEAST + 1, 100_000.0))
+            self.assertLessEqual(calls.first_call_delay(rng), MAX_RETRY_MS)
+            calls.record_call(0.0)
+            self.assertLessEqual(calls.delay_after_failure(rng, waited_for), MAX_RETRY_MS)
+
+    @given(
+        st.integers(MAX_SMALL_FLEET + 1, 1_024),
+        st.integers(0, 2**32),
+        st.floats(MIN_WATCH_LIFETIME_MS + 1, 100_000.0),
+    )
     def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(
         self, n: int, seed: int, lived: float
     ) -> None:
@@ -148,10 +152,10 @@
         d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
         d.handle(delay + 5.0, EndpointListUpdate(ListScope.CHANGES, ()))
         (again,) = asks_in(d.handle(delay + 5.0 + lived, EndpointListUpdate(ListScope.FAILED)))
-        self.assertTrue(AGAIN_LEAST <= again <= BROKEN_MOST, again)
+        self.assertTrue(MIN_RETRY_MS <= again <= MAX_BROKEN_WATCH_RETRY_MS, again)
         self.assertEqual(1, follows(d.handle(delay + 5.0 + lived + again, TimerFired(TIMER_POLL_ENDPOINTS))))
 
-    @given(st.integers(MANY + 1, 1_024), st.integers(0, 2**32), st.booleans())
+    @given(st.integers(MAX_SMALL_FLEET + 1, 1_024), st.integers(0, 2**32), st.booleans())
     def test_a_call_that_falls_silent_before_its_first_line_is_made_anew_soon(
         self, n: int, seed: int, again: bool
     ) -> None:
@@ -162,23 +166,23 @@
         for _ in range(1 + again):
             self.assertEqual(1, follows(d.handle(now, TimerFired(TIMER_POLL_ENDPOINTS))))
             (delay,) = asks_in(d.handle(now + 4_000.0, EndpointListUpdate(ListScope.SILENT)))
-            self.assertTrue(AGAIN_LEAST <= delay <= 2_000.0, delay)
+            self.assertTrue(MIN_RETRY_MS <= delay <= 2_000.0, delay)
             now += 4_000.0 + delay
 
-    @given(st.integers(MANY + 1, 1_024), st.floats(0.0, LIVED_LEAST - 1.0))
+    @given(st.integers(MAX_SMALL_FLEET + 1, 1_024), st.floats(0.0, MIN_WATCH_LIFETIME_MS - 1.0))
     def test_watches_that_end_at_once_wait_as_failed_calls_do(self, n: int, lived: float) -> None:
         calls, rng, now = ListCalls(n, 10_000.0), random.Random(1), 0.0
         for k in range(3):
-            calls.call(now)
-            calls.answered(now)
-            calls.fail(rng, now := now + lived)
-            self.assertEqual(min(AGAIN_EACH * n * 2**k, RETRY_MOST), calls.waited)
+            calls.record_call(now)
+            calls.record_answer(now)
+            calls.delay_after_failure(rng, now := now + lived)
+            self.assertEqual(min(RETRY_PER_DISPATCHER_MS * n * 2**k, MAX_RETRY_MS), calls.retry_bound)
 
-    @given(st.integers(MANY + 1, 1_000), st.integers(0, 2**32))
+    @given(st.integers(MAX_SMALL_FLEET + 1, 1_000), st.integers(0, 2**32))
     def test_first_calls_of_a_fleet_keep_to_their_rate(self, n: int, seed: int) -> None:
-        spread = min(SPREAD_EACH * n, 2_500.0)
+        spread = min(SPREAD_PER_DISPATCHER_MS * n, 2_500.0)
         rng = random.Random(seed)
-        firsts = [ListCalls(n, 10_000.0).first(rng) for _ in range(n)]
+        firsts = [ListCalls(n, 10_000.0).first_call_delay(rng) for _ in range(n)]
         self.assertTrue(all(0 <= t <= spread for t in firsts))
 
 
@@ -234,7 +238,7 @@
     """The cause seen on the large fleet days, played against a stand-in: forty dispatchers start together."""
 
     def test_without_the_spread_most_never_get_a_list(self) -> None:
-        with mock.patch.object(listing, "MANY", 1_000):  # every fleet called as small ones did
+        with mock.patch.object(listing, "MAX_SMALL_FLEET", 1_000):  # every fleet called as small ones did
             holding = fleet(40, 20.0, seed=5)
         self.assertGreater(sum(t == float("inf") for t in holding), 10)
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -240,11 +240,11 @@
     assert {w[:4] for w in sends(d.actions)} == {"fast", "slow"}
 
 
-def test_the_log_tells_of_a_list_out_of_reach() -> None:
+def test_an_unavailable_list_and_the_slot_share_are_logged() -> None:
     d = Driver(settings(classes=(SAFE,), dispatchers=1, watches_list=True))
     d.listed(fleet(2))
     d.tell(EndpointListUpdate(ListScope.FAILED))
     d.advance(2_000.0)
     said = [a.text for a in d.actions if isinstance(a, LogLine)]
-    assert sum("out of reach" in text for text in said) == 1
-    assert any("our part" in text for text in said)
+    assert sum("endpoint list unavailable" in text for text in said) == 1
+    assert any("slot share" in text for text in said)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -92,7 +92,7 @@
     cold = [w for w in d.endpoints.workers.values() if w.kind == "cold" and not w.slot_share]
     rotation = Rotation()
     rotation.fill(cold, {w.name: d.pools.rotation_group(w) for w in cold})
-    rank, w = d.placement.next_in(rotation, d.answers.open[1])
+    rank, w = d.placement.next_accepting(rotation, d.answers.open[1])
     assert w is not None and rank == 0
 
 
@@ -115,12 +115,12 @@
     now, within = 0.0, 0.0
     for _ in range(400):  # four fifths of the share, as it comes to one of a hundred
         now = now + rng.expovariate(0.8 * 50.0 / 100 / 1_000)
-        within += d.quotas.within(now, "t")
+        within += d.quotas.count_job(now, "t")
     assert within >= 360
     within = 0.0
     for _ in range(400):  # four times the share, and the other tenant brings nothing
         now = now + rng.expovariate(4 * 50.0 / 100 / 1_000)
-        within += d.quotas.within(now, "t")
+        within += d.quotas.count_job(now, "t")
     assert 160 <= within <= 320  # half of the traffic here is the share's part of it
 
 
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -12,7 +12,7 @@
 
 from elderstall.engine.rules import HELD_UP
 from elderstall.net import http
-from elderstall.recovery.listing import RETRY_MOST, ListCalls
+from elderstall.recovery.listing import MAX_RETRY_MS, ListCalls
 from tests.loopback import Loopback, Side
 from tests.scenario import CLASSES, RULES
 
@@ -153,9 +153,9 @@
                 with self.subTest((dispatchers, waited_for)):
                     calls, rng, now = ListCalls(dispatchers, 10_000.0), random.Random(1), 0.0
                     for _ in range(3_000):
-                        calls.call(now)
-                        delay = calls.fail(rng, now + waited_for)
-                        self.assertLessEqual(delay, 10_000.0 if waited_for else RETRY_MOST)
+                        calls.record_call(now)
+                        delay = calls.delay_after_failure(rng, now + waited_for)
+                        self.assertLessEqual(delay, 10_000.0 if waited_for else MAX_RETRY_MS)
                         now += waited_for + delay
 
     def test_jobs_are_served_all_the_time_and_its_return_is_met_within_2_5_s(self) -> None:
@@ -179,7 +179,7 @@
                 while len(self.asked_lists()) == called:
                     self.wait(50)
                     waited += 50
-                    self.assertLessEqual(waited, RETRY_MOST)
+                    self.assertLessEqual(waited, MAX_RETRY_MS)
                 self.tell(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("w2", self.name(self.served("after")))
 
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -9,7 +9,7 @@
 
 from elderstall import Dispatcher
 from elderstall.decisions.capacity import MAX_ATTEMPTS_PER_WORKER
-from elderstall.decisions.polling import POLLED_FOR_QUEUED
+from elderstall.decisions.polling import WORKERS_POLLED_FOR_QUEUED
 from elderstall.interface import (
     Ending,
     Endpoint,
@@ -80,7 +80,7 @@
         d = module(workers)
         sent, probes = burst(d, jobs, 1_000.0, free)
         self.assertLessEqual(probes, workers)  # all in one moment: each tells once in TOLD_FOR
-        self.assertLessEqual(probes, POLLED_FOR_QUEUED * max(0, jobs))
+        self.assertLessEqual(probes, WORKERS_POLLED_FOR_QUEUED * max(0, jobs))
         self.assertLessEqual(
             max(w.slots_in_flight for w in d.endpoints.workers.values()), MAX_ATTEMPTS_PER_WORKER
         )
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -8,7 +8,7 @@
 import pytest
 
 from elderstall.decisions.hill_climb import climb
-from elderstall.decisions.queue_model import queue, tier_edges, utility
+from elderstall.decisions.queue_model import tier_edges, utility, waiting_factor
 from elderstall.decisions.records import Load, Policy, is_feasible, pool_fractions, tier_pairs
 
 
@@ -33,13 +33,13 @@
 
 @pytest.mark.parametrize("rho", [0.3, 0.6, 0.9])
 def test_one_slot_waits_as_in_mm1(rho: float) -> None:
-    assert queue(rho, 1) == pytest.approx(rho)
+    assert waiting_factor(rho, 1) == pytest.approx(rho)
 
 
 @pytest.mark.parametrize("slots", [2, 4, 16, 40])
 @pytest.mark.parametrize("rho", [0.7, 0.85, 0.95])
 def test_waiting_is_near_erlang_c(slots: int, rho: float) -> None:
-    assert queue(rho, slots) == pytest.approx(erlang_c(slots, rho), abs=0.06)
+    assert waiting_factor(rho, slots) == pytest.approx(erlang_c(slots, rho), abs=0.06)
 
 
 def test_climb_matches_exhaustive_search_with_two_tiers() -> None:
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -10,7 +10,7 @@
 import unittest
 from typing import Any
 
-from elderstall.decisions.outcomes import BRIEF
+from elderstall.decisions.outcomes import BRIEF_ATTEMPT_MS
 from elderstall.net import http
 from tests.loopback import Side
 from tests.scenario import CLASSES
@@ -271,7 +271,7 @@
                 for worker in self.sides:
                     worker.read()
                     worker.messages.clear()
-            self.wait(2 * BRIEF)
+            self.wait(2 * BRIEF_ATTEMPT_MS)
             self.served(f"a{run}", "deck-build")
 
 
