--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -1,4 +1,4 @@
-"""Queues at workers are blind and nothing recalls what waits there: we keep them short (ied79d9)."""
+"""Workers' queues are kept short: dispatchers can't see or recall jobs there (incident ied79d9)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.test_mechanism import sends
 
 
-def test_a_burst_on_full_workers_leaves_most_jobs_with_us() -> None:
+def test_a_burst_on_full_workers_is_queued_by_the_dispatcher() -> None:
     """Twenty-four dispatchers with a job in each of forty queues would fill them for many seconds."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=24))
     d.listed(fleet(40))
@@ -19,7 +19,7 @@
     assert len(waiting) <= 12
 
 
-def test_late_jobs_keep_off_while_a_start_is_overdue() -> None:
+def test_late_jobs_wait_while_a_start_is_overdue() -> None:
     d = Driver(settings(classes=(UNSAFE,), dispatchers=1))
     d.listed(fleet(2))
     d.advance(2_100.0)
@@ -49,7 +49,7 @@
 
 
 def test_dead_workers_do_not_stop_all_sending() -> None:
-    """Unstarted attempts on workers that died unannounced are no sign of a crowded fleet (i6f4ec0)."""
+    """Unstarted attempts on workers that died without notice don't show a saturated fleet (i6f4ec0)."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=2))
     d.listed(fleet(12))
     d.advance(2_100.0)
@@ -64,7 +64,7 @@
 
 
 def test_a_fleet_full_for_long_is_not_taken_for_stuck() -> None:
-    """Only a part of the workers may be stuck: more means full queues, not to be fed (ied79d9)."""
+    """If more than a few workers seem stuck, their queues are full and must not grow (ied79d9)."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=24))
     d.listed(fleet(40))
     d.advance(2_100.0)
@@ -75,8 +75,8 @@
     assert d.dispatcher.in_flight.is_saturated(late=True)
 
 
-def test_held_jobs_that_bring_more_for_slot_time_go_first() -> None:
-    """Of jobs of equal worth the short ones earn more when not all can be served (i90de53)."""
+def test_queued_jobs_with_more_weight_per_slot_time_go_first() -> None:
+    """Among jobs of equal weight, more short ones can be served in the same time (i90de53)."""
     d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1))
     d.listed(fleet(1))
     d.arrive(0, SAFE)
@@ -86,26 +86,26 @@
     assert [a.job for a in actions if isinstance(a, SendAttempt)] == [2]
 
 
-def test_many_dispatchers_look_at_held_jobs_more_rarely() -> None:
-    """Guards against a CPU spent on ranking a full fleet at every look (i29e372)."""
-    looks = []
+def test_large_fleets_review_queued_jobs_less_often() -> None:
+    """Ranking a saturated large fleet at every review would use up the CPU (i29e372)."""
+    review_delays = []
     for dispatchers in (2, 100):
         d = Driver(settings(classes=(SAFE,), dispatchers=dispatchers))
         actions = d.arrive(1, SAFE)  # no worker is listed
-        looks.append(next(a.delay for a in actions if isinstance(a, SetTimer) and a.token == 2))
-    assert looks[1] > 2 * looks[0]
+        review_delays.append(next(a.delay for a in actions if isinstance(a, SetTimer) and a.token == 2))
+    assert review_delays[1] > 2 * review_delays[0]
 
 
-def test_a_refusal_tells_when_to_come_back_by_what_is_owed() -> None:
-    """Guards against clients that come back at once to a full fleet; the refusal itself is not held back."""
-    told = []
+def test_the_retry_delay_of_a_rejection_grows_with_the_open_work() -> None:
+    """Clients would retry at once and keep a fleet saturated; the rejection itself is not delayed."""
+    retry_delays = []
     for jobs in (2, 40):
         d = Driver(settings(classes=(SAFE,), dispatchers=1, notifies_start=False))
         d.listed(fleet(1))
         for job in range(jobs):
             d.arrive(job, SAFE, work_hint=40.0)
         d.advance(SAFE.latency_objective + 2 * d.dispatcher.context.mode.review_interval)
-        told.append([a.retry_after for a in d.actions if isinstance(a, RejectJob)])
-    (few, many) = told
+        retry_delays.append([a.retry_after for a in d.actions if isinstance(a, RejectJob)])
+    (few, many) = retry_delays
     assert 0 < max(few) <= max(many) <= 2_000.0
     assert max(many) > min(many)
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -1,7 +1,7 @@
-"""Decisions and figures of the shipped rehearsals are what was recorded (benchmarks/decision_digest.py).
+"""Decisions and figures of the shipped scenarios equal the recorded ones (benchmarks/decision_digest.py).
 
-All scripts are played whole, on two seeds. After a change that alters decisions on purpose,
-``python -m benchmarks.decision_digest --write`` records them anew.
+All scenarios are run in full with two seeds. After an intended change of decisions,
+``python -m benchmarks.decision_digest --write`` records them again.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     assert difference(read_recorded().get((name, seed)), digest(name, seed)) == ""
 
 
-def test_every_shipped_script_is_recorded_on_every_seed() -> None:
+def test_every_shipped_scenario_is_recorded_with_every_seed() -> None:
     assert set(read_recorded()) == {(name, seed) for name in names() for seed in SEEDS}
     assert set(scripts()) <= set(names())
 
@@ -55,7 +55,7 @@
         ("events-starts", "refused"),
     ],
 )
-def test_random_events_reach_the_paths_that_the_scripts_leave_out(name: str, action: str) -> None:
+def test_random_events_cover_the_paths_that_the_scenarios_do_not(name: str, action: str) -> None:
     assert drive(name, SEEDS[0])[action] > 50
 
 
@@ -119,7 +119,7 @@
         canonical_action(RejectJob(1, 0.0, "other"))
 
 
-def test_an_unmapped_action_ends_the_play_although_the_engine_goes_on(
+def test_an_unmapped_action_fails_the_run_although_the_engine_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delitem(ACTIONS, "SetTimer")
@@ -127,7 +127,7 @@
         play_scenario(scenario(length=1_000.0), 1, Recorder())
 
 
-def test_figures_are_written_alike_whatever_the_order_of_their_keys() -> None:
+def test_figures_do_not_depend_on_the_order_of_their_keys() -> None:
     assert (
         figures_text({"b": 0.5, "a": [1, None]})
         == figures_text({"a": [1, None], "b": 0.5})
@@ -135,7 +135,7 @@
     )
 
 
-def test_writing_keeps_the_rows_of_other_plays(tmp_path_factory: pytest.TempPathFactory) -> None:
+def test_writing_keeps_the_rows_of_other_scenarios(tmp_path_factory: pytest.TempPathFactory) -> None:
     path = tmp_path_factory.mktemp("digests") / "d.json"
     row = Digest("f", "d", 7, 3)
     write_recorded({("calm", 1): row}, path)
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -1,4 +1,4 @@
-"""Each class keeps a floor while the fleet is short, whatever the worths, the shares and the fullness."""
+"""Each class keeps a minimum of service in an overloaded fleet, at any weights, quotas and load."""
 
 from __future__ import annotations
 
@@ -30,56 +30,56 @@
 )
 from elderstall.limits.shares import CHANCE_EXCESS_JOBS, COUNT_DECAY_MS, QuotaTracker
 
-WORTHS = st.lists(st.floats(0.01, 1_000.0), min_size=1, max_size=8)
+WEIGHTS = st.lists(st.floats(0.01, 1_000.0), min_size=1, max_size=8)
 
 
-def pressed(worths: list[float], full: float) -> LoadShedding:
-    """Give the pressure of a fleet of which a part is full."""
+def shedding_at(weights: list[float], full: float) -> LoadShedding:
+    """Return load shedding for a fleet in which a fraction of the workers is full."""
     p = LoadShedding()
-    p.set_weights(worths)
+    p.set_weights(weights)
     p.full = full
     return p
 
 
-class Refusals(unittest.TestCase):
-    """What is turned away at one reading of how full the fleet is."""
+class Rejections(unittest.TestCase):
+    """Rejections at one fraction of full workers."""
 
-    @given(WORTHS, st.floats(0.0, 1.0), st.floats(0.0, 1.0))
-    def test_more_worth_never_fares_worse_and_none_is_shut_out(
-        self, worths: list[float], full: float, over: float
+    @given(WEIGHTS, st.floats(0.0, 1.0), st.floats(0.0, 1.0))
+    def test_more_weight_is_never_rejected_more_and_no_class_is_excluded(
+        self, weights: list[float], full: float, over: float
     ) -> None:
-        p = pressed(worths, full)
-        chances = [p.rejection_probability(w) for w in sorted(worths)]
+        p = shedding_at(weights, full)
+        chances = [p.rejection_probability(w) for w in sorted(weights)]
         self.assertEqual(chances, sorted(chances, reverse=True))
-        self.assertLessEqual(p.rejection_probability(over * min(worths)), 1.0)
+        self.assertLessEqual(p.rejection_probability(over * min(weights)), 1.0)
         self.assertGreaterEqual(
-            p.rejection_probability(over * min(worths)), chances[0]
-        )  # work beyond shares goes first
-        for chance in chances:  # each level keeps its part of what the best served one is given
+            p.rejection_probability(over * min(weights)), chances[0]
+        )  # work over quota is rejected first
+        for chance in chances:  # each level keeps its fraction of the service of the best served one
             self.assertGreaterEqual(
                 1.0 - chance, min(MIN_ADMITTED_FRACTION, 1.0 - MAX_REJECTED_FRACTION) - 1e-9
             )
             self.assertGreaterEqual(1.0 - chance, MIN_ADMITTED_FRACTION * (1.0 - chances[-1]) - 1e-9)
 
-    @given(WORTHS, st.floats(0.0, 1.0), st.randoms())
-    def test_the_order_in_which_classes_are_named_decides_nothing(
-        self, worths: list[float], full: float, rng: random.Random
+    @given(WEIGHTS, st.floats(0.0, 1.0), st.randoms())
+    def test_the_order_of_classes_does_not_matter(
+        self, weights: list[float], full: float, rng: random.Random
     ) -> None:
-        mixed = rng.sample(worths, len(worths))
+        mixed = rng.sample(weights, len(weights))
         self.assertEqual(
-            [pressed(worths, full).rejection_probability(w) for w in worths],
-            [pressed(mixed, full).rejection_probability(w) for w in worths],
+            [shedding_at(weights, full).rejection_probability(w) for w in weights],
+            [shedding_at(mixed, full).rejection_probability(w) for w in weights],
         )
 
-    @given(WORTHS)
-    def test_a_calm_fleet_turns_nothing_away(self, worths: list[float]) -> None:
+    @given(WEIGHTS)
+    def test_a_fleet_with_capacity_rejects_nothing(self, weights: list[float]) -> None:
         self.assertEqual(
-            [0.0] * len(worths), [pressed(worths, 0.75).rejection_probability(w) for w in worths]
+            [0.0] * len(weights), [shedding_at(weights, 0.75).rejection_probability(w) for w in weights]
         )
 
-    def test_a_fleet_that_has_room_again_is_believed_within_two_seconds(self) -> None:
-        """Guards against refusing on after the trouble, as a controller that sums up errors did."""
-        p = pressed([2.0, 5.0, 10.0], 0.0)
+    def test_rejections_end_within_two_seconds_after_capacity_is_free_again(self) -> None:
+        """An integral controller went on rejecting jobs after the overload had ended."""
+        p = shedding_at([2.0, 5.0, 10.0], 0.0)
         for n in range(100):
             p.record(50.0 * n, full=True)
         self.assertGreater(p.rejection_probability(0.1), 0.9)
@@ -87,14 +87,14 @@
             p.record(5_000.0 + 500.0 * n, full=False)
         self.assertEqual(0.0, p.rejection_probability(0.1))
 
-    def test_one_answer_after_a_start_turns_nothing_away(self) -> None:
-        p = pressed([2.0, 5.0], 0.0)
+    def test_one_report_after_a_start_rejects_nothing(self) -> None:
+        p = shedding_at([2.0, 5.0], 0.0)
         p.record(1e12, full=True)
         self.assertEqual(0.0, p.rejection_probability(0.1))
 
 
 class Fleet(unittest.TestCase):
-    """Dispatchers that each see some answers, and a fleet as full as what they let through makes it."""
+    """Dispatchers that each see some load reports, and a fleet whose load is what they admit."""
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -103,10 +103,10 @@
         st.integers(1, 40),
         st.integers(0, 2**32),
     )
-    def test_every_class_keeps_its_floor_of_the_service_at_up_to_four_times_the_load(
+    def test_every_class_keeps_its_minimum_of_service_at_up_to_four_times_the_capacity(
         self, classes: list[tuple[float, float]], load: float, dispatchers: int, seed: int
     ) -> None:
-        """Work offered at `load` times what the fleet does; each class has a worth and a part of the work."""
+        """Work is offered at `load` times the capacity; each class has a weight and a share of the work."""
         rng = random.Random(seed)
         fleet = [LoadShedding() for _ in range(dispatchers)]
         for p in fleet:
@@ -121,10 +121,10 @@
                 sum(1.0 - p.rejection_probability(priority_weight) for p in fleet) / dispatchers
                 for priority_weight, _ in classes
             ]
-            let = load * sum(c * part for c, (_, part) in zip(chances, classes, strict=True)) / whole
-            full += 0.2 * (min(1.0, let) - full)  # queues fill and empty within some steps
+            admitted = load * sum(c * part for c, (_, part) in zip(chances, classes, strict=True)) / whole
+            full += 0.2 * (min(1.0, admitted) - full)  # queues fill and empty within some steps
             if step >= 100:
-                taken = [t + c * min(1.0, 1.0 / let) / 300 for t, c in zip(taken, chances, strict=True)]
+                taken = [t + c * min(1.0, 1.0 / admitted) / 300 for t, c in zip(taken, chances, strict=True)]
         mean = sum(t * part for t, (_, part) in zip(taken, classes, strict=True)) / whole
         for (priority_weight, _), share in zip(classes, taken, strict=True):
             self.assertGreaterEqual(
@@ -136,7 +136,7 @@
 
 
 class Uneven(unittest.TestCase):
-    """Traffic is spread unevenly over dispatchers; the shares are of the whole fleet."""
+    """Traffic is spread unevenly over dispatchers; quotas hold for the whole fleet."""
 
     @settings(max_examples=50, deadline=None)
     @given(
@@ -145,10 +145,10 @@
         st.floats(0.1, 30.0),
         st.integers(0, 2**32),
     )
-    def test_a_tenant_within_its_share_is_within_at_busy_dispatchers_too(
+    def test_a_tenant_within_its_quota_is_within_at_busy_dispatchers_too(
         self, parts: list[float], dispatchers: int, busy: float, seed: int
     ) -> None:
-        """Every tenant at nine tenths of its share, one dispatcher at `busy` times the mean."""
+        """Every tenant is at nine tenths of its quota, one dispatcher at `busy` times the mean traffic."""
         rng, shares, now = random.Random(seed), QuotaTracker(), 0.0
         quotas = {f"t{n}": part * 2.0 for n, part in enumerate(parts)}  # jobs a ms: 2,000 a second at most
         shares.change_settings([Tenant(name, 1_000.0 * q) for name, q in quotas.items()], dispatchers, True)
@@ -161,11 +161,11 @@
         self.assertGreater(sum(within) / len(within), 0.9)
         self.assertGreater(min(within), 0.5)
 
-    def test_a_tenant_that_crowds_out_others_is_beyond_its_share_by_what_it_brings_more(self) -> None:
+    def test_a_tenant_that_displaces_others_is_over_quota_by_its_excess(self) -> None:
         rng, shares, now = random.Random(1), QuotaTracker(), 0.0
         shares.change_settings([Tenant("quiet", 100.0), Tenant("loud", 100.0)], 100, True)
         within: dict[str, list[float]] = {"quiet": [], "loud": []}
-        for _ in range(4_000):  # ten times the even part of all shares comes here, four fifths of it of one
+        for _ in range(4_000):  # ten times the even share of all quotas, four fifths of it from one tenant
             now += rng.expovariate(10 * 0.2 / 100)
             tenant = "loud" if rng.random() < 0.8 else "quiet"
             within[tenant].append(shares.count_job(now, tenant))
@@ -182,8 +182,8 @@
         )
         self.assertEqual(1.0, shares.count_job(at, None))
 
-    def test_purchases_at_a_busy_dispatcher_of_a_full_fleet_are_not_refused_as_beyond_shares(self) -> None:
-        """The cause: three times the mean traffic, every tenant within its share, all workers full."""
+    def test_purchases_at_a_busy_dispatcher_of_a_full_fleet_are_not_rejected_as_over_quota(self) -> None:
+        """Three times the mean traffic, every tenant within its quota, all workers full."""
         classes = (
             JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=2.0),
             JobClass("purchase", 10.0, 150.0, 5_000.0, Effect.NOT_IDEMPOTENT, stretch=1.75),
@@ -202,29 +202,29 @@
         )
         d.handle(0.0, Started())
         d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(f"w{n}", "k") for n in range(120))))
-        rng, now, refused = random.Random(2), 1_000.0, 0
-        for job in range(300):  # 1.5 jobs a second where the even part of the shares is 0.5
+        rng, now, rejected = random.Random(2), 1_000.0, 0
+        for job in range(300):  # 1.5 jobs a second where the even share of the quotas is 0.5
             now += rng.expovariate(1.5 / 1_000.0)
-            d.shedding.full, d.shedding.sampled_at = 0.95, now  # the workers told so just now
+            d.shedding.full, d.shedding.sampled_at = 0.95, now  # as just reported
             tenant = rng.choices("ab", (60, 40))[0]
             actions = d.handle(now, JobArrived(job, "purchase", 5_000.0, tenant, work_hint=100.0))
-            refused += sum(isinstance(a, RejectJob) for a in actions)
+            rejected += sum(isinstance(a, RejectJob) for a in actions)
             for a in actions:
                 if isinstance(a, PollLoad):
                     d.handle(now + 2.0, LoadPolled(a.worker, Ending.FULL))
             for a in actions:
                 if isinstance(a, SendAttempt):
                     d.handle(now + 50.0, AttemptEnded(job, 0, a.worker, Ending.SERVED, final=True))
-        self.assertLess(refused, 15)
+        self.assertLess(rejected, 15)
 
 
-class Fading(unittest.TestCase):
-    """What was seen of a tenant fades with time; a job touches its own tenant alone."""
+class Decay(unittest.TestCase):
+    """Counts of a tenant's jobs decay with time; a job changes only the count of its own tenant."""
 
     @given(
         st.lists(st.tuples(st.integers(0, 3), st.floats(0.0, 400_000.0)), max_size=60), st.floats(0.0, 2e12)
     )
-    def test_it_is_what_fading_all_at_each_job_comes_to(
+    def test_it_equals_a_decay_of_all_counts_at_each_job(
         self, jobs: list[tuple[int, float]], now: float
     ) -> None:
         tenants = [Tenant(f"t{n}", 0.5 + n) for n in range(4)]
@@ -237,14 +237,16 @@
             seen = [count * math.exp((at - now) / COUNT_DECAY_MS) for count in seen]
             at = now
             seen[tenant] += 1.0
-            ours = sum(seen) * quotas[tenant] / sum(quotas)
+            traffic_share = sum(seen) * quotas[tenant] / sum(quotas)
             within = min(
-                1.0, (max(quotas[tenant] * COUNT_DECAY_MS / 200, ours) + CHANCE_EXCESS_JOBS) / seen[tenant]
+                1.0,
+                (max(quotas[tenant] * COUNT_DECAY_MS / 200, traffic_share) + CHANCE_EXCESS_JOBS)
+                / seen[tenant],
             )
             self.assertAlmostEqual(within, shares.count_job(now, f"t{tenant}"), places=9)
             self.assertLess(shares.total_count, 1e16)
 
-    def test_a_job_looks_at_no_other_tenant(self) -> None:
+    def test_a_job_changes_no_other_tenant_s_count(self) -> None:
         shares = QuotaTracker()
         shares.change_settings([Tenant(f"t{n}", 1.0) for n in range(1_000)], 200, large_fleet=True)
         shares.count_job(1.0, "t0")
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Workers that hang, die unannounced or stop telling."""
+"""Workers that hang, fail jobs, time out or die without notice."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.test_mechanism import sends, serve_all
 
 
-def test_a_worker_that_hangs_gets_one_job_at_most_until_it_speaks() -> None:
-    """Guards against workers that hang with jobs running (incident i6f4ec0)."""
+def test_a_hanging_worker_gets_one_job_at_most_until_it_responds() -> None:
+    """A worker hangs with jobs running; further jobs sent there would be lost (incident i6f4ec0)."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=1))
     d.listed(fleet(2))
     for job in range(4):
@@ -29,7 +29,7 @@
 
 
 def test_a_worker_whose_attempt_timed_out_is_skipped_for_twice_as_long() -> None:
-    """Guards against a stuck worker that gets a job as soon as the last one is lost (incident ia1775c)."""
+    """Otherwise a stuck worker gets a job as soon as the last one has timed out (incident ia1775c)."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1))
     d.listed(fleet(1))
     d.arrive(1, SAFE)
@@ -56,7 +56,7 @@
 
 
 def test_a_worker_is_not_skipped_for_a_job_whose_client_left() -> None:
-    """Guards against taking a cancel of ours for a fault of the worker: skips double up to seconds."""
+    """A cancellation by the dispatcher is no fault of the worker; its backoff would double up to seconds."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1))
     d.listed(fleet(1))
     for job in range(3):
@@ -67,26 +67,26 @@
     assert d.dispatcher.endpoints.workers["k0"].backoff_until <= d.now
 
 
-def test_a_worker_that_failed_a_job_proves_itself_with_safe_ones_first() -> None:
-    """Guards against a worker that fails jobs at once, looks idle by that and so draws the next ones."""
+def test_a_worker_that_failed_a_job_must_serve_safe_ones_first() -> None:
+    """A worker that fails jobs at once seems idle and would attract the next ones."""
     d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1))
     d.listed(fleet(3))
     sent = sends(d.arrive(1, UNSAFE))
     d.end(d.outs()[0], Ending.ERROR)
-    proved = 0
+    probation_served = 0
     for job in range(2, 200):
         cls = UNSAFE if job % 2 else SAFE
         if sends(d.arrive(job, cls)) == sent:
-            assert cls is SAFE or proved >= 4
-            proved += 1
+            assert cls is SAFE or probation_served >= 4
+            probation_served += 1
         for o in d.outs():
             d.advance(20.0)
             d.end(o, Ending.SERVED)
-    assert proved > 20
+    assert probation_served > 20
 
 
-def test_a_fleet_in_which_jobs_fail_everywhere_is_used_on() -> None:
-    """Guards against holding all workers faulty where the jobs are."""
+def test_a_fleet_in_which_jobs_fail_everywhere_stays_in_use() -> None:
+    """When jobs fail at all workers, the jobs are at fault; the workers must not all be put on probation."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=1))
     d.listed(fleet(4))
     served = set()
@@ -99,9 +99,9 @@
     assert len(served) == 4
 
 
-def test_a_reported_free_slot_opens_a_worker_to_more_where_starts_are_not_told() -> None:
-    """Guards against a busy dispatcher that holds jobs while half of each worker idles (rude+fleet, .26)."""
-    most = []
+def test_a_reported_free_slot_allows_more_jobs_where_starts_are_not_notified() -> None:
+    """Otherwise a busy dispatcher queues jobs while half of each worker's slots are idle."""
+    attempts = []
     for dispatchers, free in ((2, 1.0), (2, 0.2), (8, 1.0)):
         s = settings(classes=(UNSAFE,), dispatchers=dispatchers, notifies_start=False, report_free_slots=0)
         d = Driver(s)
@@ -113,12 +113,12 @@
         d.tell(AttemptEnded(0, 0, out.worker, Ending.SERVED, True, (free,)))
         for job in range(1, 6):
             d.arrive(job, UNSAFE)
-        most.append(len(d.outs()))
-    assert most == [2, 1, 1]
+        attempts.append(len(d.outs()))
+    assert attempts == [2, 1, 1]
 
 
-def test_half_a_fleet_that_breaks_attempts_has_the_safe_jobs_and_late_ones() -> None:
-    """Guards unsafe jobs against workers that reset connections just made (wide: one exchange in three)."""
+def test_workers_that_break_attempts_get_only_safe_jobs_and_late_ones() -> None:
+    """Half of the workers reset new connections; an unsafe job sent there could not be retried."""
     d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1, notifies_start=False))
     d.listed(fleet(4))
     for job in range(100, 160):
@@ -136,7 +136,7 @@
     assert set(sends(d.actions[mark:])) <= {"k0", "k1"} and sends(d.actions[mark:])
 
 
-def test_a_kept_connection_that_was_cut_is_not_held_against_its_worker() -> None:
+def test_a_closed_idle_connection_causes_no_backoff_from_its_worker() -> None:
     d = Driver(settings(classes=(UNSAFE,), dispatchers=1))
     d.listed(fleet(1))
     d.arrive(1, UNSAFE)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Jobs whose data has to be fetched keep to few workers."""
+"""Jobs with the same key go to few workers where their data has to be fetched."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def spread(fetch_price: float) -> float:
-    """Mean number of workers that each key's jobs went to."""
+    """Return the mean number of workers that each key's jobs went to."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1, fetch_price=fetch_price))
     d.listed(fleet(8))
     seen: defaultdict[str, set[str]] = defaultdict(set)
@@ -23,12 +23,12 @@
     return sum(len(ws) for ws in seen.values()) / len(seen)
 
 
-def test_keys_keep_to_few_workers_where_fetching_costs() -> None:
+def test_keys_use_few_workers_where_fetching_costs() -> None:
     assert spread(0.1) <= 2.0
     assert spread(0.0) > 3.0
 
 
-def test_a_key_whose_worker_is_gone_moves_on() -> None:
+def test_a_key_whose_worker_is_gone_moves_to_another() -> None:
     d = Driver(settings(classes=(SAFE,), fetch_price=0.1))
     d.listed(fleet(4))
     (first,) = sends(d.arrive(1, SAFE, key="k"))
@@ -38,7 +38,7 @@
 
 
 def at_weights(held: dict[str, float], slots: int = 1) -> list[str]:
-    """Send one keyed job from each of many dispatchers under a list that shows jobs held by each worker."""
+    """Send one job with a key from each of many dispatchers, with listed jobs per core ``held`` by worker."""
     sent = []
     for rank in range(50):
         d = Driver(settings(classes=(SAFE,), dispatchers=50, rank=rank, fetch_price=0.1))
@@ -54,21 +54,21 @@
     assert len(set(at_weights({}))) == 1
 
 
-def test_a_key_s_jobs_move_on_from_a_worker_that_the_list_shows_to_hold_many() -> None:
-    """Guards against many dispatchers that all send a much-asked key to one worker (L60d3ed)."""
+def test_a_key_s_jobs_leave_a_worker_that_is_listed_as_busy() -> None:
+    """Otherwise many dispatchers all send the jobs of a popular key to one worker (L60d3ed)."""
     (first,) = set(at_weights({}))
     assert first not in at_weights({first: 3.0})
     assert set(at_weights({first: 0.7})) == {first}  # it has slots left
     assert first not in at_weights({first: 0.7}, slots=4)  # but not for a big job
 
 
-def test_keys_stay_where_the_whole_fleet_holds_many() -> None:
-    """Guards against fetches that grow with load: nobody is left out when all are full."""
+def test_keys_stay_at_their_workers_when_the_whole_fleet_is_busy() -> None:
+    """Otherwise fetches grow with load; a worker is skipped only if it is busier than the mean."""
     assert set(at_weights({f"k{n}": 3.0 for n in range(12)})) == set(at_weights({}))
 
 
-def test_where_all_keepers_of_its_pool_hold_many_a_key_goes_to_another_pool_s() -> None:
-    """Guards against fetches all over the fleet: each dispatcher's rotation is at another place (L60d3ed)."""
+def test_a_key_whose_workers_in_its_pool_are_all_busy_goes_to_those_of_another_pool() -> None:
+    """Otherwise it goes by rotation, which differs at each dispatcher: fetches on all workers (L60d3ed)."""
     d = Dispatcher(settings(dispatchers=50, fetch_price=0.1), 1)
     d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(40)))
     home, other = d.pools.pools[2], d.pools.pools[1]
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -1,4 +1,4 @@
-"""A reserved of workers kept for urgent short jobs, chosen alike by every dispatcher."""
+"""Workers reserved for urgent short jobs, the same at every dispatcher."""
 
 from __future__ import annotations
 
@@ -59,8 +59,8 @@
     return d
 
 
-def lane_of(names: list[str]) -> set[str]:
-    return {n for n in names if stable_hash(n) < 0.1 * 2**32}  # as sized before anything is seen
+def expected_reserved(names: list[str]) -> set[str]:
+    return {n for n in names if stable_hash(n) < 0.1 * 2**32}  # the fraction before any job is seen
 
 
 def probes(actions: Actions) -> list[str]:
@@ -71,19 +71,19 @@
     return [a.worker for a in actions if isinstance(a, SendAttempt)]
 
 
-class Lane(unittest.TestCase):
-    def test_every_dispatcher_keeps_the_same_workers_whatever_the_order_of_names(self) -> None:
+class ReservedWorkersTest(unittest.TestCase):
+    def test_every_dispatcher_reserves_the_same_workers_in_any_order_of_names(self) -> None:
         long = Job(1, CLASSES[1], 5.0, 0, 1, 5_000.0, None, 0.0, 15_000.0)
         modules = [module(rank=r, names=NAMES[r:] + NAMES[:r]) for r in range(0, 40, 7)]
         kept = [
             {w.name for w in d.endpoints.workers.values() if d.endpoints.reserved.excludes(w, long)}
             for d in modules
         ]
-        self.assertEqual([lane_of(NAMES)] * len(kept), kept)
+        self.assertEqual([expected_reserved(NAMES)] * len(kept), kept)
         self.assertTrue(kept[0])
 
     @given(st.floats(0.0, 1.0))
-    def test_the_lane_is_sized_by_the_urgent_work_seen(self, part: float) -> None:
+    def test_the_number_of_reserved_workers_follows_the_urgent_work_seen(self, part: float) -> None:
         reserved, rng = ReservedWorkers(), random.Random(1)
         reserved.set_spare_times([200.0])
         fleet = [Worker.from_endpoint(Endpoint(f"worker-{n}")) for n in range(2_000)]
@@ -98,28 +98,28 @@
             min(reserved_workers.MAX_RESERVED_FRACTION, part / reserved_workers.TARGET_LOAD), kept, delta=0.04
         )
 
-    def test_each_asks_a_few_of_the_lane_and_all_together_ask_it_evenly(self) -> None:
+    def test_each_dispatcher_polls_a_few_reserved_workers_and_all_together_poll_them_evenly(self) -> None:
         names = [f"s-{n:04x}" for n in range(400)]
-        asked = Counter(
+        polled = Counter(
             w.name for rank in range(200) for w in module(200, rank, names).endpoints.reserved.workers
         )
-        self.assertEqual(lane_of(names), set(asked))
-        self.assertEqual(200 * reserved_workers.MAX_POLLED_RESERVED, sum(asked.values()))
-        mean = 200 * reserved_workers.MAX_POLLED_RESERVED / len(asked)
-        self.assertLess(max(asked.values()), 1.6 * mean)
-        self.assertGreater(min(asked.values()), 0.4 * mean)
+        self.assertEqual(expected_reserved(names), set(polled))
+        self.assertEqual(200 * reserved_workers.MAX_POLLED_RESERVED, sum(polled.values()))
+        mean = 200 * reserved_workers.MAX_POLLED_RESERVED / len(polled)
+        self.assertLess(max(polled.values()), 1.6 * mean)
+        self.assertGreater(min(polled.values()), 0.4 * mean)
 
-    def test_small_fleets_keep_no_lane(self) -> None:
+    def test_small_fleets_reserve_no_workers(self) -> None:
         self.assertEqual([], module(dispatchers=5).endpoints.reserved.workers)
 
-    def test_a_purchase_asks_in_the_lane_first(self) -> None:
+    def test_a_purchase_polls_reserved_workers_first(self) -> None:
         d = module()
         d.handle(0.0, JobArrived(0, "build", 5_000.0, work_hint=3_000.0))
-        asked = probes(d.handle(1.0, JobArrived(1, "purchase", 5_000.0, work_hint=100.0)))
-        self.assertTrue(asked)
-        self.assertTrue(set(asked) <= lane_of(NAMES), asked)
+        polled = probes(d.handle(1.0, JobArrived(1, "purchase", 5_000.0, work_hint=100.0)))
+        self.assertTrue(polled)
+        self.assertTrue(set(polled) <= expected_reserved(NAMES), polled)
 
-    def test_long_builds_never_go_to_the_lane_and_purchases_go_there(self) -> None:
+    def test_long_builds_never_go_to_reserved_workers_and_purchases_do(self) -> None:
         d, went = module(), {"build": list[str](), "purchase": list[str]()}
         for n in range(120):
             (cls, work), now = ("build", 1_200.0) if n % 2 else ("purchase", 100.0), 10.0 * n
@@ -130,8 +130,8 @@
             for name in sends(actions):
                 d.handle(now + 5, AttemptEnded(n, 0, name, Ending.SERVED, final=True))
         self.assertEqual(60, len(went["build"]))
-        self.assertFalse(set(went["build"]) & lane_of(NAMES))
-        self.assertGreater(sum(name in lane_of(NAMES) for name in went["purchase"]), 50)
+        self.assertFalse(set(went["build"]) & expected_reserved(NAMES))
+        self.assertGreater(sum(name in expected_reserved(NAMES) for name in went["purchase"]), 50)
 
     @given(
         st.lists(st.floats(1, 5_000), min_size=1, max_size=5),
@@ -139,7 +139,7 @@
         st.floats(1, 3),
         st.floats(1, 20_000),
     )
-    def test_only_long_jobs_with_time_to_spare_keep_out(
+    def test_only_long_jobs_with_spare_time_are_excluded(
         self, spares: list[float], latency_objective: float, stretch: float, work: float
     ) -> None:
         reserved, w = ReservedWorkers(), Worker("w", "k", None, 0, None, (0, "w"))
@@ -154,7 +154,9 @@
         self.assertFalse(reserved.excludes(w, job))
 
     @given(st.floats(0.0, 1.0), st.integers(0, 2**32))
-    def test_no_more_urgent_work_goes_to_the_lane_first_than_it_bears(self, part: float, seed: int) -> None:
+    def test_no_more_urgent_work_is_offered_to_reserved_workers_first_than_they_can_serve(
+        self, part: float, seed: int
+    ) -> None:
         reserved, rng, went, total = ReservedWorkers(), random.Random(seed), 0.0, 0.0
         reserved.set_spare_times([200.0])
         reserved.workers = [Worker("w", "k", None, 0, None, (0, "w"))]
@@ -162,9 +164,9 @@
             urgent = rng.random() < part
             cls = JobClass("c", 1.0, 100.0 if urgent else 9_000.0, 60_000.0, stretch=1.0)
             job = Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0)
-            asks = bool(reserved.candidates(job, rng))
-            self.assertTrue(urgent or not asks)
-            went, total = went + asks * (n >= 1_000), total + (n >= 1_000)
+            is_offered = bool(reserved.candidates(job, rng))
+            self.assertTrue(urgent or not is_offered)
+            went, total = went + is_offered * (n >= 1_000), total + (n >= 1_000)
         self.assertLessEqual(
             went / total, reserved_workers.TARGET_LOAD * reserved_workers.MAX_RESERVED_FRACTION + 0.05
         )
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -1,4 +1,4 @@
-"""Calls for the list where many dispatchers start at once: spread, and tried again ever later."""
+"""List calls of many dispatchers that start at once: spread, and retried with growing delays."""
 
 from __future__ import annotations
 
@@ -49,61 +49,61 @@
 
 
 def started(d: Dispatcher, now: float = 0.0) -> Actions:
-    """Begin as the core does: the start, then the list known from before."""
+    """Start as the engine does, then apply the list known from before."""
     return d.handle(now, Started()) + d.handle(now, EndpointListUpdate(ListScope.WHOLE, KNOWN))
 
 
-def follows(actions: Actions) -> int:
+def watch_count(actions: Actions) -> int:
     return sum(isinstance(a, WatchEndpoints) for a in actions)
 
 
-def asks_in(actions: Actions) -> list[float]:
+def call_delays(actions: Actions) -> list[float]:
     return [a.delay for a in actions if isinstance(a, SetTimer) and a.token == TIMER_POLL_ENDPOINTS]
 
 
 class Small(unittest.TestCase):
-    """Up to sixteen dispatchers call as they did before."""
+    """Fleets of up to sixteen dispatchers call at once."""
 
     def test_the_first_call_goes_at_once(self) -> None:
-        self.assertEqual(1, follows(started(module(MAX_SMALL_FLEET))))
+        self.assertEqual(1, watch_count(started(module(MAX_SMALL_FLEET))))
 
     def test_failed_calls_double_from_250_ms_to_a_quarter_of_ask_within(self) -> None:
         calls, rng, old = ListCalls(8, 10_000.0), random.Random(3), random.Random(3)
         waited = 0.0
         for _ in range(8):
-            waited = min(max(250.0, waited * 2), 2_500.0)  # the rule of the program before
+            waited = min(max(250.0, waited * 2), 2_500.0)  # doubles up to a quarter of the poll interval
             self.assertEqual(waited * old.uniform(0.6, 1.0), calls.delay_after_failure(rng, 0.0))
 
 
 class Large(unittest.TestCase):
-    """Forty or more: the first call is put off, a failure waits long."""
+    """Large fleets delay the first call, and wait longer after a failure."""
 
-    def test_the_first_call_waits_for_its_turn_and_the_known_list_does_not_cancel_it(self) -> None:
+    def test_the_first_call_is_delayed_and_the_known_list_does_not_cancel_it(self) -> None:
         d = module(40, seed=7)
         actions = started(d)
-        self.assertEqual(0, follows(actions))
-        (delay,) = asks_in(actions)
+        self.assertEqual(0, watch_count(actions))
+        (delay,) = call_delays(actions)
         self.assertLessEqual(delay, min(SPREAD_PER_DISPATCHER_MS * 40, 2_500.0))
-        self.assertEqual(1, follows(d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(1, watch_count(d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))))
 
-    def test_a_timer_that_fires_a_hair_early_calls_all_the_same(self) -> None:
-        """Deadlines run up to a microsecond early; a call left out then was never made."""
+    def test_a_timer_that_fires_slightly_early_still_calls(self) -> None:
+        """Deadlines fire up to a microsecond early; a call skipped then was never made."""
         d = module(40, seed=7)
-        (delay,) = asks_in(started(d))
-        self.assertEqual(1, follows(d.handle(delay - 0.001, TimerFired(TIMER_POLL_ENDPOINTS))))
+        (delay,) = call_delays(started(d))
+        self.assertEqual(1, watch_count(d.handle(delay - 0.001, TimerFired(TIMER_POLL_ENDPOINTS))))
 
-    def test_an_answer_after_a_call_ends_the_plan(self) -> None:
+    def test_an_answer_cancels_the_scheduled_call(self) -> None:
         d = module(40, seed=7)
-        (delay,) = asks_in(started(d))
+        (delay,) = call_delays(started(d))
         d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
         d.handle(delay + 5, EndpointListUpdate(ListScope.CHANGES, ()))
-        self.assertEqual(0, follows(d.handle(delay + 2_500.0, TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(0, watch_count(d.handle(delay + 2_500.0, TimerFired(TIMER_POLL_ENDPOINTS))))
 
     @given(st.integers(MAX_SMALL_FLEET + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
-    def test_refused_at_once_waits_double_up_to_what_the_6_s_leave(
+    def test_delays_double_up_to_the_maximum_after_refused_calls(
         self, n: int, seed: int, rounds: int
     ) -> None:
-        """A discovery that is down costs nobody anything: its return has to be met well within 6 s."""
+        """Calls to a discovery that is down cost it nothing, and its return has to be noticed within 6 s."""
         calls, rng = ListCalls(n, 10_000.0), random.Random(seed)
         for k in range(1, rounds + 1):
             calls.record_call(1_000.0 * k)
@@ -111,10 +111,10 @@
             self.assertEqual(min(RETRY_PER_DISPATCHER_MS * n * 2 ** (k - 1), MAX_RETRY_MS), calls.retry_bound)
             self.assertGreaterEqual(delay, max(MIN_RETRY_MS, LARGE_FLEET_MIN_JITTER * calls.retry_bound))
             self.assertLessEqual(delay, max(MIN_RETRY_MS, calls.retry_bound))
-        self.assertFalse(calls.record_answer(0.0))  # no call is out: a list known before answers none
+        self.assertFalse(calls.record_answer(0.0))  # without a pending call a list is no answer
 
     @given(st.integers(MAX_SMALL_FLEET + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
-    def test_in_a_crowded_queue_the_first_wait_keeps_to_the_6_s_and_the_next_double(
+    def test_after_failures_in_a_full_queue_the_first_delay_keeps_to_6_s_and_the_next_double(
         self, n: int, seed: int, rounds: int
     ) -> None:
         calls, rng = ListCalls(n, 10_000.0), random.Random(seed)
@@ -128,7 +128,7 @@
         self.assertEqual(0, calls.overload_failures)
 
     @given(st.integers(1, 1_024), st.floats(1.0, 1e6), st.integers(0, 2**32))
-    def test_no_first_failure_of_any_fleet_puts_the_next_call_off_past_the_6_s(
+    def test_the_delay_after_a_first_failure_keeps_to_6_s_in_any_fleet(
         self, n: int, poll_interval: float, seed: int
     ) -> None:
         rng = random.Random(seed)
@@ -143,34 +143,36 @@
         st.integers(0, 2**32),
         st.floats(MIN_WATCH_LIFETIME_MS + 1, 100_000.0),
     )
-    def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(
+    def test_a_silent_watch_is_reopened_before_missed_changes_have_to_be_known(
         self, n: int, seed: int, lived: float
     ) -> None:
-        """Silence is noticed after 3 s and counts as told after 6: the call must go out well before."""
+        """Silence is noticed after 3 s, and missed changes have to be known after 6 s."""
         d = module(n, n - 1, seed)
-        (delay,) = asks_in(started(d))
+        (delay,) = call_delays(started(d))
         d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
         d.handle(delay + 5.0, EndpointListUpdate(ListScope.CHANGES, ()))
-        (again,) = asks_in(d.handle(delay + 5.0 + lived, EndpointListUpdate(ListScope.FAILED)))
+        (again,) = call_delays(d.handle(delay + 5.0 + lived, EndpointListUpdate(ListScope.FAILED)))
         self.assertTrue(MIN_RETRY_MS <= again <= MAX_BROKEN_WATCH_RETRY_MS, again)
-        self.assertEqual(1, follows(d.handle(delay + 5.0 + lived + again, TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(
+            1, watch_count(d.handle(delay + 5.0 + lived + again, TimerFired(TIMER_POLL_ENDPOINTS)))
+        )
 
     @given(st.integers(MAX_SMALL_FLEET + 1, 1_024), st.integers(0, 2**32), st.booleans())
-    def test_a_call_that_falls_silent_before_its_first_line_is_made_anew_soon(
+    def test_a_call_that_is_silent_from_the_start_is_repeated_soon(
         self, n: int, seed: int, again: bool
     ) -> None:
-        """Seen on join days: five of 183 calls heard nothing at all, and waited as failed ones did."""
+        """In simulations 5 of 183 calls got no data at all, and were retried as late as failed ones."""
         d = module(n, n - 1, seed)
-        (delay,) = asks_in(started(d))
+        (delay,) = call_delays(started(d))
         now = delay
         for _ in range(1 + again):
-            self.assertEqual(1, follows(d.handle(now, TimerFired(TIMER_POLL_ENDPOINTS))))
-            (delay,) = asks_in(d.handle(now + 4_000.0, EndpointListUpdate(ListScope.SILENT)))
+            self.assertEqual(1, watch_count(d.handle(now, TimerFired(TIMER_POLL_ENDPOINTS))))
+            (delay,) = call_delays(d.handle(now + 4_000.0, EndpointListUpdate(ListScope.SILENT)))
             self.assertTrue(MIN_RETRY_MS <= delay <= 2_000.0, delay)
             now += 4_000.0 + delay
 
     @given(st.integers(MAX_SMALL_FLEET + 1, 1_024), st.floats(0.0, MIN_WATCH_LIFETIME_MS - 1.0))
-    def test_watches_that_end_at_once_wait_as_failed_calls_do(self, n: int, lived: float) -> None:
+    def test_watches_that_end_at_once_are_retried_like_failed_calls(self, n: int, lived: float) -> None:
         calls, rng, now = ListCalls(n, 10_000.0), random.Random(1), 0.0
         for k in range(3):
             calls.record_call(now)
@@ -187,17 +189,16 @@
 
 
 class Fifo:
-    """A stand-in discovery: calls in turn, `serve` ms each, failed if they wait past `limit`.
+    """Fake discovery: serves calls in order, in `serve` ms each, and fails those that wait over `limit` ms.
 
-    As the one the fleet meets, it does the work of a call that has failed all the same; a held watch costs
-    nothing further.
+    Like the real one, it still does the work of a failed call; an open watch costs nothing further.
     """
 
     def __init__(self, serve: float = 125.0, limit: float = 2_000.0) -> None:
         self.serve, self.limit, self.free_at = serve, limit, 0.0
 
     def call(self, now: float) -> tuple[float, bool]:
-        """Give when a call made now is answered, and whether with a list."""
+        """Return when a call made now is answered, and whether with a list."""
         start = max(now, self.free_at)
         self.free_at = start + self.serve
         if start - now > self.limit:
@@ -206,7 +207,7 @@
 
 
 def fleet(n: int, seconds: float, seed: int) -> list[float]:
-    """Start `n` dispatchers together against the stand-in; give when each first held a list (inf: never)."""
+    """Start `n` dispatchers together; return when each first had a list, infinity if never."""
     rng = random.Random(seed)
     ds = [module(n, rank, rng.randrange(2**32)) for rank in range(n)]
     queue: list[tuple[float, int, int, object]] = []
@@ -235,14 +236,14 @@
 
 
 class Together(unittest.TestCase):
-    """The cause seen on the large fleet days, played against a stand-in: forty dispatchers start together."""
+    """Forty dispatchers start together and overload discovery, as in simulations of large fleets."""
 
     def test_without_the_spread_most_never_get_a_list(self) -> None:
-        with mock.patch.object(listing, "MAX_SMALL_FLEET", 1_000):  # every fleet called as small ones did
+        with mock.patch.object(listing, "MAX_SMALL_FLEET", 1_000):  # no fleet counts as large
             holding = fleet(40, 20.0, seed=5)
         self.assertGreater(sum(t == float("inf") for t in holding), 10)
 
-    def test_with_it_all_hold_one_within_eight_seconds(self) -> None:
+    def test_with_the_spread_all_have_a_list_within_eight_seconds(self) -> None:
         for seed in range(4):
             holding = fleet(40, 20.0, seed)
             self.assertLess(max(holding), 8_000.0, seed)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""Pools, rotation, skips, holding and learning."""
+"""Pools, rotation, backoff of workers, queueing and learned state."""
 
 from __future__ import annotations
 
@@ -39,20 +39,20 @@
 
 def test_pools_agree_between_instances_and_share_each_kind() -> None:
     listing = fleet(9, "big") + fleet(6, "small") + fleet(2, "rare")
-    cuts = []
+    pools_by_seed = []
     for seed in (1, 2):
         d = Driver(settings(), seed)
         d.listed(listing)
-        cuts.append([[w.name for w in p] for p in d.dispatcher.pools.pools])
+        pools_by_seed.append([[w.name for w in p] for p in d.dispatcher.pools.pools])
         for pool in d.dispatcher.pools.pools:
             kinds = Counter(w.kind for w in pool)
             assert kinds["rare"] == 2
             assert kinds["big"] >= 1
-    assert cuts[0] == cuts[1]
+    assert pools_by_seed[0] == pools_by_seed[1]
 
 
-def test_rotation_gives_a_slow_worker_a_shorter_turn() -> None:
-    """The design's break: equal turns would send a slow worker as much as a fast one."""
+def test_rotation_gives_a_slow_worker_fewer_jobs() -> None:
+    """A rotation without regard to speed would send a slow worker as many jobs as a fast one."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1))
     d.listed(fleet(1, "fast") + fleet(1, "slow"))
     tally: Counter[str] = Counter()
@@ -65,7 +65,7 @@
     assert tally["fast0"] > 2 * tally["slow0"]
 
 
-def test_a_full_worker_is_skipped_until_its_timer_lapses() -> None:
+def test_a_full_worker_is_skipped_until_its_backoff_ends() -> None:
     d = Driver(settings(classes=(SAFE,)))
     d.listed(fleet(2))
     d.arrive(1, SAFE)
@@ -79,7 +79,7 @@
     assert full in sends(d.arrive(3, SAFE) + d.arrive(4, SAFE))
 
 
-def test_a_worker_with_an_overdue_start_is_passed() -> None:
+def test_a_worker_with_an_overdue_start_is_skipped() -> None:
     d = Driver(settings(classes=(SAFE,)))
     d.listed(fleet(2))
     for job in (1, 2):
@@ -91,7 +91,7 @@
     assert sends(stuck) != sends(other)
 
 
-def test_jobs_are_held_when_no_worker_has_room_and_the_worthier_goes_first() -> None:
+def test_jobs_are_queued_when_no_worker_has_capacity_and_more_weight_goes_first() -> None:
     d = Driver(settings(dispatchers=1))
     d.listed(fleet(1))
     d.arrive(1, SAFE)
@@ -101,8 +101,8 @@
     assert [a.job for a in actions if isinstance(a, SendAttempt)] == [3]
 
 
-def test_a_late_start_keeps_us_away_for_a_while() -> None:
-    """Guards against many dispatchers each keeping a job in every queue (incident ied79d9)."""
+def test_a_late_start_backs_off_from_the_worker() -> None:
+    """Without it many dispatchers each keep a job in every worker's queue (incident ied79d9)."""
     d = Driver(settings(classes=(UNSAFE,)))
     d.listed(fleet(1))
     d.arrive(1, UNSAFE)
@@ -117,7 +117,7 @@
 
 
 def test_late_jobs_wait_behind_fresh_ones() -> None:
-    """Guards against a queue in which all end late (incident i35f002)."""
+    """Otherwise all jobs of an overloaded queue end late (incident i35f002)."""
     d = Driver(settings(dispatchers=1))
     d.listed(fleet(1))
     d.arrive(0, UNSAFE)
@@ -144,7 +144,7 @@
     assert set(sends(d.actions)) == {"b0"}
 
 
-def test_an_over_share_tenant_s_work_falls_to_a_lower_tier() -> None:
+def test_work_over_a_tenant_s_quota_goes_to_a_lower_tier() -> None:
     d = Driver(settings(classes=(SAFE,), tenants=(Tenant("t", 4.0),)))
     d.listed(fleet(9))
     for job in range(20):
@@ -166,7 +166,7 @@
     d.listed(fleet(12))
     d.dispatcher.capacity.kinds[
         "k"
-    ].assumed_slots = 1.0  # one slot each, or there is room for all without a move
+    ].assumed_slots = 1.0  # one slot each, or there is capacity for all without a change
     for job in range(300):
         d.arrive(job, SAFE)
         serve_all(d, 20.0)
@@ -197,7 +197,7 @@
         ("classes", (JobClass("x", -1, 1, 1),)),
     ],
 )
-def test_settings_without_sense_raise_and_name_the_field(field: str, value: object) -> None:
+def test_invalid_settings_raise_and_name_the_field(field: str, value: object) -> None:
     names = {"tenants": "quota_per_s", "poll_interval": "ask_within", "slow_start_share": "cold_share"}
     with pytest.raises(ValueError, match=f"{names.get(field, field)}|effect|worth"):
         settings(**{field: value})
@@ -245,6 +245,6 @@
     d.listed(fleet(2))
     d.tell(EndpointListUpdate(ListScope.FAILED))
     d.advance(2_000.0)
-    said = [a.text for a in d.actions if isinstance(a, LogLine)]
-    assert sum("endpoint list unavailable" in text for text in said) == 1
-    assert any("slot share" in text for text in said)
+    log_texts = [a.text for a in d.actions if isinstance(a, LogLine)]
+    assert sum("endpoint list unavailable" in text for text in log_texts) == 1
+    assert any("slot share" in text for text in log_texts)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Our part of the fleet, where it is less than a slot of each worker."""
+"""A dispatcher's share of the fleet where it is less than one slot per worker."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def sent_by_many(dispatchers: int, workers: int, jobs: int) -> Counter[str]:
-    """Let each of many dispatchers, which share nothing, take some jobs at once."""
+    """Return attempts by worker after each of many dispatchers, which share no state, got jobs at once."""
     count: Counter[str] = Counter()
     for rank in range(dispatchers):
         s = settings(classes=(SAFE,), dispatchers=dispatchers, rank=rank)
@@ -33,15 +33,15 @@
     return count
 
 
-def test_light_dispatchers_start_on_slots_of_their_own() -> None:
-    """Guards against light dispatchers that meet on the same workers, as none sees the others' jobs."""
+def test_dispatchers_with_little_traffic_start_on_different_workers() -> None:
+    """Otherwise dispatchers with little traffic choose the same workers, as none sees the others' jobs."""
     count = sent_by_many(60, 60, 2)
     assert sum(count.values()) == 120
     assert max(count.values()) <= 5 and len(count) >= 50
 
 
-def test_cold_workers_get_jobs_in_turn_where_a_part_of_the_budget_is_less_than_a_job() -> None:
-    """Guards against cold workers left idle until warm, and guards rule 4, by many light dispatchers."""
+def test_cold_workers_get_jobs_where_a_share_of_the_budget_is_less_than_a_job() -> None:
+    """Dispatchers with little traffic neither leave cold workers idle nor exceed their budget."""
     sent: Counter[str] = Counter()
     for rank in range(100):
         s = settings(
@@ -69,8 +69,8 @@
     )
 
 
-def test_a_dispatcher_to_which_more_work_comes_has_more_slots_of_its_own() -> None:
-    """Guards against heavy dispatchers that send most jobs where others' are (uneven traffic)."""
+def test_a_dispatcher_with_more_traffic_has_a_larger_slot_share() -> None:
+    """With uneven traffic busy dispatchers would send most jobs to workers that others use."""
     own = []
     for jobs in (0, 300):
         d = Driver(settings(classes=(SAFE,), dispatchers=50))
@@ -83,8 +83,8 @@
     assert 0 < own[0] < own[1]
 
 
-def test_a_cold_worker_ranks_as_our_own_in_the_window_of_our_turn() -> None:
-    """Guards against a fleet renewed by a deploy that stands idle while the old workers queue."""
+def test_a_cold_worker_ranks_like_an_own_slot_in_the_window_assigned_to_the_dispatcher() -> None:
+    """Otherwise new workers of a deploy are idle while the old ones have queues."""
     d = Dispatcher(settings(classes=(SAFE,), dispatchers=100, rank=3, slow_start_duration=8_000.0), 1)
     d.handle(0.0, Started())
     d.handle(0.0, EndpointListUpdate(ListScope.WHOLE, fleet(60, "warm") + fleet(60, "cold", started=-500.0)))
@@ -96,8 +96,8 @@
     assert w is not None and rank == 0
 
 
-def test_past_own_slots_jobs_wait_while_a_start_is_overdue() -> None:
-    """Guards against blind sends of light dispatchers to a fleet that is full."""
+def test_beyond_own_slots_jobs_wait_while_a_start_is_overdue() -> None:
+    """Dispatchers with little traffic would send jobs blindly to a saturated fleet."""
     d = Driver(settings(classes=(SAFE,), dispatchers=100, connect_timeout=20.0))
     d.listed(fleet(50))
     own = sum(w.slot_share > 0 for w in d.dispatcher.endpoints.workers.values())
@@ -108,24 +108,24 @@
     assert not [a for a in d.arrive(99, SAFE) if isinstance(a, SendAttempt)]
 
 
-def test_chance_bursts_of_a_light_dispatcher_are_within_a_share() -> None:
-    """Guards against chance bursts at a light dispatcher, taken for work over a share (L60d3ed)."""
+def test_chance_bursts_at_a_dispatcher_with_little_traffic_are_within_a_quota() -> None:
+    """A random burst at a dispatcher with little traffic was taken for work over quota (L60d3ed)."""
     tenants = (Tenant("t", 50.0), Tenant("u", 50.0))
     d, rng = Dispatcher(settings(classes=(SAFE,), dispatchers=100, tenants=tenants), 1), random.Random(1)
     now, within = 0.0, 0.0
-    for _ in range(400):  # four fifths of the share, as it comes to one of a hundred
+    for _ in range(400):  # four fifths of the quota, as one of a hundred dispatchers sees it
         now = now + rng.expovariate(0.8 * 50.0 / 100 / 1_000)
         within += d.quotas.count_job(now, "t")
     assert within >= 360
     within = 0.0
-    for _ in range(400):  # four times the share, and the other tenant brings nothing
+    for _ in range(400):  # four times the quota, and no jobs of the other tenant
         now = now + rng.expovariate(4 * 50.0 / 100 / 1_000)
         within += d.quotas.count_job(now, "t")
-    assert 160 <= within <= 320  # half of the traffic here is the share's part of it
+    assert 160 <= within <= 320  # half of the traffic here is within the quota
 
 
-def test_pools_of_many_dispatchers_start_with_the_tiers_that_work_in_shares_uses() -> None:
-    """Guards against a third of the fleet kept for work over shares while light dispatchers cannot solve."""
+def test_pools_of_large_fleets_start_with_the_tiers_used_by_work_within_quotas() -> None:
+    """Otherwise a third of the fleet is kept for work over quota until the solver has seen enough jobs."""
     tenants = (Tenant("t", 50.0),)
     for dispatchers, least in ((100, 1), (2, 10)):
         d = Dispatcher(settings(dispatchers=dispatchers, tenants=tenants, classes=(SAFE, KEYED)), 1)
--- a/tests/test_pulled.py
+++ b/tests/test_pulled.py
@@ -1,4 +1,4 @@
-"""Where workers tell their load only if asked, and dispatchers are few: asked when a job would wait."""
+"""Polls of workers that report their load only when polled, in small fleets, when a job is queued."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 
 
 def burst(d: Dispatcher, jobs: int, now: float, free: float | None) -> tuple[int, int]:
-    """Bring jobs at one moment and answer what is asked; give how many went out, and the questions."""
-    sent = probes = 0
+    """Let jobs arrive at one moment and answer polls; return the numbers of attempts sent and of polls."""
+    sent = polls = 0
     for job in range(jobs):
         todo = d.handle(now, JobArrived(job, "build", 5_000.0, work_hint=400.0))
         while todo:
@@ -57,41 +57,41 @@
             if isinstance(action, SendAttempt):
                 sent += 1
             elif isinstance(action, PollLoad):
-                probes += 1
+                polls += 1
                 if free is not None:
                     todo += d.handle(now, LoadPolled(action.worker, Ending.SERVED, (free,)))
-    return sent, probes
+    return sent, polls
 
 
-class Pulled(unittest.TestCase):
-    def test_a_busy_dispatcher_sends_more_than_one_job_to_workers_that_tell_of_room(self) -> None:
-        """The cause: with reports only when asked for, nothing ever showed more than one slot of a worker."""
-        sent, probes = burst(module(9), 16, 1_000.0, 3.0)
+class PolledForQueued(unittest.TestCase):
+    def test_a_busy_dispatcher_sends_more_than_one_job_to_workers_that_report_free_slots(self) -> None:
+        """Without polls, no report would ever show more than one slot of such a worker."""
+        sent, polls = burst(module(9), 16, 1_000.0, 3.0)
         self.assertEqual(16, sent)
-        self.assertGreater(probes, 0)
+        self.assertGreater(polls, 0)
         self.assertEqual((9, 0), burst(module(9, reports_only_when_polled=False), 16, 1_000.0, 3.0))
 
-    def test_nothing_is_asked_while_there_is_room(self) -> None:
+    def test_nothing_is_polled_while_slots_are_free(self) -> None:
         self.assertEqual((9, 0), burst(module(9), 9, 1_000.0, 3.0))
 
     @settings(max_examples=40, deadline=None)
     @given(st.integers(1, 40), st.integers(1, 120), st.floats(0.0, 4.0))
-    def test_questions_and_jobs_on_a_worker_are_bounded(self, workers: int, jobs: int, free: float) -> None:
+    def test_polls_and_jobs_per_worker_are_bounded(self, workers: int, jobs: int, free: float) -> None:
         d = module(workers)
-        sent, probes = burst(d, jobs, 1_000.0, free)
-        self.assertLessEqual(probes, workers)  # all in one moment: each tells once in TOLD_FOR
-        self.assertLessEqual(probes, WORKERS_POLLED_FOR_QUEUED * max(0, jobs))
+        sent, polls = burst(d, jobs, 1_000.0, free)
+        self.assertLessEqual(polls, workers)  # at one moment: one poll of each in REPORT_FRESH_MS
+        self.assertLessEqual(polls, WORKERS_POLLED_FOR_QUEUED * max(0, jobs))
         self.assertLessEqual(
             max(w.slots_in_flight for w in d.endpoints.workers.values()), MAX_ATTEMPTS_PER_WORKER
         )
         if free < 0.9:
             self.assertLessEqual(sent, workers)
 
-    def test_a_worker_that_never_answers_holds_up_nothing_else(self) -> None:
-        sent, probes = burst(module(9), 30, 1_000.0, None)
-        self.assertEqual((9, 9), (sent, probes))
+    def test_a_worker_that_never_answers_delays_nothing_else(self) -> None:
+        sent, polls = burst(module(9), 30, 1_000.0, None)
+        self.assertEqual((9, 9), (sent, polls))
 
-    def test_the_settings_say_how_reports_come(self) -> None:
+    def test_the_settings_determine_how_reports_arrive(self) -> None:
         raw = {
             "classes": [{"name": "a", "points": 1, "aim": 100, "deadline": 1000, "effect": "safe"}],
             "balancers": 2,
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -1,4 +1,4 @@
-"""The solver against exhaustive search, and the model against known queueing results."""
+"""Compares the solver with exhaustive search, and the queue model with known queueing results."""
 
 from __future__ import annotations
 
@@ -70,24 +70,24 @@
     assert min(found.fractions) >= 0
 
 
-def test_more_load_never_pays_in_response() -> None:
+def test_utility_per_job_falls_with_load() -> None:
     light, heavy = load((0.01, 0.01)), load((0.06, 0.06))
     policy = Policy((0,), (3, 3))
     assert utility(policy, heavy) / 0.12 < utility(policy, light) / 0.02
 
 
 @pytest.mark.parametrize("f", [(-500, 0, 100), (600, -500, 0), (0, 600, 600), (-600, 0, -600)])
-def test_illegal_fractions_are_seen(f: tuple[int, ...]) -> None:
+def test_infeasible_fractions_are_detected(f: tuple[int, ...]) -> None:
     assert not is_feasible(Policy(f, (1, 1, 1)), 3)
 
 
-def test_flows_send_each_tier_s_jobs_exactly_once() -> None:
+def test_pool_fractions_send_each_tier_s_jobs_exactly_once() -> None:
     for f in [(300, 200, 100), (-300, 500, -200), (1000, 0, 0)]:
         rows = pool_fractions(Policy(f, (1, 1, 1)), 3)
         assert all(sum(row) == pytest.approx(1) and min(row) >= 0 for row in rows)
 
 
-def test_tiers_follow_worth() -> None:
+def test_tiers_follow_priority_weight() -> None:
     assert tier_edges([2, 5, 5]) == [5, 2]
     assert tier_edges([1]) == [1]
     assert tier_edges([1, 3, 0.2, 0.6]) == [3, 0.6, 0.2]
