--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -1,7 +1,7 @@
-"""The cold budget: what all dispatchers together send a cold worker in any window of the settings.
+"""The slow-start budget: work that all dispatchers together send to a cold worker in any window.
 
-Fleets of modules run under one clock that is handed in. A window counts as broken where it holds more than
-the terms allow and over two thirds of it came from dispatchers that had been told of the worker's start.
+Fleets of dispatchers run on one simulated clock. A window violates the budget if it holds more than the
+budget allows and over two thirds of it came from dispatchers that knew of the worker's start.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
 from elderstall.upgrade.upgrade import OLD_PART
 
 COLD = "w0"
-MEAN_WORK = 300.0  # ms of a standard core
-TRIP = 2.0  # ms one way
-STARTED = 4_000.0  # ms; when the cold worker's process starts
-TOLD = 4_300.0  # ms; when dispatchers are told, up to SPREAD later
-SPREAD = 200.0  # ms
-END = 9_000.0  # ms
+MEAN_WORK_MS = 300.0  # ms of a standard core
+TRIP_MS = 2.0  # ms one way
+STARTED_AT = 4_000.0  # ms; when the cold worker's process starts
+LISTED_AT = 4_300.0  # ms; when dispatchers learn of it, up to SPREAD_MS later
+SPREAD_MS = 200.0  # ms
+END_MS = 9_000.0  # ms
 JOB_CLASSES = (
     JobClass("fetch", 2.0, 250.0, 5_000.0, stretch=3.0),
     JobClass("build", 5.0, 600.0, 15_000.0, effect=Effect.NOT_IDEMPOTENT, stretch=3.0),
 )
-NOTHING_TOLD = Settings(
+NO_NOTIFICATIONS = Settings(
     JOB_CLASSES,
     connect_timeout=250.0,
     slow_start_share=0.42,
@@ -63,49 +63,49 @@
     max_attempts=5,
     tick=2.0,
 )
-STARTS_TOLD = replace(NOTHING_TOLD, notifies_start=True)
-REPORTING = replace(NOTHING_TOLD, report_free_slots=0)
-ASKING = replace(REPORTING, probes=True)
-PULLED = replace(ASKING, reports_only_when_polled=True)
+STARTS_NOTIFIED = replace(NO_NOTIFICATIONS, notifies_start=True)
+REPORTING = replace(NO_NOTIFICATIONS, report_free_slots=0)
+POLLING = replace(REPORTING, probes=True)
+PULLED = replace(POLLING, reports_only_when_polled=True)
 MODES = {
-    "nothing told": NOTHING_TOLD,
-    "starts told": STARTS_TOLD,
+    "no notifications": NO_NOTIFICATIONS,
+    "starts notified": STARTS_NOTIFIED,
     "reporting": REPORTING,
-    "asking": ASKING,
+    "polling": POLLING,
     "pulled": PULLED,
 }
 
 
-def allowed(slots: int, warmth: float, s: Settings) -> float:
-    """Give how many requests of mean work a cold worker stands in one window, by the terms."""
-    mean = s.slow_start_multiple * slots * warmth * s.slow_start_window / MEAN_WORK
+def allowed(slots: int, warm_up_fraction: float, s: Settings) -> float:
+    """Return how many jobs of mean work a cold worker may be sent in one window, with a margin for chance."""
+    mean = s.slow_start_multiple * slots * warm_up_fraction * s.slow_start_window / MEAN_WORK_MS
     return mean + (3 * math.sqrt(mean) + 3 if mean < 30 else 2 * math.sqrt(mean) + 2)
 
 
 def even(rng: random.Random, ranks: int) -> list[float]:
-    """Spread traffic evenly."""
+    """Return equal shares of the traffic."""
     return [1.0] * ranks
 
 
 def tenfold(rng: random.Random, ranks: int) -> list[float]:
-    """Spread traffic so that the busiest gets up to ten times what the idlest does."""
+    """Return shares of the traffic, the largest up to ten times the smallest."""
     return [10 ** rng.random() for _ in range(ranks)]
 
 
-def lopsided(rng: random.Random, ranks: int) -> list[float]:
-    """Give a sixth of the dispatchers several times the mean, and a third nearly nothing."""
+def uneven(rng: random.Random, ranks: int) -> list[float]:
+    """Return shares of the traffic: a sixth have several times the mean, and a third nearly nothing."""
     return [6.0 if n % 6 == 0 else 0.02 if n % 3 == 1 else 0.6 for n in range(ranks)]
 
 
 def exponential(rng: random.Random) -> float:
-    """Draw a job's work."""
-    return rng.expovariate(1 / MEAN_WORK)
+    """Return the random work of a job, ms."""
+    return rng.expovariate(1 / MEAN_WORK_MS)
 
 
 def heavy_tailed(rng: random.Random) -> float:
-    """Draw a job's work of the same mean: most jobs are short, a few take several seconds."""
+    """Return random work, ms, of the same mean: most jobs are short, a few take several seconds."""
     sigma = 1.2
-    return rng.lognormvariate(math.log(MEAN_WORK) - sigma * sigma / 2, sigma)
+    return rng.lognormvariate(math.log(MEAN_WORK_MS) - sigma * sigma / 2, sigma)
 
 
 @dataclass(slots=True, frozen=True)
@@ -116,21 +116,21 @@
     dispatchers: int
     slots: int = 2
     workers: int = 8
-    cold: int = 1  # workers that start at STARTED: the first ones
+    cold: int = 1  # workers, the first ones, that start at STARTED_AT
     load: float = 1.6
-    traffic: Callable[[random.Random, int], list[float]] = lopsided
+    traffic: Callable[[random.Random, int], list[float]] = uneven
     works: Callable[[random.Random], float] = exponential
     hinted: bool = True
-    refusing: bool = False  # whether cold workers turn down all that comes, so that it is sent again
-    restart_at: float = math.inf  # when the cold worker's process starts once more
-    silent_restart: bool = False  # the attempts that were out at it end no more
-    dispatchers_before: int = 0  # in the settings at first; they learn the new number late or never
+    refusing: bool = False  # whether cold workers reject all jobs, so that they are retried
+    restart_at: float = math.inf  # ms; when the cold worker restarts again
+    silent_restart: bool = False  # attempts in flight at the restart never end
+    dispatchers_before: int = 0  # in the settings at first; the new number is learned late or never
     upgrade: bool = False  # whether every rank's process is replaced while the worker is cold
 
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """One attempt at a job, as a worker has it."""
+    """One attempt as a worker sees it."""
 
     process: Process
     job: int
@@ -152,33 +152,33 @@
     out: set[Attempt] = field(default_factory=set)
     sent: list[tuple[float, float, bool]] = field(
         default_factory=list
-    )  # when, work, whether told of the start
+    )  # time, work, whether the sender knew of the start
 
     @property
     def report(self) -> tuple[float, ...]:
-        """Give its free slots."""
+        """Return its load report: the free slots."""
         return (float(max(0, self.slots - self.running - len(self.queue))),)
 
-    def warmth(self, now: float, s: Settings) -> float:
-        """Give the part of its speed that it has: a cold one warms evenly."""
+    def warm_up_fraction(self, now: float, s: Settings) -> float:
+        """Return the fraction of its speed that it has, which grows linearly during slow start."""
         if self.started is None:
             return 1.0
         age = max(0.0, now - self.started) / s.slow_start_duration
         return min(1.0, s.slow_start_share + (1 - s.slow_start_share) * age)
 
-    def most_of_bound(self, s: Settings) -> float:
-        """Give the largest sum of any window over what the terms allow there, where they bind."""
+    def max_budget_use(self, s: Settings) -> float:
+        """Return the largest ratio of work sent in a window to the budget, where the budget applies."""
         worst, total, informed = 0.0, 0.0, 0.0
         recent = deque[tuple[float, float, bool]]()
-        for at, work, told in self.sent:
-            recent.append((at, work, told))
-            total, informed = total + work, informed + work * told
+        for at, work, sender_informed in self.sent:
+            recent.append((at, work, sender_informed))
+            total, informed = total + work, informed + work * sender_informed
             while recent[0][0] <= at - s.slow_start_window:
-                _, gone, gone_told = recent.popleft()
-                total, informed = total - gone, informed - gone * gone_told
+                _, expired, expired_informed = recent.popleft()
+                total, informed = total - expired, informed - expired * expired_informed
             if informed > total * 2 / 3:
-                bound = allowed(self.slots, self.warmth(recent[0][0], s), s)
-                worst = max(worst, total / MEAN_WORK / bound)
+                bound = allowed(self.slots, self.warm_up_fraction(recent[0][0], s), s)
+                worst = max(worst, total / MEAN_WORK_MS / bound)
         return worst
 
 
@@ -188,18 +188,18 @@
 
     module: Dispatcher
     settings: Settings
-    part: float = 1.0  # of its rank's cold budget, as ``Engine.share`` sets it
-    told: dict[str, float] = field(default_factory=dict)  # the start that it was told of each worker
+    budget_fraction: float = 1.0  # of its rank's slow-start budget, as set in an upgrade
+    known_starts: dict[str, float] = field(default_factory=dict)  # start time of each worker, as listed
     owed: int = 0
 
     def settings_changed(self) -> SettingsChanged:
-        """Give the settings as ``Engine.share`` hands them on."""
-        multiple = self.settings.slow_start_multiple * self.part
+        """Return the settings with the process's fraction of the budget applied."""
+        multiple = self.settings.slow_start_multiple * self.budget_fraction
         return SettingsChanged(replace(self.settings, slow_start_multiple=multiple))
 
 
 class Fleet:
-    """Dispatchers' modules, workers and clients under one clock."""
+    """Dispatchers, workers and clients on one simulated clock."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case, self.s, self.rng = case, case.settings, random.Random(seed)
@@ -212,133 +212,135 @@
         self.cold = [f"w{n}" for n in range(case.cold)]
         before = case.dispatchers_before or case.dispatchers
         self.serving = [self.process(rank, before) for rank in range(before)]
-        self.older: dict[int, Process] = {}  # by rank, in an upgrade
+        self.predecessors: dict[int, Process] = {}  # by rank, in an upgrade
         self.shares = case.traffic(self.rng, case.dispatchers)
-        self.at(STARTED, self.start_workers, self.cold)
+        self.at(STARTED_AT, self.start_workers, self.cold)
         for rank in range(before):
-            self.at(TOLD + SPREAD * self.rng.random(), self.tell, rank, self.cold)
-        if case.restart_at < END:
+            self.at(LISTED_AT + SPREAD_MS * self.rng.random(), self.update_list, rank, self.cold)
+        if case.restart_at < END_MS:
             self.at(case.restart_at, self.start_workers, [COLD])
             for rank in range(before):
-                self.at(case.restart_at + SPREAD * self.rng.random(), self.tell, rank, [COLD])
+                self.at(case.restart_at + SPREAD_MS * self.rng.random(), self.update_list, rank, [COLD])
         if case.dispatchers_before:
             self.grow(before)
         if case.upgrade:
             for rank in range(before):
-                self.at(TOLD + SPREAD + 3_000.0 * self.rng.random(), self.take_over, rank)
+                self.at(LISTED_AT + SPREAD_MS + 3_000.0 * self.rng.random(), self.take_over, rank)
         self.at(0.0, self.arrive)
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """Have something happen at a time."""
+        """Schedule a call."""
         entry: tuple[float, int, Callable[[], None]] = (when, next(self.order), partial(call, *args))
         heapq.heappush(self.heap, entry)
 
     def play(self) -> Fleet:
-        """Run it all."""
-        while self.heap and self.heap[0][0] < END:
+        """Run the simulation to its end."""
+        while self.heap and self.heap[0][0] < END_MS:
             self.now, _, call = heapq.heappop(self.heap)
             call()
         for worker in self.workers.values():
-            self.close_books(worker)
+            self.record_cold_worker(worker)
         return self
 
     # ---- dispatchers ----
 
     def process(self, rank: int, dispatchers: int, old: Process | None = None) -> Process:
-        """Start a process, with what another had learned if it takes over from that one."""
+        """Start a process, with the learned state of its predecessor if it has one."""
         settings = replace(self.s, rank=rank, dispatchers=dispatchers)
         data = None if old is None else json.loads(json.dumps(old.module.learned()))
-        made = Process(Dispatcher(settings, self.rng.randrange(2**32)), settings)
-        self.feed(made, Started())
-        self.inform(made, ListScope.WHOLE, list(self.workers), old.told if old is not None else None)
+        process = Process(Dispatcher(settings, self.rng.randrange(2**32)), settings)
+        self.feed(process, Started())
+        self.inform(
+            process, ListScope.WHOLE, list(self.workers), old.known_starts if old is not None else None
+        )
         if data is not None:
-            self.feed(made, LearnedStateReceived(data))
-        return made
+            self.feed(process, LearnedStateReceived(data))
+        return process
 
     def inform(
         self, process: Process, scope: ListScope, names: list[str], starts: dict[str, float] | None = None
     ) -> None:
-        """Tell a process of workers as they are now, or as another process knew them."""
+        """Send a process a list update of workers as they are now, or as another process knew them."""
         entries = []
         for name in names:
             started = self.workers[name].started if starts is None else starts.get(name)
             if started is not None:
-                process.told[name] = started
+                process.known_starts[name] = started
             entries.append(Endpoint(name, "k", started=started))
         self.feed(process, EndpointListUpdate(scope, tuple(entries)))
 
-    def tell(self, rank: int, names: list[str]) -> None:
-        """Tell the processes of a rank of changed workers."""
+    def update_list(self, rank: int, names: list[str]) -> None:
+        """Send the processes of a rank an update of changed workers."""
         for process in self.processes(rank):
             self.inform(process, ListScope.CHANGES, names)
 
     def processes(self, rank: int) -> list[Process]:
-        """Give the one or two processes of a rank."""
-        return [self.serving[rank], *([self.older[rank]] if rank in self.older else [])]
+        """Return the one or two processes of a rank."""
+        return [self.serving[rank], *([self.predecessors[rank]] if rank in self.predecessors else [])]
 
     def grow(self, before: int) -> None:
-        """Start further dispatchers as one group; those that run learn of it late, a third of them never."""
-        joined = TOLD + SPREAD + 700.0
+        """Start further dispatchers together; those that run learn of it late, a third of them never."""
+        joined = LISTED_AT + SPREAD_MS + 700.0
         self.at(joined, self.join, before)
         for rank in range(before):
             if rank % 3:
-                self.at(joined + 4_000.0 * self.rng.random(), self.retune, rank)
+                self.at(joined + 4_000.0 * self.rng.random(), self.change_settings, rank)
 
     def join(self, before: int) -> None:
         """Start the further dispatchers."""
         for rank in range(before, self.case.dispatchers):
             self.serving.append(self.process(rank, self.case.dispatchers))
 
-    def retune(self, rank: int) -> None:
-        """Have a dispatcher take the new settings, as by SIGHUP."""
+    def change_settings(self, rank: int) -> None:
+        """Change a dispatcher's settings, as by SIGHUP."""
         for process in self.processes(rank):
             process.settings = replace(process.settings, dispatchers=self.case.dispatchers)
             self.feed(process, process.settings_changed())
 
-    def share(self, process: Process, part: float) -> None:
-        """Leave the other process its part, as ``Engine.share`` does."""
-        process.part = part
+    def set_budget_fraction(self, process: Process, budget_fraction: float) -> None:
+        """Set a process's fraction of the slow-start budget, as in an upgrade."""
+        process.budget_fraction = budget_fraction
         self.feed(process, process.settings_changed())
 
     def take_over(self, rank: int) -> None:
-        """Begin an upgrade: the old process hands its state over, and serves for a moment more."""
+        """Begin an upgrade: the old process hands over its state, and continues to serve for a moment."""
         old = self.serving[rank]
         new = self.process(rank, old.settings.dispatchers, old)
-        self.share(old, OLD_PART)
+        self.set_budget_fraction(old, OLD_PART)
         self.at(self.now + 80.0, self.serve, rank, new)
 
     def serve(self, rank: int, new: Process) -> None:
-        """Have the new process serve; a part of the clients' connections is yet to be handed over."""
-        self.older[rank], self.serving[rank] = self.serving[rank], new
-        self.share(new, 1 - OLD_PART)
+        """Let the new process serve, while some client connections are still at the old one."""
+        self.predecessors[rank], self.serving[rank] = self.serving[rank], new
+        self.set_budget_fraction(new, 1 - OLD_PART)
         self.at(self.now + 1_500.0, self.end, rank)
 
     def end(self, rank: int) -> None:
         """End the old process of an upgrade; the new one has the whole budget from now on."""
-        del self.older[rank]
-        self.share(self.serving[rank], 1.0)
+        del self.predecessors[rank]
+        self.set_budget_fraction(self.serving[rank], 1.0)
 
     def feed(self, process: Process, event: Event) -> None:
-        """Hand a module an event and carry its actions out."""
+        """Let a dispatcher handle an event, and perform its actions."""
         for action in process.module.handle(self.now, event):
             if isinstance(action, SetTimer):
                 delay = max(self.s.tick, action.delay)
                 self.at(self.now + delay, self.feed, process, TimerFired(action.token))
             elif isinstance(action, PollLoad):
-                self.at(self.now + 2 * TRIP, self.probed, process, action.worker)
+                self.at(self.now + 2 * TRIP_MS, self.answer_poll, process, action.worker)
             elif isinstance(action, SendAttempt):
                 self.take(process, action)
 
-    def probed(self, process: Process, name: str) -> None:
-        """Answer a probe."""
+    def answer_poll(self, process: Process, name: str) -> None:
+        """Answer a poll."""
         self.feed(process, LoadPolled(name, Ending.SERVED, self.workers[name].report))
 
     # ---- clients ----
 
     def arrive(self) -> None:
-        """Have a job arrive, and the next one some time later."""
+        """Let a job arrive, and schedule the next arrival."""
         case = self.case
-        rate = case.load * case.workers * case.slots / MEAN_WORK
+        rate = case.load * case.workers * case.slots / MEAN_WORK_MS
         self.at(self.now + self.rng.expovariate(rate), self.arrive)
         rank = self.rng.choices(range(len(self.serving)), self.shares[: len(self.serving)])[0]
         process = self.rng.choice(self.processes(rank))
@@ -349,37 +351,37 @@
     # ---- workers ----
 
     def start_workers(self, names: list[str]) -> None:
-        """Start workers' processes anew; what was out at the old ones breaks, or is never heard of again."""
+        """Restart workers; attempts in flight at the old processes fail, or never end."""
         for name in names:
             worker = self.workers[name]
-            self.close_books(worker)
+            self.record_cold_worker(worker)
             worker.started, worker.generation = self.now, worker.generation + 1
             worker.running = 0
             worker.queue.clear()
             broken, worker.out = worker.out, set()
             if not self.case.silent_restart:
                 for attempt in sorted(broken, key=lambda attempt: attempt.job):
-                    self.at(self.now + TRIP, self.tell_end, attempt, Ending.BROKEN)
+                    self.at(self.now + TRIP_MS, self.notify_end, attempt, Ending.BROKEN)
 
-    def close_books(self, worker: StandInWorker) -> None:
-        """Take what a worker's process was sent while it was cold into the figures."""
+    def record_cold_worker(self, worker: StandInWorker) -> None:
+        """Add what a worker's process was sent while it was cold to the results."""
         if worker.started is not None:
-            self.worst = max(self.worst, worker.most_of_bound(self.s))
+            self.worst = max(self.worst, worker.max_budget_use(self.s))
             self.cold_jobs += len(worker.sent)
         worker.sent = []
 
     def take(self, process: Process, action: SendAttempt) -> None:
-        """Have a worker start a job, queue it or turn it away."""
+        """Let a worker start a job, queue it or reject it."""
         number = self.numbers.get((process, action.job), 0)
         self.numbers[process, action.job] = number + 1
         worker = self.workers[action.worker]
         work = self.works[action.job]
         attempt = Attempt(process, action.job, number, work, action.worker, worker.generation)
         if worker.started is not None:
-            told = process.told.get(action.worker) == worker.started
-            worker.sent.append((self.now, work, told))
+            sender_informed = process.known_starts.get(action.worker) == worker.started
+            worker.sent.append((self.now, work, sender_informed))
         if worker.started is not None and self.case.refusing:
-            self.at(self.now + 2 * TRIP, self.tell_end, attempt, Ending.FULL)
+            self.at(self.now + 2 * TRIP_MS, self.notify_end, attempt, Ending.FULL)
         elif worker.running < worker.slots:
             worker.out.add(attempt)
             self.run(worker, attempt)
@@ -387,15 +389,15 @@
             worker.out.add(attempt)
             worker.queue.append(attempt)
         else:
-            self.at(self.now + 2 * TRIP, self.tell_end, attempt, Ending.FULL)
+            self.at(self.now + 2 * TRIP_MS, self.notify_end, attempt, Ending.FULL)
 
     def run(self, worker: StandInWorker, attempt: Attempt) -> None:
-        """Start a job."""
+        """Start a job, and notify its dispatcher where starts are notified."""
         worker.running += 1
         if self.s.notifies_start:
             noted = AttemptProgressed(attempt.job, attempt.number, attempt.worker, started=True)
-            self.at(self.now + TRIP, self.feed, attempt.process, noted)
-        done = self.now + attempt.work / worker.warmth(self.now, self.s)
+            self.at(self.now + TRIP_MS, self.feed, attempt.process, noted)
+        done = self.now + attempt.work / worker.warm_up_fraction(self.now, self.s)
         self.at(done, self.finished, worker, attempt)
 
     def finished(self, worker: StandInWorker, attempt: Attempt) -> None:
@@ -407,10 +409,10 @@
         if worker.queue:
             self.run(worker, worker.queue.popleft())
         self.served += 1
-        self.at(self.now + TRIP, self.tell_end, attempt, Ending.SERVED)
+        self.at(self.now + TRIP_MS, self.notify_end, attempt, Ending.SERVED)
 
-    def tell_end(self, attempt: Attempt, ending: Ending) -> None:
-        """Tell the end of an attempt, with a report where workers give one with their answers."""
+    def notify_end(self, attempt: Attempt, ending: Ending) -> None:
+        """Notify the end of an attempt, with a load report where responses carry one."""
         report = () if self.s.reports_only_when_polled else self.workers[attempt.worker].report
         self.feed(
             attempt.process,
@@ -421,28 +423,28 @@
 
 
 class Budget(unittest.TestCase):
-    """Sums over all dispatchers of a fleet, against the bound of the terms."""
+    """Sums over all dispatchers of a fleet, compared with the budget."""
 
     def stays_within(
         self, seeds: tuple[int, ...] = (1, 2), modes: tuple[str, ...] = tuple(MODES), **fields: Any
     ) -> None:
-        """Play a fleet in several ways of learning how workers stand."""
+        """Simulate a fleet with several ways of learning the workers' load."""
         for mode in modes:
             if (
-                mode == "asking"
+                mode == "polling"
                 and not Dispatcher(
-                    replace(ASKING, dispatchers=fields["dispatchers"]), 1
+                    replace(POLLING, dispatchers=fields["dispatchers"]), 1
                 ).context.mode.polls_before_placing
             ):
-                continue  # so few do as where workers report
+                continue  # such a small fleet doesn't poll before placing
             shares, jobs = [], 0
             for seed in seeds:
                 fleet = Fleet(Case(MODES[mode], **fields), seed).play()
                 shares.append(fleet.worst)
                 jobs += fleet.cold_jobs
             with self.subTest(mode=mode, **fields):
-                if not fields.get("silent_restart"):  # there, jobs wait for attempts that never end
-                    self.assertTrue(jobs)  # cold workers are not left idle
+                if not fields.get("silent_restart"):  # with it, jobs wait for attempts that never end
+                    self.assertTrue(jobs)  # cold workers are not idle
                 text = ", ".join(f"{share:.2f}" for share in shares)
                 self.assertLessEqual(max(shares), 1.0, f"shares of the bound {text}; {jobs} jobs sent cold")
 
@@ -453,7 +455,7 @@
 
     def test_any_number_of_dispatchers_all_workers_cold(self) -> None:
         for dispatchers in (1, 2, 5, 12, 30):
-            for traffic in (even, tenfold, lopsided):
+            for traffic in (even, tenfold, uneven):
                 self.stays_within(
                     seeds=(1, 3),
                     dispatchers=dispatchers,
@@ -484,7 +486,7 @@
         for dispatchers in (1, 5, 12, 30):
             self.stays_within(dispatchers=dispatchers, slots=1, workers=2, cold=2, load=2.5, hinted=False)
 
-    def test_jobs_that_are_turned_down_and_sent_again(self) -> None:
+    def test_jobs_that_are_rejected_and_retried(self) -> None:
         for dispatchers in (1, 5, 12, 30):
             self.stays_within(dispatchers=dispatchers, slots=1, workers=3, cold=2, load=2.5, refusing=True)
 
@@ -522,10 +524,10 @@
 
 
 class LongJobs(unittest.TestCase):
-    """Many dispatchers whose part of the budget is less than the job that each has."""
+    """Many dispatchers whose share of the budget is less than the job that each has."""
 
     def sent(self, settings: Settings, work: float) -> int:
-        """Count the jobs that thirty dispatchers with one job each send to the only worker, a cold one."""
+        """Return how many of thirty dispatchers with one job each send it to the only worker, a cold one."""
         sends = 0
         for rank in range(30):
             module = Dispatcher(replace(settings, dispatchers=30, rank=rank), rank)
@@ -538,27 +540,27 @@
             sends += sum(isinstance(action, SendAttempt) for action in actions)
         return sends
 
-    def test_that_together_they_send_no_more_work_than_the_budget(self) -> None:
-        for mode in ("nothing told", "starts told", "asking"):
+    def test_together_they_send_no_more_work_than_the_budget(self) -> None:
+        for mode in ("no notifications", "starts notified", "polling"):
             settings = MODES[mode]
             for work in (300.0, 900.0, 1_500.0, 3_000.0):
                 with self.subTest(mode=mode, work=work):
-                    total = self.sent(settings, work) * work / MEAN_WORK
+                    total = self.sent(settings, work) * work / MEAN_WORK_MS
                     self.assertGreater(total, 0.0)
                     self.assertLessEqual(total, allowed(1, settings.slow_start_share, settings))
 
 
 class SlotsSeen(unittest.TestCase):
-    """How many slots a worker is seen to have, by starts and ends that come in any order."""
+    """Slots that a worker is seen to have, by starts and ends notified in any order."""
 
     def setUp(self) -> None:
-        self.module = Dispatcher(STARTS_TOLD, 1)
+        self.module = Dispatcher(STARTS_NOTIFIED, 1)
         self.module.handle(0.0, Started())
         self.module.handle(1.0, EndpointListUpdate(ListScope.WHOLE, (Endpoint(COLD, "k"),)))
         self.now = 10.0
 
     def send(self, job: int) -> None:
-        """Have a job sent."""
+        """Let a job arrive and be sent."""
         worker = self.module.endpoints.workers[COLD]
         worker.slot_limit = 8
         self.module.pools.update_rotation(worker)
@@ -566,19 +568,19 @@
         self.assertTrue(any(isinstance(action, SendAttempt) for action in actions))
 
     def start(self, job: int) -> None:
-        """Tell a start."""
+        """Notify a start."""
         self.module.handle(self.now, AttemptProgressed(job, 0, COLD, started=True))
 
     def end(self, job: int) -> None:
-        """Tell an end."""
+        """Notify an end."""
         self.module.handle(self.now, AttemptEnded(job, 0, COLD, Ending.SERVED, True))
 
     @property
     def seen(self) -> float:
-        """Give the slots that were seen."""
+        """Return the number of slots seen."""
         return self.module.capacity.kinds["k"].peak_slots
 
-    def test_a_start_that_is_told_before_the_end_that_made_room_shows_no_second_slot(self) -> None:
+    def test_a_start_notified_before_the_end_that_freed_its_slot_shows_no_second_slot(self) -> None:
         self.send(1)
         self.start(1)
         self.send(2)
@@ -589,7 +591,7 @@
         self.end(2)
         self.assertEqual(self.seen, 1)
 
-    def test_jobs_that_run_side_by_side_show_their_slots(self) -> None:
+    def test_jobs_that_run_at_once_show_their_slots(self) -> None:
         self.send(1)
         self.start(1)
         self.send(2)
@@ -598,7 +600,7 @@
         self.end(1)
         self.assertEqual(self.seen, 2)
 
-    def test_a_job_of_a_process_that_is_gone_shows_no_slot_of_the_next_one(self) -> None:
+    def test_a_job_of_a_former_process_shows_no_slot_of_its_successor(self) -> None:
         self.send(1)
         self.start(1)
         self.now += 100.0
@@ -617,24 +619,24 @@
 class Upgrade(unittest.TestCase):
     """Two processes of one rank."""
 
-    def begun(self, slow_start_multiple: float) -> Dispatcher:
-        """Give a process that knows of one cold worker."""
+    def started_dispatcher(self, slow_start_multiple: float) -> Dispatcher:
+        """Return a dispatcher that knows one cold worker."""
         module = Dispatcher(replace(REPORTING, slow_start_multiple=slow_start_multiple), 1)
         module.handle(0.0, Started())
         module.handle(1.0, EndpointListUpdate(ListScope.WHOLE, (Endpoint(COLD, "k", started=0.0),)))
         return module
 
     def sends(self, module: Dispatcher, now: float, work: float) -> bool:
-        """Say whether a job that arrives now is sent."""
+        """Return whether a job that arrives now is sent."""
         job = JobArrived(1, "build", 15_000.0, work_hint=work)
         return any(isinstance(action, SendAttempt) for action in module.handle(now, job))
 
     def test_what_the_old_process_sent_counts_at_the_new_one(self) -> None:
-        old = self.begun(REPORTING.slow_start_multiple)
+        old = self.started_dispatcher(REPORTING.slow_start_multiple)
         self.assertTrue(self.sends(old, 10.0, 2_800.0))  # of the 3,360 ms that may be sent in a window
         data = json.dumps(old.learned())
         for now, sent in ((30.0, False), (10.0 + REPORTING.slow_start_window + 1.0, True)):
-            new = self.begun(REPORTING.slow_start_multiple * (1 - OLD_PART))
+            new = self.started_dispatcher(REPORTING.slow_start_multiple * (1 - OLD_PART))
             new.handle(20.0, LearnedStateReceived(json.loads(data)))
             self.assertEqual(self.sends(new, now, 500.0), sent)
 
