--- a/elderstall/decisions/answers.py
+++ b/elderstall/decisions/answers.py
@@ -52,7 +52,7 @@
 
     @staticmethod
     def _is_retry_harmless(job: Job) -> bool:
-        """Return whether a retry by the client can have no second effect."""
+        """Return whether a retry by the client is harmless."""
         job_class = job.cls
         if job_class.effect is Effect.IDEMPOTENT:
             return True
--- a/elderstall/decisions/capacity.py
+++ b/elderstall/decisions/capacity.py
@@ -15,7 +15,7 @@
 KIND_PRIOR_JOBS = 5.0  # completed jobs at which a worker's own speed weighs as much as that of its kind
 SPEED_WINDOW_JOBS = 30.0  # over which learned speeds decay, to follow a worker that becomes slower
 MAX_COLD_SLOTS_FACTOR = 2.0  # of the slots ever seen: upper bound on the slots assumed of a cold worker
-MIN_FREE_SLOTS = 0.9  # that a report must show to allow a second job, as it may be a second old
+MIN_FREE_SLOTS = 0.9  # that a report, which may be 1 s old, must show to allow more than one job
 MAX_ATTEMPTS_PER_WORKER = 3  # where starts are not notified, as the share of slots is only estimated
 OWNED_WORKERS = 16  # per dispatcher, where workers are polled: few, so that connections are reused
 PREFERRED_WORKERS = 200  # of a large fleet, used first so that connections to them are reused
--- a/elderstall/decisions/load_shedding.py
+++ b/elderstall/decisions/load_shedding.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 
 SAMPLE_DECAY_MS = 1_500.0  # samples decay to 1/e in it, as a burst lasts a few seconds
-MIN_SAMPLE_WEIGHT = 0.1  # of one report, however soon it follows the last
+MIN_SAMPLE_WEIGHT = 0.1  # of one report, however soon it follows the last: a few change little
 SHEDDING_START_FRACTION = 0.75  # of workers full: up to it queues are short and nearly all jobs end in time
 MIN_ADMITTED_FRACTION = 1 / 3  # of a level's jobs, while all jobs of more weight are admitted
 NEARLY_FULL_FRACTION = 0.98  # of workers full: rejecting the lowest weights was not enough
--- a/elderstall/decisions/outcomes.py
+++ b/elderstall/decisions/outcomes.py
@@ -18,7 +18,8 @@
 MAX_LATE_START_BACKOFF_FACTOR = 0.5  # of the job's work: maximum backoff after a late start
 TIMEOUT_BACKOFF_FACTOR = 2.0  # of a timed-out attempt's duration: minimum backoff of its worker
 BRIEF_ATTEMPT_MS = 100.0  # a worker may silently drop an attempt with so little time left; that is no fault
-MAX_CANCELLED_BACKOFF_MS = 500.0  # of a job cancelled as late, which shows little about the worker
+# Upper bound of the minimum backoff where workers are polled: a job cancelled as late shows little.
+MAX_CANCELLED_BACKOFF_MS = 500.0
 
 ENDINGS_WITHOUT_WORKER_FAULT = frozenset({Ending.NEVER_SENT, Ending.CANCELLED, Ending.STALE_CONNECTION})
 
--- a/elderstall/decisions/reserved_workers.py
+++ b/elderstall/decisions/reserved_workers.py
@@ -18,7 +18,7 @@
 MAX_RESERVED_FRACTION = 0.25  # of the workers; if more work is urgent, the rest of it goes to any worker
 URGENT_FACTOR = 1.5  # of the minimum spare time: a job with less is urgent, one with more work is long
 MAX_POLLED_RESERVED = 8  # per dispatcher, by preference position: few, so that connections are reused
-INITIAL_WORK_MS = 10_000.0  # of work assumed at first, a tenth of the workers being reserved for it
+INITIAL_WORK_MS = 10_000.0  # of work assumed at first: a tenth of the workers is reserved until more is seen
 WORK_WINDOW_MS = 100_000.0  # of work, over which the sums decay
 
 
--- a/elderstall/decisions/rotation.py
+++ b/elderstall/decisions/rotation.py
@@ -14,7 +14,8 @@
 
 from elderstall.decisions.records import Worker
 
-WITHIN_SHARE, BEYOND_SHARE, NOT_PREFERRED = range(3)  # groups; the last is outside the preferred fraction
+# Groups: within this dispatcher's slot share of a worker; beyond it; outside the preferred fraction.
+WITHIN_SHARE, BEYOND_SHARE, NOT_PREFERRED = range(3)
 Entry = tuple[float, int, str, Worker]  # virtual time, unique position in the pool, name
 RotationKey = tuple[int | None, float]  # group and virtual time
 
