--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -12,7 +12,7 @@
 
 from elderstall.engine.rules import MAX_PROCESS_PAUSE_MS
 from elderstall.net import http
-from elderstall.recovery.listing import RETRY_MOST, ListCalls
+from elderstall.recovery.listing import MAX_RETRY_MS, ListCalls
 from tests.loopback import Loopback, Side
 from tests.scenario import CLASSES, RULES
 
@@ -155,9 +155,9 @@
                     rng = random.Random(1)
                     now = 0.0
                     for _ in range(3_000):
-                        calls.call(now)
-                        delay = calls.fail(rng, now + waited_for)
-                        self.assertLessEqual(delay, 10_000.0 if waited_for else RETRY_MOST)
+                        calls.record_call(now)
+                        delay = calls.delay_after_failure(rng, now + waited_for)
+                        self.assertLessEqual(delay, 10_000.0 if waited_for else MAX_RETRY_MS)
                         now += waited_for + delay
 
     def test_jobs_are_served_throughout_and_discovery_is_called_within_2_5_s_of_its_return(self) -> None:
@@ -182,7 +182,7 @@
                 while len(self.asked_lists()) == called:
                     self.wait(50)
                     waited += 50
-                    self.assertLessEqual(waited, RETRY_MOST)
+                    self.assertLessEqual(waited, MAX_RETRY_MS)
                 self.tell(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("w2", self.name(self.served("after")))
 
--- a/tests/test_solver.py
+++ b/tests/test_solver.py
@@ -1,4 +1,4 @@
-"""The solver against exhaustive search, and the model against known queueing results."""
+"""Compares the solver with exhaustive search, and the queue model with known queueing results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from elderstall.decisions.hill_climb import climb
-from elderstall.decisions.queue_model import queue, tier_edges, utility
+from elderstall.decisions.queue_model import tier_edges, utility, waiting_factor
 from elderstall.decisions.records import Load, Policy, is_feasible, pool_fractions, tier_pairs
 
 
@@ -33,13 +33,13 @@
 
 @pytest.mark.parametrize("rho", [0.3, 0.6, 0.9])
 def test_one_slot_waits_as_in_mm1(rho: float) -> None:
-    assert queue(rho, 1) == pytest.approx(rho)
+    assert waiting_factor(rho, 1) == pytest.approx(rho)
 
 
 @pytest.mark.parametrize("slots", [2, 4, 16, 40])
 @pytest.mark.parametrize("rho", [0.7, 0.85, 0.95])
 def test_waiting_is_near_erlang_c(slots: int, rho: float) -> None:
-    assert queue(rho, slots) == pytest.approx(erlang_c(slots, rho), abs=0.06)
+    assert waiting_factor(rho, slots) == pytest.approx(erlang_c(slots, rho), abs=0.06)
 
 
 def test_climb_matches_exhaustive_search_with_two_tiers() -> None:
@@ -70,24 +70,24 @@
     assert min(found.fractions) >= 0
 
 
-def test_more_load_never_pays_in_response() -> None:
+def test_utility_per_job_falls_with_load() -> None:
     light, heavy = load((0.01, 0.01)), load((0.06, 0.06))
     policy = Policy((0,), (3, 3))
     assert utility(policy, heavy) / 0.12 < utility(policy, light) / 0.02
 
 
 @pytest.mark.parametrize("f", [(-500, 0, 100), (600, -500, 0), (0, 600, 600), (-600, 0, -600)])
-def test_illegal_fractions_are_seen(f: tuple[int, ...]) -> None:
+def test_infeasible_fractions_are_detected(f: tuple[int, ...]) -> None:
     assert not is_feasible(Policy(f, (1, 1, 1)), 3)
 
 
-def test_flows_send_each_tier_s_jobs_exactly_once() -> None:
+def test_pool_fractions_send_each_tier_s_jobs_exactly_once() -> None:
     for f in [(300, 200, 100), (-300, 500, -200), (1000, 0, 0)]:
         rows = pool_fractions(Policy(f, (1, 1, 1)), 3)
         assert all(sum(row) == pytest.approx(1) and min(row) >= 0 for row in rows)
 
 
-def test_tiers_follow_worth() -> None:
+def test_tiers_follow_priority_weight() -> None:
     assert tier_edges([2, 5, 5]) == [5, 2]
     assert tier_edges([1]) == [1]
     assert tier_edges([1, 3, 0.2, 0.6]) == [3, 0.6, 0.2]
