--- a/elderstall/net/handover/__init__.py
+++ b/elderstall/net/handover/__init__.py
@@ -1,4 +1,4 @@
-"""The link between the two processes of an upgrade: messages, framing, and how they find each other."""
+"""The link between the two processes of an upgrade: messages, framing and rendezvous."""
 
 from elderstall.net.handover.peers import Handover
 
--- a/elderstall/net/handover/framing.py
+++ b/elderstall/net/handover/framing.py
@@ -1,4 +1,4 @@
-"""The stream of a link cut into messages, each joined with the descriptor that belongs to it."""
+"""Framing of a link's byte stream into messages, each with the descriptor that belongs to it."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from elderstall.net.buffer import Buffer
 from elderstall.net.handover.messages import Envelope, Message, decode
 
-LINE_LIMIT = 8 * 1024 * 1024  # bytes of one message: thousands of ids and a long list
+MAX_LINE_BYTES = 8 * 1024 * 1024  # of one message: thousands of ids and a long endpoint list
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """A message that has arrived, with its descriptor, which is the receiver's to close."""
+    """A received message with its descriptor, which the receiver has to close."""
 
     envelope: Envelope
     descriptor: int | None
 
 
 @dataclass(slots=True, frozen=True)
-class Unconfirmed:
-    """A descriptor that was sent with a message, and is held until the other process has it."""
+class UnconfirmedDescriptor:
+    """A descriptor sent with a message, kept open until the peer process confirms it."""
 
     descriptor: int
     message: Message
 
 
 class MessageReader:
-    """Bytes and descriptors that have arrived, until they make a whole message."""
+    """Received bytes and descriptors, until they form a complete message."""
 
     def __init__(self) -> None:
         self.buffer = Buffer()
-        self.descriptors: deque[int] = deque()  # their messages are still to come
+        self.descriptors: deque[int] = deque()  # their messages have not arrived yet
 
     def received(self, data: bytes) -> Iterator[Received]:
-        """Add bytes, and give each message that is whole now.
+        """Add bytes, and yield each message that is complete.
 
-        The messages are decoded one by one, so that those before a faulty one are acted on. Raises
-        ValueError, KeyError, TypeError, IndexError or AttributeError at the faulty one.
+        The messages are decoded one by one, so that those before a malformed one are handled. Raises
+        ValueError, KeyError, TypeError, IndexError or AttributeError at the malformed one.
         """
         self.buffer.append(data)
         while (length := self.buffer.find(b"\n")) >= 0:
@@ -48,10 +48,10 @@
             self.buffer.take(1)
             envelope = decode(line)
             yield Received(envelope, self.descriptors.popleft() if envelope.has_descriptor else None)
-        if len(self.buffer) > LINE_LIMIT:
+        if len(self.buffer) > MAX_LINE_BYTES:
             raise ValueError("line too long")
 
     def close(self) -> None:
-        """Close the descriptors whose message has not come."""
+        """Close the descriptors whose message has not arrived."""
         for descriptor in self.descriptors:
             os.close(descriptor)
--- a/elderstall/net/handover/link.py
+++ b/elderstall/net/handover/link.py
@@ -1,4 +1,4 @@
-"""The connection to the other process of an upgrade: a Unix socket that carries messages and descriptors."""
+"""The connection to a peer process of an upgrade: a Unix socket that carries messages and descriptors."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.log import Log
-from elderstall.net.handover.framing import MessageReader, Received, Unconfirmed
+from elderstall.net.handover.framing import MessageReader, Received, UnconfirmedDescriptor
 from elderstall.net.handover.messages import (
     Answer,
     ConnectionTransfer,
@@ -27,41 +27,41 @@
 )
 from elderstall.net.handover.questions import OpenQuestions
 
-READ_TIMEOUT = 5_000.0  # ms for which the other process may leave what is written to it unread
+READ_TIMEOUT_MS = 5_000.0  # for which the peer process may leave written data unread
 
-# What ends a link: messages that are malformed or unknown, and what fails as they are acted on.
+# Errors that end a link: those of malformed or unknown messages, and failures while handling them.
 LINK_ERRORS = (ValueError, KeyError, TypeError, IndexError, AttributeError, OSError)
 
 
 class LinkOwner(Protocol):
-    """What a link needs of the one that holds it."""
+    """The owner of a link, which handles its events."""
 
     deadlines: Deadlines
     log: Log
-    closed: bool  # this process ends: nothing comes back to it
+    closed: bool  # this process is ending: no connection returns to it
 
     def link_opened(self, link: Link) -> None:
-        """Note a new link."""
+        """Record a new link."""
 
     def link_removed(self, link: Link) -> None:
-        """Count a link no more: its questions are answered next."""
+        """Remove a link, before its open questions are answered with no."""
 
     def link_closed(self, link: Link) -> None:
-        """Note that the other process is gone."""
+        """Handle the end of the peer process."""
 
     def message_received(self, link: Link, received: Received) -> None:
-        """Act on a message."""
+        """Handle a message."""
 
     def descriptor_confirmed(self) -> None:
-        """Note that one more descriptor may be sent."""
+        """Handle a confirmed descriptor: one more may be sent."""
 
     def connection_returned(self, descriptor: int, transfer: ConnectionTransfer) -> None:
-        """Serve on with a connection that the other process has not taken."""
+        """Resume serving a connection that the peer process has not received."""
 
 
 @implementer(IFileDescriptorReceiver, IPushProducer)
 class Link(TwistedProtocol):
-    """The connection to one other process."""
+    """The connection to one peer process."""
 
     transport: Any  # IUNIXTransport, as zope's interfaces say nothing to mypy
 
@@ -69,32 +69,32 @@
         self.owner = owner
         self.reader = MessageReader()
         self.questions = OpenQuestions(owner.deadlines)
-        self.unconfirmed: deque[Unconfirmed] = deque()  # the oldest first
-        self.is_successor = False  # the other is the new one, and has asked
-        self.serving = False  # the new one accepts; the old one hands over
-        self.given_up = False  # the other process lives, but does not read
-        self.read_timer: Deadline | None = None  # runs while the other does not read
+        self.unconfirmed: deque[UnconfirmedDescriptor] = deque()  # oldest first
+        self.is_successor = False  # the peer is a new process that has requested a hand-over
+        self.serving = False  # the peer accepts clients; this process hands over
+        self.is_unresponsive = False  # the peer is alive but does not read
+        self.read_timer: Deadline | None = None  # runs while the peer does not read
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.owner.link_opened(self)
         self.transport.registerProducer(self, True)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Limit for how long the other may read nothing: what is written to it waits in memory."""
-        self.read_timer = self.owner.deadlines.after(READ_TIMEOUT, self.give_up)
+        """Start the time-out of a peer that does not read, as unread data waits in memory."""
+        self.read_timer = self.owner.deadlines.after(READ_TIMEOUT_MS, self.abort_unresponsive)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Note that the other reads on."""
+        """Cancel the time-out, as the peer reads again."""
         if self.read_timer is not None:
             self.read_timer.cancel()
 
     def stopProducing(self) -> None:  # noqa: N802, D102
         pass
 
-    def give_up(self) -> None:
-        """Give up on a process that reads nothing: this one serves on by itself."""
+    def abort_unresponsive(self) -> None:
+        """Abort the link to a process that does not read; this one continues to serve."""
         self.owner.log.write("handover", "the other process does not read")
-        self.given_up = True
+        self.is_unresponsive = True
         self.transport.abortConnection()
 
     def fileDescriptorReceived(self, descriptor: int) -> None:  # noqa: N802, D102
@@ -106,12 +106,12 @@
                 self.message_received(received)
         except LINK_ERRORS as error:
             self.owner.log.failure("link", error)
-            # What was confirmed is written first: the other would take back a connection served here.
+            # Confirmations are written first; else the peer would take back a connection served here.
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
     def message_received(self, received: Received) -> None:
-        """Act on a message: answers and confirmations here, the others at the owner."""
+        """Handle answers and confirmations here; pass other messages to the owner."""
         match received.envelope.message:
             case Answer(number, accepted):
                 self.questions.answer(number, accepted)
@@ -122,17 +122,17 @@
                 self.owner.message_received(self, received)
 
     def send(self, message: Message, *, number: int | None = None) -> None:
-        """Send a message; with a number it is a question."""
+        """Send a message, which is a question if it has a number."""
         self.transport.write(encode(Envelope(message, number)))
 
     def send_descriptor(self, message: Message, descriptor: int) -> None:
-        """Send a message with a descriptor: it is the link's, which closes it once the other has it."""
-        self.unconfirmed.append(Unconfirmed(descriptor, message))
+        """Send a message with a descriptor, which the link closes once the peer has confirmed it."""
+        self.unconfirmed.append(UnconfirmedDescriptor(descriptor, message))
         self.transport.sendFileDescriptor(descriptor)
         self.transport.write(encode(Envelope(message, has_descriptor=True)))
 
     def ask(self, question: Question) -> Deferred[bool]:
-        """Ask for the other process's yes or no; without an answer it is a no."""
+        """Ask the peer process a question; the result is False if it does not answer."""
         number, answered = self.questions.open()
         self.send(question, number=number)
         return answered
@@ -144,8 +144,8 @@
         self.questions.close()
         self.owner.link_closed(self)
         for sent in self.unconfirmed:
-            # A process that has ended confirmed what it took. One that does not read may yet take the rest.
-            returns = not self.given_up and not self.owner.closed
+            # A process that ended confirmed what it received; an unresponsive one may still receive the rest.
+            returns = not self.is_unresponsive and not self.owner.closed
             if returns and isinstance(sent.message, ConnectionTransfer):
                 self.owner.connection_returned(sent.descriptor, sent.message)
             else:
--- a/elderstall/net/handover/messages.py
+++ b/elderstall/net/handover/messages.py
@@ -1,7 +1,7 @@
 """The messages between the two processes of an upgrade, as typed records with one codec.
 
-Each is a line of JSON. Its keys are fixed, as processes of two versions meet there: ``m`` names the message,
-``n`` numbers a question that the other process is to answer, and ``fd`` says that a descriptor comes with it.
+Each message is a line of JSON. Its keys are fixed, as the processes may be of different versions: ``m`` names
+the message, ``n`` numbers a question that expects an answer, and ``fd`` says that a descriptor is attached.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from dataclasses import dataclass
 from typing import Any, TypeAlias
 
-VERSION = 1  # of the messages; a process that speaks another one is not served
+VERSION = 1  # of the messages; a process with another version is answered Busy
 
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """A new process asks the one that runs to hand over."""
+    """A new process requests a hand-over from the running one."""
 
     version: object
 
 
 @dataclass(slots=True, frozen=True)
 class Busy:
-    """The process that runs cannot hand over now: another new process is there, or versions differ."""
+    """The running process cannot hand over: it has another successor, or the versions differ."""
 
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """The state of the process that runs, see `ProcessState`; the listener's descriptor comes with it."""
+    """The state of the running process, see `ProcessState`, with the listening socket's descriptor."""
 
     fields: dict[str, Any]
 
@@ -40,38 +40,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Released:
-    """The old process listens no more for a next one: the new process may."""
+    """The old process no longer listens for another successor, so that the new process can."""
 
 
 @dataclass(slots=True, frozen=True)
 class Got:
-    """The oldest descriptor that is not confirmed yet has arrived."""
+    """Confirmation of the oldest unconfirmed descriptor."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionTransfer:
-    """A connection, and its job if one is out, as the server writes them; its descriptor comes with it."""
+    """A connection, and its job if it has one, as the server encodes them, with its descriptor."""
 
     fields: dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionsHeld:
-    """The number of clients' connections that the sender still has."""
+    """The number of connections that the sender still has."""
 
     count: int
 
 
 @dataclass(slots=True, frozen=True)
 class RequestTaken:
-    """The sender has taken a job of this id."""
+    """The sender has accepted a job with this id."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Callback:
-    """A worker's call-back for a job that the sender does not have."""
+    """A worker's callback for a job that the sender does not have."""
 
     call: dict[str, Any]
 
@@ -106,15 +106,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Envelope:
-    """A message with what goes around it."""
+    """A message with its question number and descriptor flag."""
 
     message: Message
-    number: int | None = None  # of a question that waits for an answer
+    number: int | None = None  # of a question that expects an answer
     has_descriptor: bool = False
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Write a message as a line."""
+    """Return a message as a line of JSON."""
     name, fields = _encode_message(envelope.message)
     line: dict[str, Any] = {"m": name}
     if envelope.number is not None:
@@ -126,9 +126,9 @@
 
 
 def decode(line: bytes) -> Envelope:
-    """Read a message from a line without its end.
+    """Return the message of a line, given without its line end.
 
-    Raises ValueError where the message is unknown; that, KeyError, TypeError or AttributeError where it is
+    Raises ValueError if the message is unknown; ValueError, KeyError, TypeError or AttributeError if it is
     malformed.
     """
     fields = json.loads(line)
@@ -141,7 +141,7 @@
 
 
 def _encode_message(message: Message) -> tuple[str, dict[str, Any]]:
-    """Give a message's name and fields on the wire."""
+    """Return a message's name and fields on the wire."""
     match message:
         case State(fields) | ConnectionTransfer(fields):
             return _NAMES[type(message)], fields
--- a/elderstall/net/handover/peers.py
+++ b/elderstall/net/handover/peers.py
@@ -1,7 +1,7 @@
-"""How the processes of an upgrade find each other, and who of them is the listener's.
+"""Rendezvous of the processes of an upgrade, and which of them serves the listening socket.
 
-They meet at a Unix socket in the dispatcher's own folder. The process that is there first hands over, the
-other asks for it. Where one upgrade follows on another before it is over, there are three.
+They connect through a Unix socket in the dispatcher's own folder. A new process requests the hand-over from
+the one that listens there. If an upgrade starts before the previous one is over, there are three processes.
 """
 
 from __future__ import annotations
@@ -31,32 +31,32 @@
     State,
 )
 from elderstall.net.handover.questions import any_accepted
-from elderstall.net.handover.search import Offer, PredecessorSearch, path_too_long
+from elderstall.net.handover.search import Offer, PredecessorSearch, is_path_too_long
 
-UNCONFIRMED_LIMIT = 32  # descriptors on the way at once: each is held twice for a moment
+MAX_UNCONFIRMED_DESCRIPTORS = 32  # sent and not confirmed yet; each is open in both processes
 
 
 class Program(Protocol):
-    """What the program does in an upgrade, see `elderstall.upgrade`."""
+    """The program's part in an upgrade, see `elderstall.upgrade`."""
 
     def make_offer(self) -> Offer:
-        """Give a new process what it needs; the listener's descriptor is a copy, the receiver's to close."""
+        """Return the offer for a new process, with a copy of the listener's descriptor for it to close."""
 
     def message_received(self, message: ProgramMessage, descriptor: int | None) -> bool:
-        """Act on a message; gives the answer if it is a question."""
+        """Handle a message; return the answer if it is a question."""
 
     def links_changed(self) -> None:
-        """Adapt to the other processes that are there now."""
+        """Adapt limits and accepting to the connected peer processes."""
 
     def descriptor_confirmed(self) -> None:
-        """Note that one more connection may be sent."""
+        """Handle a confirmed descriptor: one more connection may be sent."""
 
     def connection_returned(self, descriptor: int, transfer: ConnectionTransfer) -> None:
-        """Serve on with a connection that the other process has not taken."""
+        """Resume serving a connection that the peer process has not received."""
 
 
 class Handover(Factory):
-    """Finds the process that runs, and is found by the next one."""
+    """Requests a hand-over from the running process, and listens for the next one."""
 
     noisy = False
 
@@ -64,31 +64,31 @@
         self.deadlines, self.log, self.reactor = deadlines, log, reactor
         self.path = os.path.join(folder, f"{name}.sock")
         self.links: list[Link] = []
-        self.port: Any = None  # where the next process finds this one
+        self.port: Any = None  # listens for the next process
         self.closed = False
-        self.path_free = True  # nobody else is to be found at the path
+        self.is_path_available = True  # no other process listens at the path
         self.predecessor: Link | None = None  # to the process that hands over to this one
         self.search = PredecessorSearch(deadlines, log, reactor, self, self.predecessor_found)
-        self.program: Program  # set as the program is put together
+        self.program: Program  # set by the program
 
     def buildProtocol(self, addr: object) -> Link:  # noqa: N802, D102
         return Link(self)
 
     def find(self) -> Deferred[Offer | None]:
-        """Ask the process that runs to hand over; gives its offer, or None if there is no such process.
+        """Request a hand-over; the result is the running process's offer, or None if there is none.
 
-        Fails with TimeoutError where one is there but does not hand over.
+        Fails with TimeoutError if a process is running but does not hand over.
         """
         return self.search.begin(self.path)
 
     def predecessor_found(self, link: Link) -> None:
-        """Note the process that is asked to hand over."""
-        self.predecessor, self.path_free = link, False
+        """Record the link to the process that the hand-over is requested from."""
+        self.predecessor, self.is_path_available = link, False
 
     # ---- messages ----
 
     def message_received(self, link: Link, received: Received) -> None:
-        """Act on a message: on those about the listener here, on the others in the program."""
+        """Handle the messages about the listening socket; pass the others to the program."""
         match received.envelope.message:
             case Hello(version):
                 self.offer(link, version)
@@ -101,13 +101,13 @@
             case Serving():
                 self.release(link)
             case Released():
-                self.path_free = True
+                self.is_path_available = True
                 self.listen()
             case message:
                 self.program_message(link, cast("ProgramMessage", message), received)
 
     def program_message(self, link: Link, message: ProgramMessage, received: Received) -> None:
-        """Have the program act on a message; a question is put to a third process too, and answered."""
+        """Pass a message to the program; a question is forwarded to a third process too, and answered."""
         accepted = self.program.message_received(message, received.descriptor)
         if received.descriptor is not None:
             link.send(Got())
@@ -117,7 +117,7 @@
             others.addCallback(lambda yes: link.send(Answer(number, accepted or yes)))
 
     def offer(self, link: Link, version: object) -> None:
-        """Hand over to a new process: one at a time."""
+        """Hand over to a new process, to one at a time."""
         if version != VERSION or any(other.is_successor for other in self.links):
             link.send(Busy())
             return
@@ -128,17 +128,17 @@
         self.program.links_changed()
 
     def release(self, link: Link) -> None:
-        """Leave the listener, and the place at the path, to a new process that serves now."""
-        self.log.write("handover", "a new process serves; it gets the connections")
+        """Leave accepting and the path of the Unix socket to a new process that serves."""
+        self.log.write("handover", "a new process accepts clients; handing over connections to it")
         link.serving = True
         self.stop_listening().addBoth(lambda _: link.send(Released()))
         self.program.links_changed()
 
-    # ---- the place at the path ----
+    # ---- the Unix socket ----
 
     def listen(self) -> None:
-        """Be there for the next process. A dead one's socket is replaced; without any all else works."""
-        if self.port is not None or not self.path_free or path_too_long(self.path):
+        """Listen for the next process, replacing a dead one's socket; a failure only prevents upgrades."""
+        if self.port is not None or not self.is_path_available or is_path_too_long(self.path):
             return
         try:
             if os.path.exists(self.path):
@@ -148,7 +148,7 @@
             self.log.write("handover", f"no next process can take over: {error}")
 
     def stop_listening(self) -> Deferred[None]:
-        """Be found no more: the next process asks the one that serves now."""
+        """Stop listening, so that the next process connects to the one that serves now."""
         port, self.port = self.port, None
         done = Deferred[None]()
         if port is None:
@@ -157,30 +157,30 @@
         return cast("Deferred[None]", port.stopListening())
 
     def close(self) -> None:
-        """End with this process: its links end with no word on what they were for.
+        """Ignore the ends of links from now on, as this process is ending.
 
-        Guards the socket of the process that serves now: this one would take its place as it goes.
+        Otherwise this process would replace the socket of the process that serves.
         """
         self.closed = True
 
     # ---- the other processes ----
 
-    def established(self, link: Link) -> bool:
-        """Say whether one of the two processes has handed its state over to the other."""
-        return link.is_successor or (link is self.predecessor and not self.search.under_way)
+    def is_established(self, link: Link) -> bool:
+        """Return whether one of the two processes has handed its state over to the other."""
+        return link.is_successor or (link is self.predecessor and not self.search.is_active)
 
     @property
     def others(self) -> list[Link]:
-        """The other processes of the dispatcher."""
-        return [link for link in self.links if self.established(link)]
+        """The links to the dispatcher's other processes."""
+        return [link for link in self.links if self.is_established(link)]
 
     @property
     def successor(self) -> Link | None:
-        """The process that serves instead of this one."""
+        """The link to the process that serves instead of this one, or None."""
         return next((link for link in self.links if link.serving), None)
 
     def ask_others(self, question: Question, asker: Link | None = None) -> Deferred[bool]:
-        """Ask every other process but the asker; gives whether any says yes."""
+        """Ask every other process except the asker; the result is whether any answers yes."""
         return any_accepted([link.ask(question) for link in self.others if link is not asker])
 
     def announce(self, message: Message) -> None:
@@ -189,7 +189,7 @@
             link.send(message)
 
     def send_connection(self, descriptor: int, transfer: ConnectionTransfer) -> bool:
-        """Hand a connection to the process that serves, if there is one."""
+        """Send a connection to the successor; return False if there is none."""
         successor = self.successor
         if successor is None:
             return False
@@ -197,33 +197,33 @@
         return True
 
     @property
-    def may_send_connection(self) -> bool:
-        """Whether there is a new process, and another descriptor may go its way."""
+    def can_send_connection(self) -> bool:
+        """Whether there is a successor and another descriptor may be sent to it."""
         successor = self.successor
-        return successor is not None and len(successor.unconfirmed) < UNCONFIRMED_LIMIT
+        return successor is not None and len(successor.unconfirmed) < MAX_UNCONFIRMED_DESCRIPTORS
 
     @property
     def has_unconfirmed(self) -> bool:
-        """Whether descriptors are on their way that may yet come back."""
+        """Whether sent descriptors are unconfirmed, so that they may still return."""
         return any(link.unconfirmed for link in self.links)
 
-    # ---- what links note ----
+    # ---- events of links ----
 
     def link_opened(self, link: Link) -> None:
-        """Note a new link."""
+        """Record a new link."""
         self.links.append(link)
 
     def link_removed(self, link: Link) -> None:
-        """Count a link no more."""
+        """Remove a link."""
         self.links.remove(link)
 
     def link_closed(self, link: Link) -> None:
-        """Note that the other process is gone."""
+        """Handle the end of the peer process."""
         if self.closed:
             return
         if link is self.predecessor:
-            self.predecessor, self.path_free = None, True
-            if self.search.under_way:
+            self.predecessor, self.is_path_available = None, True
+            if self.search.is_active:
                 self.search.retry()
                 return
             self.listen()
@@ -233,9 +233,9 @@
         self.program.links_changed()
 
     def descriptor_confirmed(self) -> None:
-        """Use the room on the way."""
+        """Notify the program that another descriptor may be sent."""
         self.program.descriptor_confirmed()
 
     def connection_returned(self, descriptor: int, transfer: ConnectionTransfer) -> None:
-        """Serve on with a connection that the other process has not taken."""
+        """Resume serving a connection that the peer process has not received."""
         self.program.connection_returned(descriptor, transfer)
--- a/elderstall/net/handover/process_state.py
+++ b/elderstall/net/handover/process_state.py
@@ -1,7 +1,7 @@
-"""The state of the process that runs, as it hands it to the next one: a record with one codec.
+"""The state that a running process hands over to its successor: a record with one codec.
 
-The message's keys are fixed, as processes of two versions meet there. Times stay as the sender's shared clock
-has written them, so that they compare with those in ``learned``; ``clock`` reads them.
+The message's keys are fixed, as the processes may be of different versions. Times stay as encoded by the
+sender's shared clock, so that they compare with those in ``learned``; ``clock`` decodes them.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessState:
-    """What a new process needs to go on. Times are as ``clock`` writes them, ms."""
+    """The state that a new process continues from. Times are as encoded by ``clock``, ms."""
 
     clock: SharedClock
-    starts: Mapping[str, Sequence[float]]  # of workers: Unix ms by the list, and the reading for it
-    endpoints: dict[str, Any] | None  # the list as discovery writes it; None where it was not sent
-    discovery: str | None  # the address the list came from
+    starts: Mapping[str, Sequence[float]]  # of workers: Unix time from the list, ms, and the clock reading
+    endpoints: dict[str, Any] | None  # the endpoint list as discovery encodes it; None if not sent
+    discovery: str | None  # the address that the list came from
     banned: Mapping[str, float]  # when each worker was banned
     bans_ended: Mapping[str, Sequence[float]]  # when each was banned, and when its ban ended
-    request_ids: Sequence[str]  # of jobs that were taken: none of them is taken again
-    streamed: Sequence[str]  # ids of jobs that must not run again for a client that connects anew
-    learned: dict[str, Any] | None  # by the decisions, see `engine.learned_transfer`
-    connections: int  # of clients, which the process that runs still has
+    request_ids: Sequence[str]  # of accepted jobs; none of them is accepted again
+    streamed: Sequence[str]  # ids of jobs that must not run again when a client reconnects
+    learned: dict[str, Any] | None  # of the decisions, see `engine.learned_transfer`
+    connections: int  # open connections of the running process
 
     def encode(self) -> dict[str, Any]:
-        """Write it as plain data for a message."""
+        """Return the state as the fields of a message."""
         return {
             "clock": self.clock.encode(),
             "starts": self.starts,
@@ -45,7 +45,7 @@
 
     @classmethod
     def decode(cls, message: dict[str, Any], local_offset: float) -> ProcessState:
-        """Read it from a message; raises KeyError where a key is missing that every version sends."""
+        """Return the state of a message; raises KeyError if a key that every version sends is missing."""
         return cls(
             clock=SharedClock.of_message(message, local_offset),
             starts=message.get("starts", {}),
--- a/elderstall/net/handover/questions.py
+++ b/elderstall/net/handover/questions.py
@@ -1,4 +1,4 @@
-"""Questions to the other process of an upgrade that wait for their answers."""
+"""Open questions to a peer process of an upgrade."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from elderstall.deadlines import Deadlines
 
-QUESTION_TIMEOUT = 300.0  # ms for the other process's answer; operators wait 1 s for theirs
+QUESTION_TIMEOUT_MS = 300.0  # for the peer's answer; operators wait 1 s for theirs
 
 
 class OpenQuestions:
-    """The questions of one link. Without an answer in time, or at the link's end, the answer is no."""
+    """The open questions of one link. The answer is no after a time-out or at the link's end."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
@@ -20,11 +20,11 @@
         self.waiting: dict[int, Deferred[bool]] = {}
 
     def open(self) -> tuple[int, Deferred[bool]]:
-        """Give a new question's number, and what its answer comes to."""
+        """Return a new question's number and the Deferred of its answer."""
         self.count += 1
         number, answered = self.count, Deferred[bool]()
         self.waiting[number] = answered
-        timer = self.deadlines.after(QUESTION_TIMEOUT, self.answer, number, False)
+        timer = self.deadlines.after(QUESTION_TIMEOUT_MS, self.answer, number, False)
 
         def cancel_timer(accepted: bool) -> bool:  # noqa: FBT001 - a Deferred's callback
             timer.cancel()
@@ -34,19 +34,19 @@
         return number, answered
 
     def answer(self, number: int, accepted: bool) -> None:  # noqa: FBT001 - called by a timer
-        """Pass an answer on, if it is still waited for."""
+        """Resolve a question with its answer, if it is still open."""
         answered = self.waiting.pop(number, None)
         if answered is not None:
             answered.callback(accepted)
 
     def close(self) -> None:
-        """Answer what still waits with no."""
+        """Answer all open questions with no."""
         for number in list(self.waiting):
             self.answer(number, False)
 
 
 def any_accepted(answers: Sequence[Deferred[bool]]) -> Deferred[bool]:
-    """Give, once all answers are there, whether one of them is yes."""
+    """Return a Deferred that fires when all answers are known, with whether any of them is yes."""
     done = Deferred[bool]()
     if not answers:
         done.callback(False)
--- a/elderstall/net/handover/search.py
+++ b/elderstall/net/handover/search.py
@@ -1,4 +1,4 @@
-"""The search of a new process for the one that runs."""
+"""A new process's search for the running process that hands over to it."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from elderstall.net.handover.link import Link
 from elderstall.net.handover.messages import VERSION, Hello
 
-CONNECT_TIMEOUT_S = 1.0  # s to connect to the process that runs; it is on this machine
-OFFER_TIMEOUT = 5_000.0  # ms for it to hand over: the platform waits 6 s for the new one
-BUSY_RETRY = 100.0  # ms until a call that found the other too busy is made again
-PATH_LIMIT = 107  # bytes of a Unix socket's path, by the system's limit
+CONNECT_TIMEOUT_S = 1.0  # to connect to the running process, which is on this machine
+OFFER_TIMEOUT_MS = 5_000.0  # for it to hand over; the platform waits 6 s for the new process
+BUSY_RETRY_INTERVAL_MS = 100.0  # until a busy process is asked again
+MAX_SOCKET_PATH_BYTES = 107  # the system's limit for the path of a Unix socket
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """What the process that runs hands over: its state as plain data, and the listener's descriptor."""
+    """The running process's offer: its state as a message's fields, and the listener's descriptor."""
 
     state: dict[str, Any]
     listener: int
 
 
-def path_too_long(path: str) -> bool:
-    """Say whether the system has no room for a socket's path."""
-    return len(os.fsencode(path)) > PATH_LIMIT
+def is_path_too_long(path: str) -> bool:
+    """Return whether a Unix socket's path is longer than the system allows."""
+    return len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES
 
 
 class PredecessorSearch:
-    """Connects to the process that runs, and asks it to hand over."""
+    """Connects to the running process, and requests a hand-over."""
 
     def __init__(
         self,
@@ -47,64 +47,67 @@
         factory: Factory,
         connected: Callable[[Link], None],
     ) -> None:
-        self.deadlines, self.log, self.reactor = deadlines, log, reactor
-        self.factory, self.connected = factory, connected
+        self.deadlines = deadlines
+        self.log = log
+        self.reactor = reactor
+        self.factory = factory
+        self.connected = connected
         self.path = ""
         self.awaited: Deferred[Offer | None] | None = None
 
     @property
-    def under_way(self) -> bool:
-        """Whether nothing has come of it yet."""
+    def is_active(self) -> bool:
+        """Whether the search has no result yet."""
         return self.awaited is not None
 
     def begin(self, path: str) -> Deferred[Offer | None]:
-        """Search at a path; gives the offer, or None if no process runs.
+        """Search at a path; the result is the offer, or None if no process is running.
 
-        Fails with TimeoutError where one is there but does not hand over.
+        Fails with TimeoutError if a process is running but does not hand over.
         """
         self.path = path
         self.awaited = awaited = Deferred[Offer | None]()
-        if path_too_long(path):
+        if is_path_too_long(path):
             self.log.write("handover", f"off: the path of {path} is too long")
             self.settle(None)
         elif not os.path.exists(path):
             self.settle(None)
         else:
-            self.deadlines.after(OFFER_TIMEOUT, self.timed_out)
+            self.deadlines.after(OFFER_TIMEOUT_MS, self.timed_out)
             self.connect()
         return awaited
 
     def connect(self) -> None:
-        """Connect to the process that runs."""
+        """Connect to the running process."""
         if self.awaited is None:
             return
         endpoint_class: Any = UNIXClientEndpoint
         endpoint = endpoint_class(self.reactor, self.path, timeout=CONNECT_TIMEOUT_S)
         connecting = cast("Deferred[Link]", endpoint.connect(self.factory))
-        connecting.addCallbacks(self.ask, self.nobody_listens)
+        connecting.addCallbacks(self.ask, self.connection_failed)
 
     def ask(self, link: Link) -> None:
-        """Ask the process that runs to hand over."""
+        """Request the hand-over from the running process."""
         self.connected(link)
         link.send(Hello(VERSION))
 
     def retry(self) -> None:
-        """Connect again: the other was busy with a third process, or died."""
-        self.deadlines.after(BUSY_RETRY, self.connect)
+        """Connect again after a delay, as the peer was busy with a third process, or ended."""
+        self.deadlines.after(BUSY_RETRY_INTERVAL_MS, self.connect)
 
-    def nobody_listens(self, failure: Failure) -> None:
-        """Take a socket that nobody listens on for one that a dead process has left."""
+    def connection_failed(self, failure: Failure) -> None:
+        """Treat a socket that no process listens on as left by a dead one, and end the search."""
         self.log.write("handover", f"nobody listens on {self.path}: {type(failure.value).__name__}")
         self.settle(None)
 
     def timed_out(self) -> None:
-        """Give up on a process that is there but does not hand over."""
+        """Fail the search, as the running process does not hand over."""
         if self.awaited is not None:
             awaited, self.awaited = self.awaited, None
-            awaited.errback(TimeoutError("the process that runs does not hand over"))
+            awaited.errback(TimeoutError("the running process did not hand over in time"))
 
     def settle(self, offer: Offer | None) -> None:
-        """Give what was found."""
+        """End the search with its result."""
         if self.awaited is not None:
             awaited, self.awaited = self.awaited, None
             awaited.callback(offer)
--- a/elderstall/net/server/admission.py
+++ b/elderstall/net/server/admission.py
@@ -1,6 +1,6 @@
-"""How many connections are admitted, and which are shed first where descriptors run short.
+"""Limits on the number of connections, and the order in which they are shed when descriptors run short.
 
-Past the soft limit connections that can best be done without are closed; past the hard one none is accepted.
+Above the shedding threshold the least valuable connections are closed; at the maximum none is accepted.
 """
 
 from __future__ import annotations
@@ -13,56 +13,60 @@
 from elderstall.deadlines import Deadline, Deadlines
 from elderstall.slots import Slots
 
-SHED_CANDIDATES = 8  # connections of one activity that are looked at for one to shed, in one go
-MIN_SHED_AGE = 100.0  # ms in which a new client's first request is on its way, however busy this program is
+MAX_SHED_CANDIDATES = 8  # connections of one activity that one search examines
+# A new client's first request may still be on its way for this long, even when this process is busy.
+MIN_SHED_AGE_MS = 100.0
 
 
 class Activity(IntEnum):
-    """What a connection that may be shed is doing; the lowest is shed first."""
+    """The activity of a connection that can be shed; the lowest is shed first."""
 
     NEW = 0  # no request yet
-    CLOSING = 1  # the last answer is out
-    HEALTH_CHECKED = 2  # between requests; it has asked for /up alone
+    CLOSING = 1  # the last answer has been written
+    HEALTH_CHECKED = 2  # between requests; it has requested only /up
     IDLE = 3  # a client or a worker between requests
-    READING = 4  # amid a request whose head is good
+    READING = 4  # receiving a request whose head is valid
 
 
 class Sheddable(Protocol):
-    """A connection as the table sees it."""
+    """The interface of a connection that the table uses."""
 
     number: int
     activity: Activity | None
     active_since: float
 
     @property
-    def may_shed(self) -> bool:
-        """Whether nothing that is owed to the peer would be lost with the connection."""
+    def can_shed(self) -> bool:
+        """Whether closing the connection loses nothing that is owed to the peer."""
 
     def shed(self) -> None:
-        """Close for want of descriptors."""
+        """Close because descriptors run short."""
 
 
-C = TypeVar("C", bound=Sheddable)
+ConnectionT = TypeVar("ConnectionT", bound=Sheddable)
 
 
-class ConnectionTable(Generic[C]):
-    """The connections that are open, by their numbers and by what they are doing."""
+class ConnectionTable(Generic[ConnectionT]):
+    """The open connections, by number and by activity."""
 
     def __init__(self, deadlines: Deadlines, max_connections: int, shedding_threshold: int) -> None:
         self.deadlines = deadlines
-        # Accepting stops one step before the table is full; the reactor may hand over a few in one go.
-        self.connections: Slots[C] = Slots()
-        self.max_connections, self.shedding_threshold = max_connections, shedding_threshold
-        self.peer_process_connections = 0  # of an upgrade; they count against the limits here
-        # Those that may be shed, in the order of shedding; in each the longest there first.
-        self.by_activity: tuple[dict[int, C], ...] = tuple({} for _ in Activity)
-        self.closing_count = 0  # connections whose descriptor is free soon
-        self.accept: Callable[[bool], None] = lambda on: None  # turns the listening port's reading on or off
+        # Unlimited: the reactor may accept a few connections in one turn before it stops accepting.
+        self.connections: Slots[ConnectionT] = Slots()
+        self.max_connections = max_connections
+        self.shedding_threshold = shedding_threshold
+        # Connections of the peer process of an upgrade, which count against the limits of this one.
+        self.peer_process_connections = 0
+        # The connections that can be shed, in the order of shedding; within an activity the oldest is first.
+        self.by_activity: tuple[dict[int, ConnectionT], ...] = tuple({} for _ in Activity)
+        self.closing_count = 0  # connections whose descriptor will soon be free
+        # Enables or disables accepting on the listening port.
+        self.accept: Callable[[bool], None] = lambda enabled: None
         self.accepting = True
         self.recheck: Deadline | None = None
 
-    def set_activity(self, connection: C, activity: Activity | None) -> None:
-        """Note what a connection is doing; with None it may not be shed."""
+    def set_activity(self, connection: ConnectionT, activity: Activity | None) -> None:
+        """Record the activity of a connection; with None it cannot be shed."""
         if connection.activity is not None:
             self.by_activity[connection.activity].pop(connection.number, None)
         connection.activity = activity
@@ -70,56 +74,60 @@
         if activity is not None:
             self.by_activity[activity][connection.number] = connection
 
-    def with_activity(self, *activities: Activity) -> list[C]:
-        """List the connections of some activities, in their order."""
-        return [c for activity in activities for c in self.by_activity[activity].values()]
+    def with_activity(self, *activities: Activity) -> list[ConnectionT]:
+        """Return the connections with the given activities, in the order of the arguments."""
+        return [connection for activity in activities for connection in self.by_activity[activity].values()]
 
-    def first_to_shed(self) -> C | None:
-        """Give the connection that can best be done without."""
+    def first_to_shed(self) -> ConnectionT | None:
+        """Return the connection to shed first, or None if none can be shed."""
         now = self.deadlines.now()
         for activity, connections in zip(Activity, self.by_activity, strict=True):
-            for connection in islice(connections.values(), SHED_CANDIDATES):
-                if activity <= Activity.CLOSING and now - connection.active_since < MIN_SHED_AGE:
+            for connection in islice(connections.values(), MAX_SHED_CANDIDATES):
+                if activity <= Activity.CLOSING and now - connection.active_since < MIN_SHED_AGE_MS:
                     break
-                if connection.may_shed:
+                if connection.can_shed:
                     return connection
         return None
 
     @property
-    def soft_limit(self) -> int:
-        """How many connections are kept before some are shed."""
+    def local_shedding_threshold(self) -> int:
+        """The number of connections above which this process sheds some."""
         return self.shedding_threshold - self.peer_process_connections
 
     @property
     def capacity_left(self) -> int:
-        """How many more connections may come in."""
+        """The number of further connections that may be accepted."""
         return self.max_connections - self.peer_process_connections - len(self.connections)
 
     @property
     def open_count(self) -> int:
-        """How many connections are not about to be free."""
+        """The number of connections whose descriptor is not about to be freed."""
         return len(self.connections) - self.closing_count
 
     @property
     def busy_count(self) -> int:
-        """How many connections have a request in hand."""
+        """The number of connections that are handling a request."""
         return self.open_count - sum(map(len, self.by_activity))
 
     def enforce_limits(self) -> None:
-        """Keep descriptors back: past the soft limit some are shed, past the hard one none come in.
+        """Shed connections above the threshold, and stop accepting at the maximum.
 
-        Guards the usual clients and workers' callbacks against hundreds that connect and say nothing.
+        Hundreds of peers that connect and send nothing would otherwise use up the descriptors that ordinary
+        clients and workers' callbacks need.
         """
-        while self.open_count > self.soft_limit and (connection := self.first_to_shed()) is not None:
+        while (
+            self.open_count > self.local_shedding_threshold
+            and (connection := self.first_to_shed()) is not None
+        ):
             connection.shed()
-        if (on := self.capacity_left > 0) is not self.accepting:
-            self.accepting = on
-            self.accept(on)
-        if self.open_count > self.soft_limit and self.recheck is None:
-            # The youngest will be older then.
-            self.recheck = self.deadlines.after(MIN_SHED_AGE, self.check_again)
+        if (enabled := self.capacity_left > 0) is not self.accepting:
+            self.accepting = enabled
+            self.accept(enabled)
+        if self.open_count > self.local_shedding_threshold and self.recheck is None:
+            # By then connections that are too new to shed now have reached the minimum age.
+            self.recheck = self.deadlines.after(MIN_SHED_AGE_MS, self.check_again)
 
     def check_again(self) -> None:
-        """See whether some may be shed now."""
+        """Enforce the limits again, as connections that were too new can be shed now."""
         self.recheck = None
         self.enforce_limits()
--- a/elderstall/net/server/callbacks.py
+++ b/elderstall/net/server/callbacks.py
@@ -1,4 +1,4 @@
-"""What workers call back about their attempts."""
+"""Workers' callbacks about their attempts."""
 
 from __future__ import annotations
 
@@ -24,73 +24,73 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerCallback:
-    """One call of a worker about an attempt."""
+    """One callback of a worker about an attempt."""
 
     request_id: str
     worker: str
     state: str
-    plain: dict[str, Any]  # as it came: for the other process of an upgrade
+    fields: dict[str, Any]  # as received, to forward to the peer process of an upgrade
 
     @classmethod
-    def from_plain(cls, plain: Any) -> WorkerCallback:
-        """Read a call that was JSON; raises RequestError."""
-        if not isinstance(plain, dict):
+    def from_fields(cls, fields: Any) -> WorkerCallback:
+        """Return the callback from decoded JSON; raises RequestError."""
+        if not isinstance(fields, dict):
             raise RequestError(400, "no JSON object")
-        request_id, worker, state = plain.get("id"), plain.get("from"), plain.get("state")
+        request_id, worker, state = fields.get("id"), fields.get("from"), fields.get("state")
         if not (isinstance(request_id, str) and isinstance(worker, str) and isinstance(state, str)):
             raise RequestError(400, "id, from and state are text")
-        return cls(request_id, worker, state, plain)
+        return cls(request_id, worker, state, fields)
 
     @classmethod
     def from_body(cls, body: bytes) -> WorkerCallback:
-        """Read the body of a request; raises RequestError."""
+        """Return the callback from a request's body; raises RequestError."""
         try:
-            plain: Any = json.loads(body)
+            fields: Any = json.loads(body)
         except (ValueError, RecursionError):
             raise RequestError(400, "no JSON") from None
-        return cls.from_plain(plain)
+        return cls.from_fields(fields)
 
     @property
-    def share_done(self) -> float:
-        """The share of the work that is done; 0 where none is given."""
-        share = self.plain.get("share")
+    def fraction_done(self) -> float:
+        """The fraction of the work that is done; 0 if the callback states none."""
+        share = self.fields.get("share")
         return float(share) if isinstance(share, int | float) and 0 <= share <= 1 else 0.0
 
     @property
     def result(self) -> bytes:
-        """The result: text as it is, anything else as JSON."""
-        result = self.plain.get("result", "")
+        """The result: text unchanged, anything else as JSON."""
+        result = self.fields.get("result", "")
         text = result if isinstance(result, str) else json.dumps(result)
         return text.encode("utf-8", "surrogatepass")
 
     @property
     def load(self) -> object:
-        """The worker's load report, unread."""
-        return self.plain.get("load")
+        """The worker's load report, not parsed yet."""
+        return self.fields.get("load")
 
 
 class CallbackReceiver:
-    """Takes callbacks to the engine; only a live attempt's own worker is heard."""
+    """Applies callbacks to the engine; only those from the worker of a live attempt have an effect."""
 
     def __init__(self, engine: Engine, log: Log, parse_report: ReportParser) -> None:
         self.engine, self.log, self.parse_report = engine, log, parse_report
-        # Asks the other process of an upgrade about a callback, if there is one.
+        # Forwards a callback to the peer process of an upgrade, if there is one.
         self.ask_others: Callable[[Any], Deferred[bool] | None] = lambda call: None
 
     def forward(self, callback: WorkerCallback) -> Deferred[bool] | None:
-        """Ask the other process where the job is not this one's; None where there is none to ask."""
+        """Forward a callback to the peer process; None if the job is here or there is no peer process."""
         if self.engine.jobs.knows(callback.request_id):
             return None
-        return self.ask_others(callback.plain)
+        return self.ask_others(callback.fields)
 
     def apply(self, callback: WorkerCallback) -> bool:
-        """Act on a callback about a job here; say whether its attempt is live."""
+        """Apply a callback to its attempt; return whether this process has that attempt live."""
         attempt = self.engine.jobs.live_attempt(callback.request_id, callback.worker)
         if attempt is None:
             return False
         state = callback.state
         if state in PROGRESS_STATES:
-            self.engine.attempts.worker_started(attempt, callback.share_done, started=state == STARTED)
+            self.engine.attempts.worker_started(attempt, callback.fraction_done, started=state == STARTED)
         elif state in ENDINGS:
             outcome = Outcome(ENDINGS[state], callback.result, self.parse_report(callback.load))
             self.engine.attempts.worker_ended(attempt, outcome)
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection as Twisted sees it: what the reactor calls."""
+"""The Twisted protocol of one accepted connection: the methods that the reactor calls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from elderstall.net.server.request_connection import RequestConnection
 from elderstall.net.server.state import CloseReason, Stage
 
-READ_AT_ONCE = 16 * 1024  # bytes taken from a socket in one go: hundreds may send at once, in little memory
+READ_BUFFER_BYTES = 16 * 1024  # per read: limits the memory when hundreds of peers send at once
 
 
 @implementer(IPushProducer)
@@ -22,13 +22,13 @@
     def connectionMade(self) -> None:  # noqa: N802, D102
         table = self.server.table
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = READ_AT_ONCE
+        self.transport.bufferSize = READ_BUFFER_BYTES
         self.number = table.connections.add(self)
         self.transport.registerProducer(self, True)
         table.set_activity(self, Activity.NEW)
         self.message_began = self.active_since
         table.enforce_limits()
-        # From here on, not from its first byte: a peer that says nothing holds a descriptor all the same.
+        # Starts at the connection, not at its first byte: a silent peer holds a descriptor too.
         self.set_timeout(self.server.timeouts.request, CloseReason.SILENT)
 
     # ---- reading ----
@@ -40,7 +40,7 @@
         if self.first_byte_at is None:
             self.first_byte_at = self.last_received
         if self.activity in (Activity.HEALTH_CHECKED, Activity.IDLE):
-            # Guards against a later request without end; the first has its time from the connection's start.
+            # Limits a later request that never ends; the first one is timed from the connection's start.
             self.expect_request(self.last_received)
         self.parser.feed(data)
         self.process_received()
@@ -48,9 +48,9 @@
     # ---- the peer's reading ----
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop answering while the peer does not read; it has so long to take what is there."""
+        """Stop answering while the peer does not read, for no longer than the time-out for writing."""
         self.blocked = True
-        if not self.busy:  # else the job's own deadline bounds the wait
+        if not self.busy:  # else the job's deadline limits the wait
             self.watch_writing()
 
     def resumeProducing(self) -> None:  # noqa: N802, D102
@@ -86,8 +86,10 @@
         table.closing_count -= self.stage is Stage.ENDING
         table.connections.remove(self.number)
         if self.handed_descriptor is not None:
-            self.server.passed(self, whole=isinstance(reason.value, ConnectionDone))  # else it broke first
+            self.server.complete_hand_over(
+                self, closed_cleanly=isinstance(reason.value, ConnectionDone)
+            )  # False: it was lost before the hand-over
         else:
-            kind = "client" if self.client else "peer"
+            kind = "client" if self.is_client else "peer"
             self.server.log.ended(kind, self.number, self.reason, f"{self.requests} requests")
         table.enforce_limits()
--- a/elderstall/net/server/delegation.py
+++ b/elderstall/net/server/delegation.py
@@ -1,4 +1,4 @@
-"""Attributes of the listener that one of its parts holds."""
+"""Attributes that an object delegates to one of its components."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 T = TypeVar("T")
 
 
-class PartAttribute(Generic[T]):
-    """An attribute that is read from, and set on, a part of its owner."""
+class DelegatedAttribute(Generic[T]):
+    """A descriptor that reads and sets an attribute of one of its owner's components."""
 
-    def __init__(self, part: str, name: str) -> None:
-        self.part, self.name = part, name
+    def __init__(self, component: str, name: str) -> None:
+        self.component = component
+        self.name = name
 
     def __get__(self, owner: Any, kind: type | None = None) -> T:
-        return cast("T", getattr(getattr(owner, self.part), self.name))
+        return cast("T", getattr(getattr(owner, self.component), self.name))
 
     def __set__(self, owner: Any, value: T) -> None:
-        setattr(getattr(owner, self.part), self.name, value)
+        setattr(getattr(owner, self.component), self.name, value)
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -1,4 +1,4 @@
-"""An upgrade: connections and their jobs move between the two processes that serve one address."""
+"""Hand-over of connections and their jobs between the two processes of an upgrade."""
 
 from __future__ import annotations
 
@@ -16,41 +16,47 @@
 
 
 def release(connection: RequestConnection) -> bool:
-    """Close a connection here, and keep a copy of its descriptor for the other process.
+    """Close a connection in this process, keeping a copy of its descriptor for the peer process.
 
-    Nothing is shut down: what the client writes from here on waits in the kernel for that process.
+    The socket is not shut down: what the client writes from now on waits in the kernel for that process.
+    Returns False if no descriptor is free for the copy.
     """
     transport = connection.transport
     try:
         connection.handed_descriptor = os.dup(transport.fileno())
     except OSError:
         return False
-    connection.stage, connection.reason = Stage.CLOSING, CloseReason.PASSED
+    connection.stage = Stage.CLOSING
+    connection.reason = CloseReason.HANDED_OVER
     connection.cancel_timeout()
     connection.server.table.set_activity(connection, None)
     transport.unregisterProducer()
-    # Twisted would shut the socket down for both; it still writes first what there is to write.
+    # Twisted would shut the socket down for both processes; pending data is still written first.
     transport._shouldShutdown = False
     transport.loseConnection()
     return True
 
 
-class HandingOver:
-    """Gives connections to the other process, and takes on those that it gives."""
+class ConnectionHandover:
+    """Hands connections over to the peer process, and adopts those that it hands over."""
 
     def __init__(
         self, engine: Engine, deadlines: Deadlines, table: ConnectionTable[ServerConnection]
     ) -> None:
-        self.engine, self.deadlines, self.table = engine, deadlines, table
-        self.can_hand_over: Callable[[], bool] = lambda: False  # another process takes connections
-        self.send_connection: Callable[..., bool] = lambda fd, **fields: False  # gives it one
-        # Serves on with one that the other process could not be given.
-        self.take_back_connection: Callable[[int, dict[str, Any]], None] = lambda fd, fields: os.close(fd)
-        # Ids of jobs let go of and not yet handed over: a callback that comes meanwhile is to come again.
+        self.engine = engine
+        self.deadlines = deadlines
+        self.table = table
+        self.can_hand_over: Callable[[], bool] = lambda: False  # whether a peer process accepts them
+        self.send_connection: Callable[..., bool] = lambda descriptor, **fields: False  # to the peer
+        # Resumes serving a connection that could not be sent to the peer process.
+        self.take_back_connection: Callable[[int, dict[str, Any]], None] = lambda descriptor, fields: (
+            os.close(descriptor)
+        )
+        # Ids of jobs released here and not handed over yet: a worker has to repeat a callback for them.
         self.ids_in_transfer: set[str] = set()
 
     def hand_over_all(self) -> None:
-        """Hand over the connections between requests and those whose jobs can move, as many as may."""
+        """Hand over idle connections and those whose jobs can move, until no more can be sent."""
         for connection in self.table.with_activity(Activity.IDLE, Activity.HEALTH_CHECKED, Activity.NEW):
             if not self.can_hand_over():
                 return
@@ -59,27 +65,47 @@
             if connection.job is not None and self.can_hand_over():
                 self.hand_over_job(connection)
 
-    def hand_over_idle(self, c: RequestConnection) -> bool:
-        """Leave a connection that is between requests to the process that takes over, if there is one."""
-        idle = not (c.busy or c.blocked or c.closing or c.message or c.paused) and c.parser.idle
-        return idle and self.can_hand_over() and release(c)
-
-    def hand_over_job(self, c: RequestConnection) -> bool:
-        """Leave a connection whose job is out to that process, with the job."""
-        plain = c.busy and c.job is not None and c.stream is None and c.parser.idle
-        if not plain or c.blocked or c.paused or c.closing or not self.can_hand_over():
+    def hand_over_idle(self, connection: RequestConnection) -> bool:
+        """Hand over a connection that is between requests; return whether it was released."""
+        idle = (
+            not (
+                connection.busy
+                or connection.blocked
+                or connection.closing
+                or connection.message
+                or connection.paused
+            )
+            and connection.parser.idle
+        )
+        return idle and self.can_hand_over() and release(connection)
+
+    def hand_over_job(self, connection: RequestConnection) -> bool:
+        """Hand over a connection together with its job; return whether it was released."""
+        is_movable = (
+            connection.busy
+            and connection.job is not None
+            and connection.stream is None
+            and connection.parser.idle
+        )
+        if (
+            not is_movable
+            or connection.blocked
+            or connection.paused
+            or connection.closing
+            or not self.can_hand_over()
+        ):
             return False
-        transfer = self.engine.export_job(c.job or 0)
+        transfer = self.engine.export_job(connection.job or 0)
         if transfer is None:
             return False
-        c.transfer, c.job = transfer, None
+        connection.transfer, connection.job = transfer, None
         self.ids_in_transfer.add(transfer.request_id)
-        if not release(c):  # no descriptor is free for its copy: it goes on here
-            self.take_back(c)
-        return c.handed_descriptor is not None
+        if not release(connection):  # no descriptor is free for the copy: it stays here
+            self.resume_transfer(connection)
+        return connection.handed_descriptor is not None
 
-    def take_back(self, connection: RequestConnection) -> None:
-        """Go on with a job that could not leave, or that has come over."""
+    def resume_transfer(self, connection: RequestConnection) -> None:
+        """Resume a job that could not be handed over, or that was handed over to this process."""
         transfer, connection.transfer = connection.transfer, None
         if transfer is None or connection.original is None:
             return
@@ -88,30 +114,30 @@
             self.engine.reject_transfer(transfer, connection)
             return
         number = self.engine.import_job(transfer, connection.original, connection)
-        if connection.busy:  # else it has been answered already
+        if connection.busy:  # else the job has been answered already
             connection.job = number
 
-    def passed(self, connection: RequestConnection, *, whole: bool) -> None:
-        """Give a connection that this process has let go of to the other one."""
-        fd, connection.handed_descriptor = connection.handed_descriptor, None
-        if fd is None:
+    def complete_hand_over(self, connection: RequestConnection, *, closed_cleanly: bool) -> None:
+        """Send a released connection to the peer process, or end its job if the connection broke."""
+        descriptor, connection.handed_descriptor = connection.handed_descriptor, None
+        if descriptor is None:
             return
         transfer = connection.transfer
         if transfer is not None:
             self.ids_in_transfer.discard(transfer.request_id)
         fields = self.encode(connection)
-        if not whole:  # its client is gone
-            os.close(fd)
+        if not closed_cleanly:  # the client has disconnected
+            os.close(descriptor)
             if transfer is not None:
                 self.engine.abandon_transfer(transfer)
-        elif not self.send_connection(fd, **fields):  # the other process is gone meanwhile
-            self.take_back_connection(fd, fields)
+        elif not self.send_connection(descriptor, **fields):  # the peer process has ended meanwhile
+            self.take_back_connection(descriptor, fields)
 
     def encode(self, connection: RequestConnection) -> dict[str, Any]:
-        """Write a connection, and the job that goes with it, as a message's fields."""
+        """Encode a connection, and its job if it has one, as a message's fields."""
         fields: dict[str, Any] = {
-            "client": connection.client,
-            "worker": connection.worker,
+            "client": connection.is_client,
+            "worker": connection.is_worker,
             "asked": connection.requests,
             "age": self.deadlines.now() - connection.message_began,
         }
@@ -122,8 +148,9 @@
         return fields
 
     def adopt_connection(self, connection: RequestConnection, fields: dict[str, Any]) -> None:
-        """Go on with a connection that the other process has handed over, and with its job if one is out."""
-        connection.client, connection.worker = fields["client"], fields["worker"]
+        """Serve a connection that the peer process handed over, and resume its job if it has one."""
+        connection.is_client = fields["client"]
+        connection.is_worker = fields["worker"]
         connection.requests = fields["asked"]
         if "job" in fields:
             self.adopt_job(connection, fields)
@@ -136,11 +163,12 @@
             connection.set_timeout(time_left, CloseReason.SILENT)
 
     def adopt_job(self, connection: RequestConnection, fields: dict[str, Any]) -> None:
-        """Go on with the job of a connection that was handed over."""
+        """Resume the job of a connection that was handed over."""
         connection.original = http.Message.from_plain(fields["parcel"])
-        connection.busy, connection.close_after = True, fields["last"]
+        connection.busy = True
+        connection.close_after = fields["last"]
         connection.body_size = len(connection.original.body)
         connection.transfer = self.engine.decode_transfer(fields["job"])
         connection.server.table.set_activity(connection, None)
         connection.cancel_timeout()
-        self.take_back(connection)
+        self.resume_transfer(connection)
--- a/elderstall/net/server/listener.py
+++ b/elderstall/net/server/listener.py
@@ -1,4 +1,4 @@
-"""The listener put together: its connections, and what becomes of their requests."""
+"""The listener: its connections, and the handling of their requests."""
 
 from __future__ import annotations
 
@@ -19,43 +19,44 @@
 from elderstall.net.server.admission import ConnectionTable
 from elderstall.net.server.callbacks import CallbackReceiver, ReportParser, WorkerCallback
 from elderstall.net.server.connection import ServerConnection
-from elderstall.net.server.delegation import PartAttribute
-from elderstall.net.server.handing_over import HandingOver
+from elderstall.net.server.delegation import DelegatedAttribute
+from elderstall.net.server.handing_over import ConnectionHandover
 from elderstall.net.server.request_connection import RequestConnection
-from elderstall.net.server.requests import BUSY_RETRY_AFTER, RequestError, parse_head, retry_after
+from elderstall.net.server.requests import BUSY_RETRY_AFTER_MS, RequestError, parse_head, retry_after
 from elderstall.net.server.state import CloseReason, KeptBytes, Timeouts
 from elderstall.slots import Slots
 
-KEPT_FACTOR = 2  # jobs are refused past so many times the limit for requests that are not whole
+# Jobs are rejected when the kept bytes exceed this multiple of the limit for incomplete requests.
+KEPT_BYTES_REJECTION_FACTOR = 2
 
 
 class Server(Factory):
-    """The listener, and what its connections share."""
+    """The listener, with the state that its connections share."""
 
     noisy = False
 
-    # Held by its parts.
-    connections = PartAttribute[Slots[ServerConnection]]("table", "connections")
-    max_connections = PartAttribute[int]("table", "max_connections")
-    shedding_threshold = PartAttribute[int]("table", "shedding_threshold")
-    peer_process_connections = PartAttribute[int]("table", "peer_process_connections")
-    accept = PartAttribute[Callable[[bool], None]]("table", "accept")
-    accepting = PartAttribute[bool]("table", "accepting")
-    enforce_limits = PartAttribute[Callable[[], None]]("table", "enforce_limits")
-    capacity_left = PartAttribute[int]("table", "capacity_left")
-    kept_bytes = PartAttribute[int]("kept", "total")
-    kept_bytes_limit = PartAttribute[int]("kept", "limit")
-    can_hand_over = PartAttribute[Callable[[], bool]]("handing_over", "can_hand_over")
-    send_connection = PartAttribute[Callable[..., bool]]("handing_over", "send_connection")
-    take_back_connection = PartAttribute[Callable[[int, dict[str, Any]], None]](
+    # Delegated to components.
+    connections = DelegatedAttribute[Slots[ServerConnection]]("table", "connections")
+    max_connections = DelegatedAttribute[int]("table", "max_connections")
+    shedding_threshold = DelegatedAttribute[int]("table", "shedding_threshold")
+    peer_process_connections = DelegatedAttribute[int]("table", "peer_process_connections")
+    accept = DelegatedAttribute[Callable[[bool], None]]("table", "accept")
+    accepting = DelegatedAttribute[bool]("table", "accepting")
+    enforce_limits = DelegatedAttribute[Callable[[], None]]("table", "enforce_limits")
+    capacity_left = DelegatedAttribute[int]("table", "capacity_left")
+    kept_bytes = DelegatedAttribute[int]("kept", "total")
+    kept_bytes_limit = DelegatedAttribute[int]("kept", "limit")
+    can_hand_over = DelegatedAttribute[Callable[[], bool]]("handing_over", "can_hand_over")
+    send_connection = DelegatedAttribute[Callable[..., bool]]("handing_over", "send_connection")
+    take_back_connection = DelegatedAttribute[Callable[[int, dict[str, Any]], None]](
         "handing_over", "take_back_connection"
     )
-    ids_in_transfer = PartAttribute[set[str]]("handing_over", "ids_in_transfer")
-    hand_over_all = PartAttribute[Callable[[], None]]("handing_over", "hand_over_all")
-    adopt_connection = PartAttribute[Callable[[RequestConnection, dict[str, Any]], None]](
+    ids_in_transfer = DelegatedAttribute[set[str]]("handing_over", "ids_in_transfer")
+    hand_over_all = DelegatedAttribute[Callable[[], None]]("handing_over", "hand_over_all")
+    adopt_connection = DelegatedAttribute[Callable[[RequestConnection, dict[str, Any]], None]](
         "handing_over", "adopt_connection"
     )
-    ask_others = PartAttribute[Callable[[Any], Deferred[bool] | None]]("callbacks", "ask_others")
+    ask_others = DelegatedAttribute[Callable[[Any], Deferred[bool] | None]]("callbacks", "ask_others")
 
     def __init__(
         self,
@@ -67,17 +68,20 @@
         shedding_threshold: int = 500,
         kept_limit: int = 8 * 1024 * 1024,
     ) -> None:
-        self.engine, self.deadlines, self.log = engine, deadlines, log
+        self.engine = engine
+        self.deadlines = deadlines
+        self.log = log
         self.table: ConnectionTable[ServerConnection] = ConnectionTable(
             deadlines, max_connections, shedding_threshold
         )
         self.timeouts = Timeouts()
         self.kept = KeptBytes(kept_limit)
         self.callbacks = CallbackReceiver(engine, log, parse_report)
-        self.handing_over = HandingOver(engine, deadlines, self.table)
+        self.handing_over = ConnectionHandover(engine, deadlines, self.table)
         self.draining = False
-        self.shortened, self.until = False, math.inf  # jobs are taken only for the time until then
-        self.leaving = False  # clients are let go
+        self.limits_budgets = False  # jobs' budgets end at the shutdown deadline
+        self.shutdown_deadline = math.inf  # no job is accepted after it
+        self.closing_clients = False  # clients' connections end with their answer
 
     def buildProtocol(self, addr: object) -> Protocol | None:  # noqa: N802, D102
         return ServerConnection(self)
@@ -85,7 +89,7 @@
     # ---- requests ----
 
     def check_head(self, message: http.Message) -> JobRequest | None:
-        """Check a head; a job's gives what it asks for."""
+        """Check a head; return the request if it is a job's, else None."""
         return parse_head(message, self.engine)
 
     def handle(self, connection: RequestConnection, message: http.Message) -> None:
@@ -101,7 +105,7 @@
             connection.reply(200, b"up\n")
 
     def recheck_heads(self) -> None:
-        """Check the heads anew that were checked under other settings, and whose bodies still come."""
+        """Check heads again after a change of settings, where the body is still being received."""
         for connection in self.table.connections:
             message = connection.message
             if connection.job_request is None or message is None or connection.closing:
@@ -114,41 +118,41 @@
     # ---- jobs ----
 
     def handle_job(self, connection: RequestConnection, message: http.Message, request: JobRequest) -> None:
-        """Take a client's job."""
-        connection.client = True
+        """Accept a client's job, or reject it where limits forbid it."""
+        connection.is_client = True
         request = replace(request, budget=max(0.0, request.budget - connection.time_since_first_byte()))
-        if not self.handing_over.can_hand_over():  # else it moves on with the job
+        if not self.handing_over.can_hand_over():  # else the connection is handed over with the job
             request = self.bound_by_shutdown(request)
-        if self.table.busy_count > self.table.soft_limit:
-            # Guards the descriptors that workers' callbacks need.
+        if self.table.busy_count > self.table.local_shedding_threshold:
+            # Keeps descriptors free for workers' callbacks.
             raise self.rejected(request, "too many connections")
-        if self.kept.total > KEPT_FACTOR * self.kept.limit:
+        if self.kept.total > KEPT_BYTES_REJECTION_FACTOR * self.kept.limit:
             raise self.rejected(request, "too much is kept")
         self.submit(connection, message, request)
 
     def bound_by_shutdown(self, request: JobRequest) -> JobRequest:
-        """Cut a job's budget to the time that this process still has."""
-        time_left = self.until - self.deadlines.now()
+        """Limit a job's budget to the time left until the shutdown deadline."""
+        time_left = self.shutdown_deadline - self.deadlines.now()
         if time_left <= 0:
             raise self.rejected(request, "shutting down")
-        if not self.shortened:
+        if not self.limits_budgets:
             return request
-        # Guards against a job that is lost with the process.
+        # A job that outlasts the process would be lost.
         return replace(request, budget=min(request.budget, time_left))
 
-    def rejected(self, request: JobRequest, why: str) -> RequestError:
-        """Reject a job that cannot be taken, and count it."""
+    def rejected(self, request: JobRequest, reason: str) -> RequestError:
+        """Count a job as rejected, and return the error to raise."""
         self.engine.count_rejected(request.job_class)
-        return RequestError(503, why, retry_after(BUSY_RETRY_AFTER))
+        return RequestError(503, reason, retry_after(BUSY_RETRY_AFTER_MS))
 
     def submit(self, connection: RequestConnection, message: http.Message, request: JobRequest) -> None:
-        """Hand a job in for a plain answer."""
+        """Submit a job whose client expects a plain answer."""
         self.submit_for(connection, connection, message, request)
 
     def submit_for(
         self, client: Client, connection: RequestConnection, message: http.Message, request: JobRequest
     ) -> None:
-        """Hand a job to the engine, on behalf of a client on a connection."""
+        """Submit a job to the engine for a client on a connection."""
         try:
             number = self.engine.accept(request, client)
         except RepeatedIdError:
@@ -161,18 +165,18 @@
     # ---- callbacks ----
 
     def handle_callback(self, connection: RequestConnection, message: http.Message) -> None:
-        """Take a worker's callback.
+        """Handle a worker's callback.
 
-        A job that is not this process's may be that of the other one of an upgrade, which is then asked.
+        The job may belong to the peer process of an upgrade; the callback is then forwarded to it.
         """
         callback = WorkerCallback.from_body(message.body)
         forwarded = self.callbacks.forward(callback)
         if forwarded is not None:
-            connection.worker = True
+            connection.is_worker = True
             forwarded.addCallback(self.callback_forwarded, connection, callback)
             return
         if self.callbacks.apply(callback):
-            connection.worker = True
+            connection.is_worker = True
         connection.reply(204)
 
     def callback_forwarded(
@@ -181,63 +185,70 @@
         connection: RequestConnection,
         callback: WorkerCallback,
     ) -> None:
-        """Answer a callback that the other process was asked about; its job may have come over by now."""
+        """Answer a callback that was forwarded; its job may have been handed over to this process by now."""
         self.callbacks.apply(callback)
-        # Without the other's word, or while its job is still on the way, the worker is to try again.
+        # Without the peer's confirmation, or while the job is in transfer, the worker has to retry.
         connection.reply(
             204 if confirmed and callback.request_id not in self.handing_over.ids_in_transfer else 503
         )
 
-    def called(self, call: Any) -> bool:
-        """Act on a callback that the other process forwards; say whether its attempt is live."""
-        return self.callbacks.apply(WorkerCallback.from_plain(call))
+    def apply_forwarded_callback(self, call: Any) -> bool:
+        """Apply a callback that the peer process forwarded; return whether its attempt is live here."""
+        return self.callbacks.apply(WorkerCallback.from_fields(call))
 
     # ---- an upgrade ----
 
-    def streamed(self) -> list[str]:
-        """Give the ids of jobs that must not run again for a reconnect; the listener of streams has such."""
+    def streamed_ids(self) -> list[str]:
+        """Return the ids of jobs that must not run again on a reconnect; only streamed jobs have them."""
         return []
 
-    def inherit(self, streamed: list[str]) -> None:
-        """Take those of the process that hands over."""
+    def inherit_streamed_ids(self, streamed_ids: list[str]) -> None:
+        """Add the ids of streamed jobs from the predecessor."""
 
     def hand_over_idle(self, connection: RequestConnection) -> bool:
-        """Leave a connection that is between requests to the other process, if there is one."""
+        """Hand over a connection that is between requests; return whether it was released."""
         return self.handing_over.hand_over_idle(connection)
 
-    def passed(self, connection: RequestConnection, *, whole: bool) -> None:
-        """Give a connection that this process has let go of to the other one."""
-        self.handing_over.passed(connection, whole=whole)
+    def complete_hand_over(self, connection: RequestConnection, *, closed_cleanly: bool) -> None:
+        """Send a released connection to the peer process, or end its job if the connection broke."""
+        self.handing_over.complete_hand_over(connection, closed_cleanly=closed_cleanly)
 
     # ---- the end ----
 
-    def closes(self, connection: RequestConnection) -> bool:
-        """Say whether a connection ends after its answer."""
-        # Not yet while draining: clients that we send away may find no other dispatcher just then.
-        # Nor where another process serves: it gets the connection.
-        # Nor before what has come behind that request is answered too.
-        leaves = (self.leaving or connection.rejected_in_shutdown) and connection.client
-        return leaves and not self.handing_over.can_hand_over() and not connection.more_came
+    def closes_after_answer(self, connection: RequestConnection) -> bool:
+        """Return whether a connection ends after its answer."""
+        # Not when draining begins: disconnected clients may find no other dispatcher at that moment.
+        # Not where a successor serves: the connection is handed over to it.
+        # Not before the requests received after this one are answered too.
+        leaves = (self.closing_clients or connection.rejected_in_shutdown) and connection.is_client
+        return leaves and not self.handing_over.can_hand_over() and not connection.has_pending_input
 
     def close_reason(self) -> CloseReason:
-        """Name the reason of such an end."""
+        """Return the reason for closing a connection after its answer."""
         return CloseReason.DRAIN if self.draining else CloseReason.CLOSED_AFTER
 
     def drain(self) -> None:
-        """Say at ``/up`` that the program ends; clients are served on until ``close_idle_clients``."""
+        """Report draining at ``/up``; clients are still served until ``close_idle_clients``."""
         self.draining = True
 
     def close_idle_clients(self) -> None:
-        """End clients' connections between requests; the others end with their answer."""
-        self.leaving = True
-        for c in self.table.connections:
-            idle = not (c.busy or c.closing or c.message) and c.parser.idle
-            # What has come and is not read yet is answered first; its connection ends with that.
-            if c.client and idle and not self.hand_over_idle(c) and not unread(c.transport):
-                c.linger(CloseReason.DRAIN, discard=False)
+        """Close clients' connections between requests; the others close after their answer."""
+        self.closing_clients = True
+        for connection in self.table.connections:
+            idle = (
+                not (connection.busy or connection.closing or connection.message) and connection.parser.idle
+            )
+            # Requests that are still unread are answered first; the connection ends with that answer.
+            if (
+                connection.is_client
+                and idle
+                and not self.hand_over_idle(connection)
+                and not unread(connection.transport)
+            ):
+                connection.linger(CloseReason.DRAIN, discard=False)
 
     def close_if_drained(self) -> bool:
-        """Close what is left between requests; say that nothing has come that is not read yet."""
+        """Close connections with no unread data; return whether no open connection is left."""
         left = [connection for connection in self.table.connections if not connection.closing]
         for connection in [connection for connection in left if not unread(connection.transport)]:
             connection.linger(CloseReason.DRAIN, discard=False)
@@ -245,7 +256,8 @@
 
     @property
     def is_quiescent(self) -> bool:
-        """Whether no request is in hand or still being written."""
+        """Whether no request is being handled and no answer is still being written."""
         return not any(
-            connection.in_hand or unwritten(connection.transport) for connection in self.table.connections
+            connection.has_active_request or unwritten(connection.transport)
+            for connection in self.table.connections
         )
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -1,4 +1,4 @@
-"""The requests on one connection and their answers: one at a time, in order."""
+"""Requests on one connection and their answers: one at a time, in order."""
 
 from __future__ import annotations
 
@@ -12,54 +12,54 @@
 from elderstall.net.server.requests import HeaderFields, RequestError, retry_after
 from elderstall.net.server.state import CloseReason, SharedState
 
-READ_AHEAD = http.MAX_HEAD + http.MAX_BODY  # bytes kept behind a request in hand: one more at its largest
-CROWDED_AHEAD = 4 * 1024  # the same while all connections together keep more than they should
+MAX_READ_AHEAD_BYTES = http.MAX_HEAD + http.MAX_BODY  # kept behind the current request: one of maximum size
+MAX_READ_AHEAD_OVER_LIMIT_BYTES = 4 * 1024  # used while the kept bytes are over the limit
 RESULT_HEADERS = (("Content-Type", "application/octet-stream"),)
 
 
 class RequestHandler(SharedState, Interface):
-    """What a connection gives its requests to."""
+    """The handler of a connection's requests."""
 
-    shortened: bool  # jobs are taken only for the time that this process still has
+    limits_budgets: bool  # jobs' budgets end at the shutdown deadline
 
     def check_head(self, message: http.Message) -> JobRequest | None:
-        """Check a head; a job's gives what it asks for."""
+        """Check a head; return the request if it is a job's, else None."""
 
     def handle(self, connection: RequestConnection, message: http.Message) -> None:
         """Answer a request."""
 
-    def closes(self, connection: RequestConnection) -> bool:
-        """Say whether a connection ends after its answer."""
+    def closes_after_answer(self, connection: RequestConnection) -> bool:
+        """Return whether a connection ends after its answer."""
 
     def close_reason(self) -> CloseReason:
-        """Name the reason of such an end."""
+        """Return the reason for closing a connection after its answer."""
 
     def hand_over_idle(self, connection: RequestConnection) -> bool:
-        """Leave a connection that is between requests to the other process of an upgrade."""
+        """Hand over a connection that is between requests; return whether it was released."""
 
-    def passed(self, connection: RequestConnection, *, whole: bool) -> None:
-        """Give a connection that this process has let go of to the other one."""
+    def complete_hand_over(self, connection: RequestConnection, *, closed_cleanly: bool) -> None:
+        """Send a released connection to the peer process, or end its job if the connection broke."""
 
 
 class RequestConnection(ClosingConnection):
-    """A connection that reads requests and answers them; it is the client of the job that came by it."""
+    """A connection that reads and answers requests; it is the client of its current job."""
 
     server: RequestHandler
 
     def __init__(self, server: RequestHandler) -> None:
         super().__init__(server)
-        self.processing = False  # events of the parser are being handled: guards against doing so twice
+        self.processing = False  # handling events of the parser; prevents reentry
 
     # ---- reading ----
 
     def expect_request(self, began: float) -> None:
-        """Give the peer its time for a request that has begun."""
+        """Start the time-out of a request that began at a reading of the clock, ms."""
         self.message_began = began
         self.server.table.set_activity(self, Activity.READING)
         self.set_timeout(self.server.timeouts.request, CloseReason.SLOW_REQUEST)
 
     def process_received(self) -> None:
-        """Read what has come, as far as answers may go out."""
+        """Handle the received data while answers can be written."""
         if self.processing:
             return
         self.processing = True
@@ -72,10 +72,10 @@
         except http.MessageError as error:
             self.refuse(error.status, CloseReason.BAD_REQUEST, f"{error}\n".encode())
         except RequestError as denied:
-            # Guards against the same again on the same connection, at once and hundreds of times.
+            # Closes: the client could repeat the request on this connection at once, hundreds of times.
             self.refuse_request(denied)
         except Exception as error:
-            # Guards the other connections against a fault met in one request.
+            # An error in one request must not affect the other connections.
             self.server.log.failure("request", error)
             self.refuse(500, CloseReason.BUG, b"internal error\n")
         finally:
@@ -84,13 +84,15 @@
         self.bound_read_ahead()
 
     def refuse_request(self, denied: RequestError) -> None:
-        """Answer a request that is not to be served, and close."""
+        """Answer a refused request with its error, and close."""
         self.refuse(denied.status, CloseReason.BAD_REQUEST, denied.body, denied.headers)
 
     def bound_read_ahead(self) -> None:
-        """Read no further while enough lies behind the request in hand."""
-        most = CROWDED_AHEAD if self.server.kept.over_limit else READ_AHEAD
-        full = (self.busy or self.blocked) and len(self.parser.buffer) > most
+        """Pause reading while enough data is kept behind the current request."""
+        max_read_ahead = (
+            MAX_READ_AHEAD_OVER_LIMIT_BYTES if self.server.kept.over_limit else MAX_READ_AHEAD_BYTES
+        )
+        full = (self.busy or self.blocked) and len(self.parser.buffer) > max_read_ahead
         if full != self.paused and not self.closing:
             self.paused = full
             (self.transport.pauseProducing if full else self.transport.resumeProducing)()
@@ -98,7 +100,7 @@
                 self.watch_departure()
 
     def handle_event(self, event: http.Event) -> None:
-        """Gather a request."""
+        """Handle an event of the parser: a head, a piece of a body, or a request's end."""
         if isinstance(event, http.Head):
             self.begin_request(event.message)
         elif isinstance(event, http.Data):
@@ -108,8 +110,10 @@
             self.handle_request(self.message)
 
     def begin_request(self, message: http.Message) -> None:
-        """Check a head before its body has come: what is wrong with it is answered without reading on."""
-        self.message, self.body_parts, self.body_size = message, [], 0
+        """Check a head before its body is received, so that an error is answered without reading on."""
+        self.message = message
+        self.body_parts = []
+        self.body_size = 0
         if message.version >= (1, 1) and len(message.headers.all("Host")) != 1:
             raise http.MessageError(400, "Host is missing or stands twice")
         self.job_request = self.server.check_head(message)
@@ -121,11 +125,12 @@
             raise http.MessageError(417, "unknown expectation")
 
     def handle_request(self, message: http.Message) -> None:
-        """Have a whole request answered."""
+        """Pass a complete request to the handler."""
         self.message = None
         message.body, self.body_parts = b"".join(self.body_parts), []
         self.requests += 1
-        self.busy, self.close_after = True, not message.keep_alive
+        self.busy = True
+        self.close_after = not message.keep_alive
         self.server.table.set_activity(self, None)
         self.cancel_timeout()
         try:
@@ -138,7 +143,7 @@
             self.first_byte_at = self.last_received if len(self.parser.buffer) else None
 
     def time_since_first_byte(self) -> float:
-        """Say how long ago the first bytes of the request in hand came, ms: its client waits since then."""
+        """Return the time since the current request's first bytes, ms: its client has waited since then."""
         if self.first_byte_at is None:
             return 0.0
         return self.server.deadlines.now() - self.first_byte_at
@@ -146,21 +151,24 @@
     # ---- answering ----
 
     def reply(self, status: int, body: bytes = b"", headers: HeaderFields = ()) -> None:
-        """Answer the request in hand and go on to the next."""
+        """Answer the current request and continue with the next one."""
         if not self.busy or self.closing:
             return
-        close = self.close_after or self.server.closes(self)
+        close = self.close_after or self.server.closes_after_answer(self)
         self.transport.write(http.response(status, body, headers, close))
         self.finish_request(close=close)
 
     @property
-    def more_came(self) -> bool:
-        """Whether another request, or a part of one, has come behind the one in hand."""
+    def has_pending_input(self) -> bool:
+        """Whether data has been received after the current request."""
         return not self.parser.idle or unread(self.transport)
 
     def finish_request(self, *, close: bool) -> None:
-        """Go on after an answer."""
-        self.busy, self.job, self.original, self.body_size = False, None, None, 0
+        """Close the connection or continue with the next request after an answer."""
+        self.busy = False
+        self.job = None
+        self.original = None
+        self.body_size = 0
         if close:
             self.linger(self.server.close_reason(), discard=False)
         elif self.blocked:
@@ -169,12 +177,12 @@
             self.await_request()
 
     def await_request(self) -> None:
-        """Wait for the next request, or go on with one that has come already."""
+        """Wait for the next request, or handle one that has been received already."""
         if self.server.hand_over_idle(self):
             return
         self.grace_used = False
-        between = Activity.IDLE if self.client or self.worker else Activity.HEALTH_CHECKED
-        self.server.table.set_activity(self, between)
+        idle_activity = Activity.IDLE if self.is_client or self.is_worker else Activity.HEALTH_CHECKED
+        self.server.table.set_activity(self, idle_activity)
         self.set_timeout(self.server.timeouts.idle, CloseReason.IDLE)
         if not self.parser.idle:
             self.expect_request(self.server.deadlines.now())
@@ -183,19 +191,19 @@
     # ---- the job's client ----
 
     def answered(self, answer: Answer) -> None:
-        """Write the job's final answer."""
+        """Handle the job's final answer."""
         self.job = None
         if isinstance(answer, Served):
             self.reply(200, answer.result, RESULT_HEADERS)
         elif isinstance(answer, Rejected):
-            self.rejected_in_shutdown = self.server.shortened
+            self.rejected_in_shutdown = self.server.limits_budgets
             self.reply(503, b"refused\n", retry_after(answer.retry_after))
         else:
             self.reply(504 if answer.timed_out else 502, b"failed\n")
 
     def progressed(self, share: float, text: str) -> None:
-        """Plain answers carry no progress."""
+        """Ignore progress, as a plain answer carries none."""
 
     def is_connected(self) -> bool:
-        """Say whether the client is still there: its end may wait to be read."""
+        """Return whether the client is connected, even if its end has not been read yet."""
         return not left(self.transport)
--- a/elderstall/net/server/requests.py
+++ b/elderstall/net/server/requests.py
@@ -1,4 +1,4 @@
-"""What a client asks for, read from the head of its request; what is wrong with a head is raised."""
+"""Parsing and checking of request heads; errors are raised as RequestError."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 from elderstall.messages import JobRequest
 from elderstall.net import http
 
-BUSY_RETRY_AFTER = 1_000.0  # ms after which a client is to retry that met no room
-MAX_BUDGET = 24 * 3_600_000.0  # ms
+BUSY_RETRY_AFTER_MS = 1_000.0  # after which a client retries when the dispatcher was busy
+MAX_BUDGET_MS = 24 * 3_600_000.0
 MAX_ID_LENGTH = 256
 MAX_QUERY_FIELDS = 50
-NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?")
-METHODS = {"/up": "GET", "/callback": "POST"}  # of the paths that are no jobs
+NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,9})?")
+METHODS_BY_PATH = {"/up": "GET", "/callback": "POST"}  # the paths that are not jobs
 
 HeaderFields = tuple[tuple[str, str], ...]
 
 
 class RequestError(Exception):
-    """A request that is answered by the listener itself and reaches neither the engine nor a worker."""
+    """A request that the listener answers with an error; it reaches neither the engine nor a worker."""
 
-    def __init__(self, status: int, why: str, headers: HeaderFields = ()) -> None:
-        super().__init__(why)
-        self.status, self.headers = status, headers
+    def __init__(self, status: int, reason: str, headers: HeaderFields = ()) -> None:
+        super().__init__(reason)
+        self.status = status
+        self.headers = headers
 
     @property
     def body(self) -> bytes:
@@ -35,29 +36,29 @@
 
 
 def retry_after(ms: float) -> HeaderFields:
-    """Write the header that tells a client when to retry."""
+    """Return the header that tells a client when to retry; none for a delay of 0 ms."""
     return (("Retry-After", f"{ms / 1000:.3f}".rstrip("0").rstrip(".")),) if ms > 0 else ()
 
 
 def parse_number(text: str | None, name: str) -> float | None:
-    """Read a header that holds a number, if it is there."""
+    """Return a header's number, or None if the header is missing; raises RequestError."""
     if text is None:
         return None
-    if not NUMBER.fullmatch(text):  # float() would take "nan", "1_0" and more
+    if not NUMBER_PATTERN.fullmatch(text):  # float() would accept "nan", "1_0" and more
         raise RequestError(400, f"{name} is no number")
     return float(text)
 
 
 def parse_info(text: str | None) -> dict[str, str]:
-    """Read ``name=value,name=value``."""
+    """Parse ``name=value,name=value``."""
     pairs = (part.partition("=") for part in (text or "").split(",") if part.strip())
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
 def parse_head(message: http.Message, engine: Engine) -> JobRequest | None:
-    """Check a head; a job's gives what it asks for, the others give None."""
+    """Check a head; return the request if it is a job's, else None."""
     path = message.target.split("?", 1)[0]
-    method = METHODS.get(path)
+    method = METHODS_BY_PATH.get(path)
     if method is None:
         return parse_job_request(message, engine)
     if message.method != method:
@@ -66,7 +67,7 @@
 
 
 def parse_job_request(message: http.Message, engine: Engine) -> JobRequest:
-    """Read a client's job, or raise what is wrong with it."""
+    """Return the job that a client requests; raises RequestError."""
     headers = message.headers
     path_class, key = parse_target(message.target)
     job_class = parse_job_class(message, path_class, engine)
@@ -84,7 +85,7 @@
     return JobRequest(
         request_id=request_id,
         job_class=job_class,
-        budget=min(budget, MAX_BUDGET),
+        budget=min(budget, MAX_BUDGET_MS),
         original=message,
         tenant=tenant,
         key=key,
@@ -95,7 +96,7 @@
 
 
 def parse_target(target: str) -> tuple[str, str | None]:
-    """Read the class that a request's path names, and the key of its job."""
+    """Return the job class named by a request's path, and the job's key; raises RequestError."""
     try:
         url = urlsplit(target)
         keys = parse_qs(url.query, max_num_fields=MAX_QUERY_FIELDS).get("obj")
@@ -105,7 +106,7 @@
 
 
 def parse_job_class(message: http.Message, path_class: str, engine: Engine) -> str:
-    """Read a job's class, which the path and a header name alike."""
+    """Return a job's class, which the path and a header must both name; raises RequestError."""
     job_class = message.headers.get("X-Call-Class")
     if path_class not in engine.classes and job_class is None:
         raise RequestError(404, "no such path")
@@ -117,6 +118,6 @@
 
 
 def parse_slots(info: Mapping[str, str]) -> int:
-    """Read how many slots of a worker a job takes."""
+    """Return the number of a worker's slots that a job needs; raises RequestError."""
     slots = parse_number(info.get("cores_needed") or info.get("slots"), "X-Call-Info") or 1
     return max(1, int(slots))
--- a/elderstall/net/server/state.py
+++ b/elderstall/net/server/state.py
@@ -1,4 +1,4 @@
-"""The state of one accepted connection, and what all of them share."""
+"""The state of one accepted connection, and the state that all connections share."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class Stage(Enum):
-    """How far a connection is on its way to its end."""
+    """The stage of a connection's life."""
 
     OPEN = auto()
     CLOSING = auto()  # nothing more is answered
-    ENDING = auto()  # the same, and its descriptor is free soon
+    ENDING = auto()  # as CLOSING, and the descriptor will soon be free
 
 
 class CloseReason(StrEnum):
-    """Why a connection ended, as the log says it."""
+    """The reason why a connection ended, as written to the log."""
 
     PEER_CLOSED = "peer-closed"
-    CLIENT_GONE = "client-gone"  # its job was out, or nothing was read from it
+    CLIENT_GONE = "client-gone"  # during its job, or while nothing was read from it
     SILENT = "silent"
     IDLE = "idle"
     SLOW_REQUEST = "slow-request"
@@ -41,42 +41,42 @@
     CROWDED = "crowded"
     DRAIN = "drain"
     CLOSED_AFTER = "closed-after"
-    PASSED = "passed"  # to the other process of an upgrade
+    HANDED_OVER = "passed"  # to the peer process of an upgrade
 
 
 class Stream(Interface):
-    """What waits for its client to read on."""
+    """Output that waits until its client reads again."""
 
     def flush(self) -> None:
-        """Write what has waited."""
+        """Write the output that has waited."""
 
 
 @dataclass(slots=True, frozen=True)
 class Timeouts:
-    """How long a connection may take, ms."""
+    """The time-outs of a connection, ms."""
 
     idle: float = 75_000.0  # between requests
-    # Bad clients are owed an answer or a close within 3 s: half a second is for a program under load.
-    request: float = 2_500.0  # for a request to come whole
-    body: float = 15_000.0  # the same for one whose body still comes
+    # A bad client must be answered or closed within 3 s; 0.5 s of that is left for a process under load.
+    request: float = 2_500.0  # for a complete request
+    body: float = 15_000.0  # for a request whose body is still being received
     write: float = 20_000.0  # for the peer to read its answer
 
 
 @dataclass(slots=True)
 class KeptBytes:
-    """The bytes that all connections keep, of requests and of what lies behind them."""
+    """The bytes that all connections keep: of requests and of unparsed data behind them."""
 
-    limit: int  # for requests that are not whole
+    limit: int  # for incomplete requests
     total: int = 0
 
     @property
     def over_limit(self) -> bool:
-        """Whether more is kept than should be."""
+        """Whether the kept bytes exceed the limit."""
         return self.total > self.limit
 
 
 class SharedState(Interface):
-    """What the connections of one listener share."""
+    """The state that the connections of one listener share."""
 
     engine: Engine
     deadlines: Deadlines
@@ -87,11 +87,11 @@
 
 
 class ConnectionState(Protocol):
-    """One accepted connection: what is known of it.
+    """The state of one accepted connection.
 
-    ``stage`` says how far it is on its way to its end. Three flags are independent of it and of each other:
-    a request can be in hand (``busy``) while its peer reads nothing (``blocked``) and while nothing is read
-    from that peer (``paused``), and each of these can outlast the connection's last answer.
+    Three flags are independent of ``stage`` and of each other: a request can be handled (``busy``) while its
+    peer reads nothing (``blocked``) and while nothing is read from that peer (``paused``). Each of them can
+    still be set after the connection's last answer.
     """
 
     transport: Any  # ITCPTransport, as zope's interfaces say nothing to mypy
@@ -103,38 +103,39 @@
         self.number = 0
         self.activity: Activity | None = None
         self.active_since = 0.0
-        # The way to the end.
+        # Closing.
         self.stage = Stage.OPEN
         self.reason: CloseReason = CloseReason.PEER_CLOSED
         self.timeout: Deadline | None = None
-        self.grace_used = False  # its time was over, and what lay unread then is being read
-        self.departure_check: Deadline | None = None  # for its client's leaving, while nothing is read
+        self.grace_used = False  # timed out; data unread at that time is being read
+        # Checks for the peer's end while nothing is read.
+        self.departure_check: Deadline | None = None
         # The three flags.
         self.busy = False  # a request is being handled
         self.blocked = False  # the peer does not read
         self.paused = False  # nothing is read from the peer
         # The request that is being read.
         self.message: http.Message | None = None
-        self.job_request: JobRequest | None = None  # what its head asks for
+        self.job_request: JobRequest | None = None  # parsed from its head
         self.body_parts: list[bytes] = []
-        self.body_size = 0  # bytes, also while its job is out
+        self.body_size = 0  # bytes, also during its job
         self.kept_bytes = 0  # counted for this connection
         self.message_began = 0.0
         self.last_received = 0.0
-        self.first_byte_at: float | None = None  # of the request in hand or next
-        # The request in hand.
-        self.job: int | None = None  # out
+        self.first_byte_at: float | None = None  # of the current or next request
+        # The current request.
+        self.job: int | None = None  # its number in the engine
         self.original: http.Message | None = None  # of that job
-        self.stream: Stream | None = None  # of that job, where its client asked for events
-        self.close_after = False  # the client wants no further answer here
-        self.rejected_in_shutdown = False  # it had better find another dispatcher
+        self.stream: Stream | None = None  # of that job, if its client requested events
+        self.close_after = False  # the client asked to close the connection
+        self.rejected_in_shutdown = False  # the client should use another dispatcher
         # The peer.
-        self.client = False  # has handed in a job
-        self.worker = False  # has called back about a live attempt
+        self.is_client = False  # has submitted a job
+        self.is_worker = False  # has called back about a live attempt
         self.requests = 0
         # An upgrade.
-        self.handed_descriptor: int | None = None  # a copy, for the process that takes it over
-        self.transfer: JobTransfer | None = None  # the job that goes with it
+        self.handed_descriptor: int | None = None  # a copy for the peer process
+        self.transfer: JobTransfer | None = None  # the job handed over with the connection
 
     @property
     def closing(self) -> bool:
--- a/elderstall/net/server/streams.py
+++ b/elderstall/net/server/streams.py
@@ -1,6 +1,7 @@
-"""The listener with progress on: a client that asks for events gets its job's progress as it comes.
+"""The listener that streams progress events to clients that request them.
 
-Same engine, same deadlines, same rules as for plain answers, and one closing event.
+Streamed jobs have the same engine, deadlines and rules as those with plain answers. A stream ends with one
+closing event.
 """
 
 from __future__ import annotations
@@ -19,21 +20,24 @@
 
 
 def accepts_stream(message: http.Message) -> bool:
-    """Say whether a client asks for the format by name."""
+    """Return whether a client accepts event streams by name."""
     types = [word.split(";", 1)[0].strip() for word in message.headers.tokens("Accept")]
     return MEDIA_TYPE in types
 
 
 class ClientStream:
-    """The client of one job that asked for events."""
+    """The client of one job that requested events."""
 
     def __init__(
         self, connection: RequestConnection, request_id: str, setup: Progress, *, chunked: bool
     ) -> None:
-        self.connection, self.request_id, self.setup, self.chunked = connection, request_id, setup, chunked
-        self.begun = False
+        self.connection = connection
+        self.request_id = request_id
+        self.setup = setup
+        self.chunked = chunked
+        self.head_written = False
         self.count = 0
-        self.pending: str | None = None  # the newest progress, while the client does not read
+        self.pending: str | None = None  # the latest progress while the client does not read
 
     def write(self, data: bytes) -> None:
         """Write a piece of the stream."""
@@ -48,40 +52,42 @@
     def write_event(self, name: str, data: str) -> None:
         """Write an event, after the head if it is the first."""
         first = b""
-        if not self.begun:
-            self.begun = True
+        if not self.head_written:
+            self.head_written = True
             self.write_head()
             first = f"retry: {self.setup.retry_ms}\n".encode()
         self.count += 1
         self.write(first + encode_event(name, data, f"{self.request_id}/{self.count}"))
 
     def progressed(self, share: float, text: str) -> None:
-        """Pass progress on; while the client does not read, only the newest is kept."""
+        """Send progress; while the client does not read, only the latest is kept."""
         self.pending = text or json.dumps({"share": share})
         self.flush()
 
     def flush(self) -> None:
-        """Write the progress that has waited, if the client reads."""
+        """Write the pending progress if the client reads."""
         if self.pending is not None and not self.connection.blocked:
             data, self.pending = self.pending, None
             self.write_event("progress", data)
 
     def is_connected(self) -> bool:
-        """Say whether the client is still there."""
+        """Return whether the client is connected."""
         return self.connection.is_connected()
 
     def answered(self, answer: Answer) -> None:
-        """Give the one final answer: plain where no event has gone out and none must, else an event."""
+        """Write the final answer: an event if the job succeeded or an event was sent, else a plain answer."""
         connection = self.connection
         self.pending = None
         connection.stream = None
-        if not self.begun and not isinstance(answer, Served):
+        if not self.head_written and not isinstance(answer, Served):
             connection.answered(answer)
             return
         self.write_answer(answer)
         if self.chunked:
             self.write(b"")
-        close = not self.chunked or connection.close_after or connection.server.closes(connection)
+        close = (
+            not self.chunked or connection.close_after or connection.server.closes_after_answer(connection)
+        )
         connection.finish_request(close=close)
 
     def write_answer(self, answer: Answer) -> None:
@@ -102,23 +108,23 @@
 
     def __init__(self, *args: Any, **named: Any) -> None:
         super().__init__(*args, **named)
-        self.begun: OrderedDict[str, None] = OrderedDict()  # ids of the latest jobs that were streamed
+        self.started_streams: OrderedDict[str, None] = OrderedDict()  # ids of the latest streamed jobs
 
-    def streamed(self) -> list[str]:
-        """Give the ids whose streams have begun."""
-        return list(self.begun)
+    def streamed_ids(self) -> list[str]:
+        """Return the ids of jobs whose streams have begun."""
+        return list(self.started_streams)
 
-    def inherit(self, streamed: list[str]) -> None:
-        """Take those of the process that hands over."""
-        self.begun.update(dict.fromkeys(streamed))
+    def inherit_streamed_ids(self, streamed_ids: list[str]) -> None:
+        """Add the ids of streamed jobs from the predecessor."""
+        self.started_streams.update(dict.fromkeys(streamed_ids))
 
     def submit(self, connection: RequestConnection, message: http.Message, request: JobRequest) -> None:
-        """Hand a job in, with a stream for its client if that is asked for.
+        """Submit a job, with a stream if its client requests one.
 
-        Guards against a job that runs again because its client's stream broke: a reconnect is answered
-        204, which by the format's rules ends the client's attempts.
+        A reconnect after a broken stream is answered 204, which by the format's rules stops the client's
+        reconnects. Otherwise the job would run again.
         """
-        if any(message.headers.all("Last-Event-ID")) or request.request_id in self.begun:
+        if any(message.headers.all("Last-Event-ID")) or request.request_id in self.started_streams:
             connection.reply(204)
         elif accepts_stream(message):
             self.submit_stream(connection, message, request)
@@ -128,7 +134,7 @@
     def submit_stream(
         self, connection: RequestConnection, message: http.Message, request: JobRequest
     ) -> None:
-        """Hand a job in for a stream."""
+        """Submit a job whose client receives a stream."""
         connection.transport.bufferSize = self.setup.coalesce_bytes
         chunked = message.version >= (1, 1)
         stream = ClientStream(connection, request.request_id, self.setup, chunked=chunked)
@@ -138,10 +144,10 @@
         except RequestError:
             connection.stream = None
             raise
-        self.remember(request.request_id)
+        self.retain_id(request.request_id)
 
-    def remember(self, request_id: str) -> None:
-        """Keep the id of a job that was streamed, and forget the oldest."""
-        self.begun[request_id] = None
-        while len(self.begun) > self.setup.remember:
-            self.begun.popitem(last=False)
+    def retain_id(self, request_id: str) -> None:
+        """Retain the id of a streamed job, and drop the oldest ids above the limit."""
+        self.started_streams[request_id] = None
+        while len(self.started_streams) > self.setup.remember:
+            self.started_streams.popitem(last=False)
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -57,7 +57,7 @@
         self.server.drain()
         longest = min(max(c.deadline for c in self.engine.classes.values()), DEADLINE_LIMIT)
         all_answered_after = longest + SERVE_FOR - KILL_MARGIN
-        self.server.until = self.deadlines.now() + all_answered_after
+        self.server.shutdown_deadline = self.deadlines.now() + all_answered_after
         self.earliest_end = self.deadlines.now() + SERVE_FOR
         self.deadlines.after(SERVE_FOR, self.shorten_budgets)
         self.deadlines.after(min(LET_GO_AFTER, all_answered_after), self.server.close_idle_clients)
@@ -65,7 +65,7 @@
 
     def shorten_budgets(self) -> None:
         """Take jobs for the time left only: one that comes now and is unanswered at SIGKILL is lost."""
-        self.server.shortened = True
+        self.server.limits_budgets = True
 
     def check(self) -> None:
         """End once nothing is owed and every client's connection is closed."""
@@ -81,7 +81,7 @@
         return bool(
             len(self.engine.jobs)
             or not self.server.is_quiescent
-            or any(c.client or c.handed_descriptor is not None for c in self.server.connections)
+            or any(c.is_client or c.handed_descriptor is not None for c in self.server.connections)
             or (handover is not None and handover.has_unconfirmed)
             or self.upgrade.adoption.waiting
             or self.console.answering
--- a/elderstall/upgrade/__init__.py
+++ b/elderstall/upgrade/__init__.py
@@ -1,4 +1,4 @@
-"""The program's side of an upgrade: what goes to the other process, and what comes from it."""
+"""The program's side of an upgrade: hand-over to and from the peer processes."""
 
 from elderstall.upgrade.upgrade import Upgrade
 
--- a/elderstall/upgrade/adoption.py
+++ b/elderstall/upgrade/adoption.py
@@ -1,4 +1,4 @@
-"""Connections that come from the other process of an upgrade, until they are this one's."""
+"""Adoption of connections that a peer process of an upgrade hands over."""
 
 from __future__ import annotations
 
@@ -14,42 +14,49 @@
 from elderstall.net.handover.messages import ConnectionTransfer
 from elderstall.net.server.listener import Server
 
-ADOPT_RETRY = 20.0  # ms until a connection handed over is tried again for which no descriptor was free
-ADOPT_TRIES = 100  # times: two seconds, then its client is given up
+ADOPT_RETRY_INTERVAL_MS = 20.0  # between attempts to adopt a connection while no descriptor is free
+MAX_ADOPT_RETRIES = 100  # two seconds; after them the connection is closed
 
 
 def close_descriptor(descriptor: int) -> None:
-    """Close a descriptor: Linux frees it whatever error ``close`` gives."""
+    """Close a descriptor, ignoring errors, as Linux frees it even if ``close`` fails."""
     with contextlib.suppress(OSError):
         os.close(descriptor)
 
 
 class Adoption:
-    """Goes on with connections that another process had, and with their jobs."""
+    """Adopts connections handed over by a peer process, and their jobs."""
 
     def __init__(self, reactor: Any, deadlines: Deadlines, log: Log, engine: Engine, server: Server) -> None:
-        self.reactor, self.deadlines, self.log = reactor, deadlines, log
-        self.engine, self.server = engine, server
-        self.waiting = 0  # connections handed over for which no descriptor was free yet
+        self.reactor = reactor
+        self.deadlines = deadlines
+        self.log = log
+        self.engine = engine
+        self.server = server
+        self.waiting = 0  # connections that wait for a free descriptor
 
-    def adopt(self, descriptor: int, transfer: ConnectionTransfer, tries: int = ADOPT_TRIES) -> None:
-        """Go on with a connection that another process had, from a descriptor that is this one's to close.
+    def adopt(
+        self, descriptor: int, transfer: ConnectionTransfer, retries_left: int = MAX_ADOPT_RETRIES
+    ) -> None:
+        """Adopt a connection from its descriptor, which this process has to close.
 
-        A lack of descriptors for its copy is waited for: its client is still owed an answer.
+        While no descriptor is free for a copy, the adoption is retried: the client is still owed an answer.
         """
         job = transfer.fields.get("job")
         try:
             transport = self.reactor.adoptStreamConnection(descriptor, socket.AF_INET, self.server)
         except OSError as error:
-            if error.errno in RESOURCE_ERRORS and tries:
+            if error.errno in RESOURCE_ERRORS and retries_left:
                 self.log.write_rate_limited("adopt", f"a connection handed over waits: {error}")
-                self.waiting += tries == ADOPT_TRIES
+                self.waiting += retries_left == MAX_ADOPT_RETRIES
                 if job is not None:
                     self.server.ids_in_transfer.add(job["cid"])
-                self.deadlines.after(ADOPT_RETRY, self.adopt, descriptor, transfer, tries - 1)
+                self.deadlines.after(
+                    ADOPT_RETRY_INTERVAL_MS, self.adopt, descriptor, transfer, retries_left - 1
+                )
                 return
-            transport = None  # its client is gone
-        self.waiting -= tries < ADOPT_TRIES
+            transport = None  # the client has disconnected, or the retries are used up
+        self.waiting -= retries_left < MAX_ADOPT_RETRIES
         close_descriptor(descriptor)
         if job is not None:
             self.server.ids_in_transfer.discard(job["cid"])
--- a/elderstall/upgrade/state_transfer.py
+++ b/elderstall/upgrade/state_transfer.py
@@ -1,4 +1,4 @@
-"""The state that one process of an upgrade exports, and the next one goes on from."""
+"""Export of a process's state in an upgrade, and its import by the successor."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class StateTransfer:
-    """Describes this process for the next one, and goes on from where the one before is."""
+    """Exports the state of this process, and imports that of its predecessor."""
 
     def __init__(self, deadlines: Deadlines, engine: Engine, discovery: Discovery, server: Server) -> None:
         self.deadlines, self.engine, self.discovery, self.server = deadlines, engine, discovery, server
 
     def export_state(self, discovery_address: str) -> ProcessState:
-        """Describe this process for the next one."""
+        """Return the state of this process for its successor."""
         view, jobs, clock = self.engine.view, self.engine.jobs, self.deadlines.shared()
         return ProcessState(
             clock=clock,
@@ -33,13 +33,13 @@
                 for worker, (since, until) in view.ended_bans.items()
             },
             request_ids=[*jobs.taken_by_other_process, *jobs.answered, *jobs.by_request_id],
-            streamed=self.server.streamed(),
+            streamed=self.server.streamed_ids(),
             learned=write_learned(self.engine.decisions.learned(), view, clock),
             connections=len(self.server.connections),
         )
 
     def import_state(self, state: ProcessState) -> None:
-        """Go on from where the process that runs is; what it has learned comes after the endpoint list."""
+        """Import the predecessor's state, except what it has learned, which needs the endpoint list."""
         view, clock = self.engine.view, state.clock
         view.banned.update((worker, clock.decode_reading(since)) for worker, since in state.banned.items())
         view.ended_bans.update(
@@ -49,10 +49,10 @@
         self.discovery.starts.inherit(state.starts, clock)
         for request_id in state.request_ids:
             self.engine.jobs.taken_by_other_process.add(request_id)
-        self.server.inherit(list(state.streamed))
+        self.server.inherit_streamed_ids(list(state.streamed))
         self.server.peer_process_connections = state.connections
 
     def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
-        """Read what the process that runs has learned, of the listed endpoints; changes it in place."""
+        """Import what the predecessor has learned of the listed endpoints; changes it in place."""
         if state.learned is not None:
             read_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -610,7 +610,7 @@
         os.environ["STEP_AT_START"] = str(step)  # the machine's clock is stepped for the next one too
         self.addCleanup(os.environ.pop, "STEP_AT_START", None)
         self.launch()
-        while not any("it gets the connections" in call for call in self.calls):
+        while not any("handing over connections to it" in call for call in self.calls):
             self.ask(http.request("GET", "/up", "x"))
         self.program.send_signal(signal.SIGTERM)
         self.assertEqual(0, self.program.wait(PATIENCE))  # its job has moved
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -18,8 +18,8 @@
 from elderstall.net import http
 from elderstall.net.handover.messages import ConnectionTransfer
 from elderstall.net.peer import unread, unwritten
-from elderstall.net.server.admission import MIN_SHED_AGE
-from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL, LINGER
+from elderstall.net.server.admission import MIN_SHED_AGE_MS
+from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL_MS, LINGER_TIMEOUT_MS
 from elderstall.net.server.connection import ServerConnection
 from tests.loopback import Loopback, Side, reactor
 
@@ -136,16 +136,16 @@
         self.assertFalse(self.app.engine.jobs.knows("a2"))
         self.assertEqual([], client.messages)
         client.sock.close()
-        self.wait(2 * DEPARTURE_CHECK_INTERVAL)
+        self.wait(2 * DEPARTURE_CHECK_INTERVAL_MS)
         self.assertNotIn(c, list(self.app.server.connections))
-        self.wait(2 * DEPARTURE_CHECK_INTERVAL)
+        self.wait(2 * DEPARTURE_CHECK_INTERVAL_MS)
         self.assertTrue(self.loop.stopped)
 
     def test_connection_whose_client_stays_is_ended_after_the_lingering_time(self) -> None:
         self.begin()
         self.kept("a1")
         self.app.sigterm()
-        self.wait(LET_GO_AT + LINGER + 100)
+        self.wait(LET_GO_AT + LINGER_TIMEOUT_MS + 100)
         self.assertTrue(self.loop.stopped)
         self.assertEqual([], list(self.app.server.connections))
 
@@ -232,14 +232,14 @@
     def test_last_answers_are_not_cut_short(self) -> None:
         """They were, twice the lingering time after the last one was given."""
         client, _, count = self.answers_unread()
-        self.wait(3 * LINGER)
+        self.wait(3 * LINGER_TIMEOUT_MS)
         for _ in range(count):
             self.assertEqual(5_000, len(self.answer(client).body))
         self.assertEqual(400, self.answer(client).status)
 
     def test_client_that_never_reads_is_ended(self) -> None:
         _, c, _ = self.answers_unread()
-        self.wait(self.app.server.timeouts.write + 3 * LINGER)
+        self.wait(self.app.server.timeouts.write + 3 * LINGER_TIMEOUT_MS)
         self.assertNotIn(c, list(self.app.server.connections))
 
 
@@ -261,7 +261,7 @@
     def test_new_connection_with_an_unread_request_is_passed_over(self) -> None:
         self.begin()
         first, second = self.accepted()[0], self.accepted()[0]
-        self.wait(MIN_SHED_AGE + 10)
+        self.wait(MIN_SHED_AGE_MS + 10)
         first.send(self.job("a1"))
         self.keep_at_most(1)
         self.app.server.shedding_threshold = 500
@@ -274,7 +274,7 @@
                 self.begin()
                 client, _ = self.accepted()
                 client.send(self.job("a1")[:part])
-                self.wait(MIN_SHED_AGE + 10)
+                self.wait(MIN_SHED_AGE_MS + 10)
                 self.keep_at_most(0)
                 message = self.answer(client)
                 self.assertEqual((503, "1"), (message.status, message.headers.get("Retry-After")))
@@ -294,7 +294,7 @@
         self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"x" * 60_000))
         self.turn()
         self.assertTrue(c.closing)
-        self.wait(MIN_SHED_AGE + 10)
+        self.wait(MIN_SHED_AGE_MS + 10)
         self.keep_at_most(0)
         self.assertEqual(60_000, len(self.answer(client).body))
 
@@ -304,7 +304,7 @@
         for client in clients:
             client.send(b"nothing\r\n\r\n")
         self.turn()
-        self.wait(MIN_SHED_AGE + 10)
+        self.wait(MIN_SHED_AGE_MS + 10)
         self.keep_at_most(0)
         self.wait(10)
         self.assertEqual([], list(self.app.server.connections))
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -40,7 +40,7 @@
     Started,
     TimerFired,
 )
-from elderstall.upgrade.upgrade import OLD_PART
+from elderstall.upgrade.upgrade import PREDECESSOR_BUDGET_FRACTION
 
 COLD = "w0"
 MEAN_WORK = 300.0  # ms of a standard core
@@ -304,13 +304,13 @@
         """Begin an upgrade: the old process hands its state over, and serves for a moment more."""
         old = self.serving[rank]
         new = self.process(rank, old.settings.dispatchers, old)
-        self.share(old, OLD_PART)
+        self.share(old, PREDECESSOR_BUDGET_FRACTION)
         self.at(self.now + 80.0, self.serve, rank, new)
 
     def serve(self, rank: int, new: Process) -> None:
         """Have the new process serve; a part of the clients' connections is yet to be handed over."""
         self.older[rank], self.serving[rank] = self.serving[rank], new
-        self.share(new, 1 - OLD_PART)
+        self.share(new, 1 - PREDECESSOR_BUDGET_FRACTION)
         self.at(self.now + 1_500.0, self.end, rank)
 
     def end(self, rank: int) -> None:
@@ -634,7 +634,7 @@
         self.assertTrue(self.sends(old, 10.0, 2_800.0))  # of the 3,360 ms that may be sent in a window
         data = json.dumps(old.learned())
         for now, sent in ((30.0, False), (10.0 + REPORTING.slow_start_window + 1.0, True)):
-            new = self.begun(REPORTING.slow_start_multiple * (1 - OLD_PART))
+            new = self.begun(REPORTING.slow_start_multiple * (1 - PREDECESSOR_BUDGET_FRACTION))
             new.handle(20.0, LearnedStateReceived(json.loads(data)))
             self.assertEqual(self.sends(new, now, 500.0), sent)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,13 +10,15 @@
 
 from elderstall.net import http
 from elderstall.net.handover.messages import ConnectionTransfer, RequestTaken
-from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL
-from elderstall.net.server.request_connection import READ_AHEAD
+from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL_MS
+from elderstall.net.server.request_connection import MAX_READ_AHEAD_BYTES
 from tests.loopback import Loopback, Side, address_of
 from tests.scenario import CLASSES, RULES, entry
 
 GONE_FOR = 100.0  # ms after a client has left from which on its job must not be written to a worker
-PIPELINED_REQUESTS = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" * (READ_AHEAD // 28 + 900)  # over READ_AHEAD
+PIPELINED_REQUESTS = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" * (
+    MAX_READ_AHEAD_BYTES // 28 + 900
+)  # over MAX_READ_AHEAD_BYTES
 LONG_DEADLINE_CLASS = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
 TOLD_AFTER, ANSWERED_IN = 6_000.0, 700.0  # ms: a change counts as told; what is left for a call's answer
 OWN_CALLS, OWN_LEAST = 3, 12  # descriptors: a former watch and two calls; the idle program's own
@@ -175,7 +177,7 @@
         self.take("POST gone").send(http.response(202))
         self.turn()
         side.sock.close()
-        self.wait(2 * DEPARTURE_CHECK_INTERVAL)
+        self.wait(2 * DEPARTURE_CHECK_INTERVAL_MS)
         self.take("DELETE /jobs/gone")
 
     def test_of_many_that_leave_at_any_instant_none_is_sent_from_0_1_s_on(self) -> None:
@@ -217,11 +219,11 @@
         self.begin()
         side = self.sent("a1")
         self.turn()
-        c = next(c for c in self.app.server.connections if c.client)
+        c = next(c for c in self.app.server.connections if c.is_client)
         self.assertTrue(c.paused)
-        self.assertLess(len(c.parser.buffer), READ_AHEAD + 16 * 1024 + 1)
+        self.assertLess(len(c.parser.buffer), MAX_READ_AHEAD_BYTES + 16 * 1024 + 1)
         self.take("POST a1").send(http.response(202))
-        self.wait(3 * DEPARTURE_CHECK_INTERVAL)
+        self.wait(3 * DEPARTURE_CHECK_INTERVAL_MS)
         self.call_back("a1")
         for status in [200] * (1 + PIPELINED_REQUESTS.count(b"GET")):
             self.assertEqual(status, self.answer(side).status)
@@ -231,7 +233,7 @@
         self.begin()
         self.sent("a1", "deck-build")
         self.turn()
-        c = next(c for c in self.app.server.connections if c.client)
+        c = next(c for c in self.app.server.connections if c.is_client)
         self.assertTrue(c.paused)
         before = self.app.deadlines.active_count
         for _ in range(50):
@@ -315,13 +317,13 @@
     def test_the_end_is_worked_out_once_whatever_comes_after(self) -> None:
         self.begin()
         self.app.sigterm()
-        until = self.app.server.until
+        until = self.app.server.shutdown_deadline
         self.wait(100)
         short = [{**c, "deadline": 900} for c in CLASSES]
         self.raw["settings"] = {**self.raw["settings"], "classes": short}
         self.app.sighup()
         self.app.sigterm()
-        self.assertEqual(until, self.app.server.until)
+        self.assertEqual(until, self.app.server.shutdown_deadline)
         self.wait(700)
         self.assertTrue(self.loop.stopped)
 
@@ -375,7 +377,7 @@
         side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
         side.send(self.job("a1"))
         self.take("POST a1").send(http.response(202))
-        c = next(c for c in self.app.server.connections if c.client)
+        c = next(c for c in self.app.server.connections if c.is_client)
         c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         result = "x" * 60_000
         call = {"id": "a1", "from": "w1", "state": "done", "result": result}
--- a/tests/test_listener_parts.py
+++ b/tests/test_listener_parts.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 
 from elderstall.deadlines import Deadlines
-from elderstall.net.server.admission import MIN_SHED_AGE, Activity, ConnectionTable
+from elderstall.net.server.admission import MIN_SHED_AGE_MS, Activity, ConnectionTable
 from elderstall.net.server.callbacks import WorkerCallback
 from elderstall.net.server.requests import RequestError, parse_info, parse_number, retry_after
 
@@ -17,9 +17,9 @@
     """A connection as the table sees it."""
 
     def __init__(
-        self, table: ConnectionTable[Peer], activity: Activity | None, *, may_shed: bool = True
+        self, table: ConnectionTable[Peer], activity: Activity | None, *, can_shed: bool = True
     ) -> None:
-        self.table, self.may_shed = table, may_shed
+        self.table, self.can_shed = table, can_shed
         self.activity: Activity | None = None
         self.active_since = 0.0
         self.is_shed = False
@@ -41,7 +41,7 @@
     table = table_of(clock)
     peers = [Peer(table, activity) for activity in reversed(Activity)]
     busy = Peer(table, None)
-    clock.advance(MIN_SHED_AGE / 1000)
+    clock.advance(MIN_SHED_AGE_MS / 1000)
     for left in range(len(peers), 0, -1):
         table.shedding_threshold = left
         table.enforce_limits()
@@ -58,14 +58,14 @@
     peer = Peer(table, Activity.NEW)
     table.enforce_limits()
     assert not peer.is_shed
-    clock.advance(MIN_SHED_AGE / 1000)
+    clock.advance(MIN_SHED_AGE_MS / 1000)
     assert peer.is_shed
 
 
 def test_what_is_owed_an_answer_is_passed_over() -> None:
     clock = Clock()
     table = table_of(clock, shedding_threshold=1)
-    owed, idle = Peer(table, Activity.IDLE, may_shed=False), Peer(table, Activity.IDLE)
+    owed, idle = Peer(table, Activity.IDLE, can_shed=False), Peer(table, Activity.IDLE)
     table.enforce_limits()
     assert (owed.is_shed, idle.is_shed) == (False, True)
 
@@ -105,7 +105,7 @@
 
 
 def test_a_callback_is_read_once() -> None:
-    plain = {
+    fields = {
         "id": "a1",
         "from": "w1",
         "state": "done",
@@ -113,9 +113,9 @@
         "share": 0.5,
         "load": {"queue": 1},
     }
-    callback = WorkerCallback.from_body(json.dumps(plain).encode())
+    callback = WorkerCallback.from_body(json.dumps(fields).encode())
     assert (callback.request_id, callback.worker, callback.state) == ("a1", "w1", "done")
-    assert (callback.result, callback.share_done, callback.load) == (b'{"n": 1}', 0.5, {"queue": 1})
-    assert callback.plain == plain
-    assert WorkerCallback.from_plain({**plain, "result": "text", "share": 2}).result == b"text"
-    assert WorkerCallback.from_plain({**plain, "share": 2}).share_done == 0.0
+    assert (callback.result, callback.fraction_done, callback.load) == (b'{"n": 1}', 0.5, {"queue": 1})
+    assert callback.fields == fields
+    assert WorkerCallback.from_fields({**fields, "result": "text", "share": 2}).result == b"text"
+    assert WorkerCallback.from_fields({**fields, "share": 2}).fraction_done == 0.0
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -32,7 +32,7 @@
 from elderstall.log import MAX_LINE_BYTES, Log, StandardError
 from elderstall.net import http, peer
 from elderstall.net.accepting import RESOURCE_ERRORS
-from elderstall.upgrade.adoption import ADOPT_TRIES
+from elderstall.upgrade.adoption import MAX_ADOPT_RETRIES
 from tests import loopback
 from tests.loopback import Loop, Loopback, with_console
 from tests.scenario import platform
@@ -251,7 +251,7 @@
     def test_one_that_can_never_be_taken_on_is_given_up_in_the_end_and_holds_no_descriptor(self) -> None:
         self.hand_over()
         client, accepted = self.connection()
-        self.adopt_connection_fails(*[system_error(errno.ENFILE)] * (ADOPT_TRIES + 1))
+        self.adopt_connection_fails(*[system_error(errno.ENFILE)] * (MAX_ADOPT_RETRIES + 1))
         self.send_connection(accepted, **self.job_fields("a1"))
         self.wait(3_000)
         self.assertEqual(0, self.app.upgrade.adoption.waiting)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 from elderstall.log import Log
 from elderstall.net import http
 from elderstall.net.handover.peers import Handover
-from elderstall.net.handover.search import OFFER_TIMEOUT
+from elderstall.net.handover.search import OFFER_TIMEOUT_MS
 from tests.test_program import PATIENCE, Line, Program
 
 
@@ -53,7 +53,7 @@
         program, address, console = self.launch()
         self.assertEqual(self.address, address)
         self.assertEqual(200, self.call(console, "GET", "/api/ready").status)
-        while not any("it gets the connections" in call for call in self.calls):
+        while not any("handing over connections to it" in call for call in self.calls):
             self.ask(http.request("GET", "/up", "x"))
         self.program.send_signal(signal.SIGTERM)
         self.assertEqual(400, self.ask(self.job("held", "deck-build")).status)  # its id is taken
@@ -86,7 +86,7 @@
 
     def test_a_successor_that_dies_leaves_the_old_process_serving(self) -> None:
         program, _, _ = self.launch()
-        while not any("it gets the connections" in call for call in self.calls):
+        while not any("handing over connections to it" in call for call in self.calls):
             self.ask(http.request("GET", "/up", "x"))
         program.kill()
         program.wait()
@@ -141,7 +141,7 @@
         handover.path = "/dev/null"
         found: list[Any] = []
         handover.find().addBoth(found.append)
-        clock.advance(OFFER_TIMEOUT / 1000 - 1)
+        clock.advance(OFFER_TIMEOUT_MS / 1000 - 1)
         self.assertEqual((["/dev/null"], []), (tried, found))
         clock.advance(1.1)
         self.assertIsInstance(found[0].value, TimeoutError)
