--- a/elderstall/net/handover/peers.py
+++ b/elderstall/net/handover/peers.py
@@ -61,7 +61,9 @@
     noisy = False
 
     def __init__(self, deadlines: Deadlines, log: Log, reactor: Any, folder: str, name: str) -> None:
-        self.deadlines, self.log, self.reactor = deadlines, log, reactor
+        self.deadlines = deadlines
+        self.log = log
+        self.reactor = reactor
         self.path = os.path.join(folder, f"{name}.sock")
         self.links: list[Link] = []
         self.port: Any = None  # listens for the next process
@@ -83,7 +85,8 @@
 
     def predecessor_found(self, link: Link) -> None:
         """Record the link to the process that the hand-over is requested from."""
-        self.predecessor, self.is_path_available = link, False
+        self.predecessor = link
+        self.is_path_available = False
 
     # ---- messages ----
 
@@ -149,7 +152,8 @@
 
     def stop_listening(self) -> Deferred[None]:
         """Stop listening, so that the next process connects to the one that serves now."""
-        port, self.port = self.port, None
+        port = self.port
+        self.port = None
         done = Deferred[None]()
         if port is None:
             done.callback(None)
@@ -222,7 +226,8 @@
         if self.closed:
             return
         if link is self.predecessor:
-            self.predecessor, self.is_path_available = None, True
+            self.predecessor = None
+            self.is_path_available = True
             if self.search.is_active:
                 self.search.retry()
                 return
--- a/elderstall/net/handover/questions.py
+++ b/elderstall/net/handover/questions.py
@@ -22,7 +22,8 @@
     def open(self) -> tuple[int, Deferred[bool]]:
         """Return a new question's number and the Deferred of its answer."""
         self.count += 1
-        number, answered = self.count, Deferred[bool]()
+        number = self.count
+        answered = Deferred[bool]()
         self.waiting[number] = answered
         timer = self.deadlines.after(QUESTION_TIMEOUT_MS, self.answer, number, False)
 
--- a/elderstall/net/handover/search.py
+++ b/elderstall/net/handover/search.py
@@ -103,11 +103,13 @@
     def timed_out(self) -> None:
         """Fail the search, as the running process does not hand over."""
         if self.awaited is not None:
-            awaited, self.awaited = self.awaited, None
+            awaited = self.awaited
+            self.awaited = None
             awaited.errback(TimeoutError("the running process did not hand over in time"))
 
     def settle(self, offer: Offer | None) -> None:
         """End the search with its result."""
         if self.awaited is not None:
-            awaited, self.awaited = self.awaited, None
+            awaited = self.awaited
+            self.awaited = None
             awaited.callback(offer)
--- a/elderstall/net/server/callbacks.py
+++ b/elderstall/net/server/callbacks.py
@@ -36,7 +36,9 @@
         """Return the callback from decoded JSON; raises RequestError."""
         if not isinstance(fields, dict):
             raise RequestError(400, "no JSON object")
-        request_id, worker, state = fields.get("id"), fields.get("from"), fields.get("state")
+        request_id = fields.get("id")
+        worker = fields.get("from")
+        state = fields.get("state")
         if not (isinstance(request_id, str) and isinstance(worker, str) and isinstance(state, str)):
             raise RequestError(400, "id, from and state are text")
         return cls(request_id, worker, state, fields)
@@ -73,7 +75,9 @@
     """Applies callbacks to the engine; only those from the worker of a live attempt have an effect."""
 
     def __init__(self, engine: Engine, log: Log, parse_report: ReportParser) -> None:
-        self.engine, self.log, self.parse_report = engine, log, parse_report
+        self.engine = engine
+        self.log = log
+        self.parse_report = parse_report
         # Forwards a callback to the peer process of an upgrade, if there is one.
         self.ask_others: Callable[[Any], Deferred[bool] | None] = lambda call: None
 
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -76,7 +76,8 @@
         for deadline in (self.timeout, self.departure_check):
             if deadline is not None:
                 deadline.cancel()
-        job, self.job = self.job, None
+        job = self.job
+        self.job = None
         if job is not None:
             self.reason = CloseReason.CLIENT_GONE
             self.server.engine.client_left(job)
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -98,7 +98,8 @@
         transfer = self.engine.export_job(connection.job or 0)
         if transfer is None:
             return False
-        connection.transfer, connection.job = transfer, None
+        connection.transfer = transfer
+        connection.job = None
         self.ids_in_transfer.add(transfer.request_id)
         if not release(connection):  # no descriptor is free for the copy: it stays here
             self.resume_transfer(connection)
@@ -106,7 +107,8 @@
 
     def resume_transfer(self, connection: RequestConnection) -> None:
         """Resume a job that could not be handed over, or that was handed over to this process."""
-        transfer, connection.transfer = connection.transfer, None
+        transfer = connection.transfer
+        connection.transfer = None
         if transfer is None or connection.original is None:
             return
         self.ids_in_transfer.discard(transfer.request_id)
@@ -119,7 +121,8 @@
 
     def complete_hand_over(self, connection: RequestConnection, *, closed_cleanly: bool) -> None:
         """Send a released connection to the peer process, or end its job if the connection broke."""
-        descriptor, connection.handed_descriptor = connection.handed_descriptor, None
+        descriptor = connection.handed_descriptor
+        connection.handed_descriptor = None
         if descriptor is None:
             return
         transfer = connection.transfer
--- a/elderstall/net/server/listener.py
+++ b/elderstall/net/server/listener.py
@@ -95,7 +95,8 @@
     def handle(self, connection: RequestConnection, message: http.Message) -> None:
         """Answer a request."""
         if connection.job_request is not None:
-            request, connection.job_request = connection.job_request, None
+            request = connection.job_request
+            connection.job_request = None
             self.handle_job(connection, message, request)
         elif message.method == "POST":
             self.handle_callback(connection, message)
@@ -160,7 +161,8 @@
         except TooManyJobsError:
             raise self.rejected(request, "too many jobs") from None
         if connection.busy:  # else it has been answered already
-            connection.job, connection.original = number, message
+            connection.job = number
+            connection.original = message
 
     # ---- callbacks ----
 
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -127,7 +127,8 @@
     def handle_request(self, message: http.Message) -> None:
         """Pass a complete request to the handler."""
         self.message = None
-        message.body, self.body_parts = b"".join(self.body_parts), []
+        message.body = b"".join(self.body_parts)
+        self.body_parts = []
         self.requests += 1
         self.busy = True
         self.close_after = not message.keep_alive
--- a/elderstall/net/server/streams.py
+++ b/elderstall/net/server/streams.py
@@ -67,7 +67,8 @@
     def flush(self) -> None:
         """Write the pending progress if the client reads."""
         if self.pending is not None and not self.connection.blocked:
-            data, self.pending = self.pending, None
+            data = self.pending
+            self.pending = None
             self.write_event("progress", data)
 
     def is_connected(self) -> bool:
--- a/elderstall/upgrade/state_transfer.py
+++ b/elderstall/upgrade/state_transfer.py
@@ -17,11 +17,16 @@
     """Exports the state of this process, and imports that of its predecessor."""
 
     def __init__(self, deadlines: Deadlines, engine: Engine, discovery: Discovery, server: Server) -> None:
-        self.deadlines, self.engine, self.discovery, self.server = deadlines, engine, discovery, server
+        self.deadlines = deadlines
+        self.engine = engine
+        self.discovery = discovery
+        self.server = server
 
     def export_state(self, discovery_address: str) -> ProcessState:
         """Return the state of this process for its successor."""
-        view, jobs, clock = self.engine.view, self.engine.jobs, self.deadlines.shared()
+        view = self.engine.view
+        jobs = self.engine.jobs
+        clock = self.deadlines.shared()
         return ProcessState(
             clock=clock,
             starts=self.discovery.starts.written(clock),
@@ -40,7 +45,8 @@
 
     def import_state(self, state: ProcessState) -> None:
         """Import the predecessor's state, except what it has learned, which needs the endpoint list."""
-        view, clock = self.engine.view, state.clock
+        view = self.engine.view
+        clock = state.clock
         view.banned.update((worker, clock.decode_reading(since)) for worker, since in state.banned.items())
         view.ended_bans.update(
             (worker, (clock.decode_reading(since), clock.decode_reading(until)))
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -1,7 +1,7 @@
-"""A client that closes has gone: wherever its job waits, no attempt begins more than 0.1 s later.
+"""After a client closes, no attempt of its job begins more than 0.1 s later, wherever the job waits.
 
-The process is held up for 0.15 s at the worst instant: the client's end and what lets its job go on lie
-unread together, and are met in one turn. tests/test_crossings.py has the same without the hold-up.
+The process is delayed for 0.15 s at the worst instant, so that the client's end and the event that lets its
+job continue are both unread and handled in one turn. tests/test_crossings.py has the cases without the delay.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from tests.loopback import Loopback, Side
 from tests.scenario import CLASSES
 
-HELD_UP = 150.0  # ms for which the process may be held up between two of its turns
+PROCESS_DELAY_MS = 150.0  # for which the process may be delayed between two turns of its reactor
 LONG_DEADLINE_CLASS = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
-TAKEN = http.response(202)
+ACCEPTED = http.response(202)
 
 
 class Leaving(Loopback):
-    """Clients that leave, and what comes to workers after that."""
+    """Helpers for clients that disconnect, and for the requests that reach workers after that."""
 
     progress = False
 
     def begin(self, workers: int = 1, **more: Any) -> None:  # type: ignore[override]
-        """Have a class that can wait for longer than the term: else its job is given up by then anyhow."""
+        """Add a class with a long deadline: the others' jobs could expire before the checks end."""
         super().begin(workers, progress=self.progress, classes=[*CLASSES, LONG_DEADLINE_CLASS], **more)
 
-    def sent(self, request_id: str = "gone", job_class: str = "album") -> Side:
+    def send_job(self, request_id: str = "gone", job_class: str = "album") -> Side:
         client = self.client()
         accept = "text/event-stream" if self.progress else "*/*"
         client.send(self.job(request_id, job_class, accept=accept))
@@ -39,30 +39,30 @@
         return client
 
     def occupy(self) -> None:
-        """Give the one worker a job, so that the next waits for room."""
+        """Send the only worker a job, so that the next one waits for a free slot."""
         self.first = self.client()
         self.first.send(self.job("first", "deck-build", 15_000))
-        self.take("POST first").send(TAKEN)
+        self.take("POST first").send(ACCEPTED)
         self.turn()
 
-    def calls_back(self, request_id: str, state: str = "done", worker: str = "w1") -> Side:
-        """Have a worker call back; nothing of it is read yet."""
+    def send_callback(self, request_id: str, state: str = "done", worker: str = "w1") -> Side:
+        """Send a worker's callback, which is not read yet."""
         side = self.client()
         call = {"id": request_id, "from": worker, "state": state, "result": "deck"}
         side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
         return side
 
-    def name(self, worker: Side) -> str:
+    def worker_name(self, worker: Side) -> str:
         ports = [sock.getsockname()[1] for sock in self.listeners]
         return f"w{ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def leaves(self, client: Side) -> None:
-        """Have a client close, and the process held up right after."""
+    def disconnect(self, client: Side) -> None:
+        """Close a client's connection, and delay the process right after."""
         client.sock.close()
-        self.jump(HELD_UP)
+        self.jump(PROCESS_DELAY_MS)
 
-    def not_sent(self) -> None:
-        """See that no attempt begins from here on, however long it takes."""
+    def assert_no_attempt(self) -> None:
+        """Assert that no attempt begins within 0.5 s, and that the job has ended."""
         for _ in range(10):
             self.wait(50)
             self.assertEqual([], [what for what, _ in self.came() if what.startswith("POST")])
@@ -70,151 +70,151 @@
 
 
 class Departure(Leaving):
-    """Plain answers; the class below has the same on the front for streams."""
+    """Plain answers; the class below runs the same cases on the listener for streams."""
 
-    def test_held_for_room(self) -> None:
+    def test_waiting_for_a_free_slot(self) -> None:
         self.begin()
         self.occupy()
-        client = self.sent()
+        client = self.send_job()
         client.sock.close()
-        self.calls_back("first")
-        self.jump(HELD_UP)
-        self.not_sent()
+        self.send_callback("first")
+        self.jump(PROCESS_DELAY_MS)
+        self.assert_no_attempt()
 
-    def test_connection_to_its_worker_comes_up(self) -> None:
+    def test_connection_to_its_worker_is_established(self) -> None:
         self.begin()
         self.held = []
-        client = self.sent(job_class="deck-build")
+        client = self.send_job(job_class="deck-build")
         self.until(lambda: bool(self.held))
-        self.leaves(client)
+        self.disconnect(client)
         self.let_up()
-        self.not_sent()
+        self.assert_no_attempt()
 
-    def test_kept_connection_is_written_to_in_the_turn_that_decides(self) -> None:
+    def test_kept_connection_is_written_to_in_the_turn_of_the_decision(self) -> None:
         self.begin()
-        for request_id in ("k1", "k2"):  # a kept connection
+        for request_id in ("k1", "k2"):  # leaves kept connections to the worker
             side = self.client()
             side.send(self.job(request_id))
-            self.take(f"POST {request_id}").send(TAKEN)
+            self.take(f"POST {request_id}").send(ACCEPTED)
             self.turn()
             self.call_back(request_id)
             self.answer(side)
         self.occupy()
-        client = self.sent()
+        client = self.send_job()
         client.sock.close()
-        self.calls_back("first")
-        self.jump(HELD_UP)
-        self.not_sent()
+        self.send_callback("first")
+        self.jump(PROCESS_DELAY_MS)
+        self.assert_no_attempt()
 
-    def test_workers_are_asked_how_they_stand(self) -> None:
+    def test_workers_are_polled_for_their_load(self) -> None:
         limits = {"conn_idle": 10000, "connect_timeout": 250, "max_attempts": 5, "probes": True}
         self.begin(workers=2, balancers=200, limits=limits)
-        client = self.sent()
+        client = self.send_job()
         asked = self.take("GET /metrics/load")
         client.sock.close()
         asked.send(http.response(200, b'{"cpu_share": 0.1, "x0": 2}'))
-        self.jump(HELD_UP)
-        self.not_sent()
+        self.jump(PROCESS_DELAY_MS)
+        self.assert_no_attempt()
 
     def test_job_handed_back_waits_for_its_next_attempt(self) -> None:
         self.begin()
-        client = self.sent()
-        self.take("POST gone").send(TAKEN)
+        client = self.send_job()
+        self.take("POST gone").send(ACCEPTED)
         self.turn()
         client.sock.close()
-        self.calls_back("gone", "returned")
-        self.jump(HELD_UP)
-        self.not_sent()
+        self.send_callback("gone", "returned")
+        self.jump(PROCESS_DELAY_MS)
+        self.assert_no_attempt()
 
     def test_rejected_job_waits_for_its_next_attempt(self) -> None:
         self.begin(workers=2)
-        client = self.sent()
+        client = self.send_job()
         worker = self.take("POST gone")
         client.sock.close()
         worker.send(http.response(503, headers=[("X-Rejected", "1")]))
-        self.jump(HELD_UP)
-        self.not_sent()
+        self.jump(PROCESS_DELAY_MS)
+        self.assert_no_attempt()
 
-    def test_cancel_of_the_attempt_before_is_in_flight(self) -> None:
-        """The next attempt waits for the worker's word on DELETE, which comes after the client has left."""
-        for leaves_first in (True, False):
-            with self.subTest(leaves_first=leaves_first):
+    def test_cancel_of_the_previous_attempt_is_in_flight(self) -> None:
+        """The next attempt waits for the worker's answer to DELETE, which comes after the client has left."""
+        for disconnects_first in (True, False):
+            with self.subTest(disconnects_first=disconnects_first):
                 self.begin(workers=2)
-                client = self.sent()
+                client = self.send_job()
                 worker = self.take("POST gone")
-                worker.send(TAKEN[:20])
+                worker.send(ACCEPTED[:20])
                 self.turn()
-                worker.sock.shutdown(socket.SHUT_RDWR)  # it may have the job: it has to confirm the end
+                worker.sock.shutdown(socket.SHUT_RDWR)  # it may have the job, so it has to confirm the cancel
                 cancel = self.take("DELETE /jobs/gone")
-                self.assertEqual(self.name(worker), self.name(cancel))
-                if leaves_first:
-                    self.leaves(client)
+                self.assertEqual(self.worker_name(worker), self.worker_name(cancel))
+                if disconnects_first:
+                    self.disconnect(client)
                     cancel.send(http.response(200))
                 else:
                     cancel.send(http.response(200))
-                    self.leaves(client)
-                self.not_sent()
+                    self.disconnect(client)
+                self.assert_no_attempt()
 
     def test_cancel_that_is_never_answered(self) -> None:
-        """The next attempt goes out once that was waited for: not for a client that has left."""
+        """The next attempt would begin after the time-out, but not for a client that has disconnected."""
         self.begin(workers=2)
-        client = self.sent()
+        client = self.send_job()
         worker = self.take("POST gone")
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         worker.sock.close()
         self.take("DELETE /jobs/gone")
-        self.leaves(client)
-        self.not_sent()
+        self.disconnect(client)
+        self.assert_no_attempt()
 
-    def test_at_its_worker(self) -> None:
-        """Nothing new begins, and its worker is notified."""
+    def test_job_is_at_its_worker(self) -> None:
+        """No new attempt begins, and the worker is notified."""
         self.begin()
-        client = self.sent()
-        self.take("POST gone").send(TAKEN)
+        client = self.send_job()
+        self.take("POST gone").send(ACCEPTED)
         self.turn()
-        self.leaves(client)
+        self.disconnect(client)
         self.take("DELETE /jobs/gone").send(http.response(200))
-        self.not_sent()
+        self.assert_no_attempt()
 
-    def test_worker_gone_with_the_attempt(self) -> None:
+    def test_worker_closes_during_the_attempt(self) -> None:
         self.begin(workers=2)
-        client = self.sent()
+        client = self.send_job()
         worker = self.take("POST gone")
         client.sock.close()
         worker.sock.close()
-        self.jump(HELD_UP)
-        self.not_sent()
+        self.jump(PROCESS_DELAY_MS)
+        self.assert_no_attempt()
 
-    def test_connections_to_the_worker_fail_again_and_again(self) -> None:
-        """The job waits between connections that are refused."""
+    def test_connections_to_the_worker_fail_repeatedly(self) -> None:
+        """The job waits between refused connections."""
         self.begin()
         address = self.listeners[0].getsockname()
         self.listeners[0].close()
-        client = self.sent()
+        client = self.send_job()
         self.wait(60)
-        self.leaves(client)
+        self.disconnect(client)
         self.listeners[0] = socket.create_server(address)
         self.listeners[0].setblocking(False)
         self.addCleanup(self.listeners[0].close)
-        self.not_sent()
+        self.assert_no_attempt()
 
     def test_request_and_end_are_read_together(self) -> None:
         self.begin()
         client = self.client()
         accept = "text/event-stream" if self.progress else "*/*"
         client.send(self.job("gone", "album", accept=accept))
-        self.leaves(client)
-        self.not_sent()
+        self.disconnect(client)
+        self.assert_no_attempt()
 
 
 class StreamDeparture(Departure):
-    """The same on the front for streams."""
+    """The same cases on the listener for streams."""
 
     progress = True
 
     def test_between_two_events_of_its_stream(self) -> None:
         self.begin(workers=2)
-        client = self.sent()
+        client = self.send_job()
         worker = self.take("POST gone")
         worker.send(
             http.head_of(
@@ -225,38 +225,38 @@
         self.turn()
         client.sock.close()
         worker.send(http.chunk(b"event: progress\ndata: 0.4\n\n"))
-        self.jump(HELD_UP)
+        self.jump(PROCESS_DELAY_MS)
         self.take("DELETE /jobs/gone").send(http.response(200))
-        self.not_sent()
+        self.assert_no_attempt()
 
 
 class HandOverDeparture(Leaving):
-    """The job moves between two processes of an upgrade as its client leaves."""
+    """The job is handed over between two processes of an upgrade while its client disconnects."""
 
     def begin(self, workers: int = 1, **more: Any) -> None:  # type: ignore[override]
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         super().begin(workers, folder=folder.name, **more)
 
-    def test_taken_back_as_the_other_process_dies(self) -> None:
+    def test_job_is_taken_back_as_the_successor_dies(self) -> None:
         self.begin()
         self.occupy()
-        self.first.send(b"G")  # a further request has begun: this connection does not move
-        client = self.sent()
+        self.first.send(b"G")  # the next request has begun, so this connection is not handed over
+        client = self.send_job()
         assert self.app.upgrade.handover is not None
         link = socket.socket(socket.AF_UNIX)
         self.addCleanup(link.close)
         link.connect(self.app.upgrade.handover.path)
         link.sendall(b'{"m": "hello", "version": 1}\n')
         self.turn()
-        _, fds, _, _ = socket.recv_fds(link, 1 << 20, 4)
+        _, descriptors, _, _ = socket.recv_fds(link, 1 << 20, 4)
         link.sendall(b'{"m": "got"}\n{"m": "serving"}\n')
         self.turn()
-        for fd in fds:
-            os.close(fd)
+        for descriptor in descriptors:
+            os.close(descriptor)
         client.sock.close()
         link.close()
-        self.jump(HELD_UP)
+        self.jump(PROCESS_DELAY_MS)
         self.turn()
         self.call_back("first")
-        self.not_sent()
+        self.assert_no_attempt()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,7 +1,7 @@
-"""No request that was read is closed over without an answer, whatever closes its connection.
+"""A request that was read is always answered, whatever closes its connection.
 
-Each test sends the request in the very moment of the close: the reactor turns and the clock moves only when
-the test says so, see tests/loopback.py.
+Each test sends a request at the moment of the close. The test drives the reactor and the clock, see
+tests/loopback.py.
 """
 
 from __future__ import annotations
@@ -24,24 +24,28 @@
 from tests.loopback import Loopback, Side, reactor
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-LET_GO_AT = 2_000.0  # ms after SIGTERM at which connections between requests are closed
+IDLE_CLOSE_DELAY_MS = 2_000.0  # after SIGTERM, at which connections between requests are closed
 
 
 class Closing(Loopback):
-    """A dispatcher with one worker, and what its clients are owed."""
+    """A dispatcher with one worker, and helpers for its clients' connections."""
 
     def connection(self, client: Side) -> ServerConnection:
-        """Find the program's end of a client's connection."""
+        """Return the server's end of a client's connection."""
         port = client.sock.getsockname()[1]
-        return next(c for c in self.app.server.connections if c.transport.getPeer().port == port)
+        return next(
+            connection
+            for connection in self.app.server.connections
+            if connection.transport.getPeer().port == port
+        )
 
-    def accepted(self) -> tuple[Side, ServerConnection]:
+    def accepted_client(self) -> tuple[Side, ServerConnection]:
         client = self.client()
         self.turn()
         return client, self.connection(client)
 
-    def kept(self, request_id: str) -> Side:
-        """Give a client that has had an answer and keeps its connection."""
+    def keep_alive_client(self, request_id: str) -> Side:
+        """Return a client that has received an answer and keeps its connection open."""
         client = self.client()
         client.send(self.job(request_id))
         self.serve(client, request_id)
@@ -57,24 +61,24 @@
         self.assertEqual((200, f"deck {request_id}".encode()), (message.status, message.body))
         return message
 
-    def closed(self, client: Side) -> bool:
+    def is_closed(self, client: Side) -> bool:
         client.read()
         return client.ended
 
 
 class TimeOuts(Closing):
-    """A connection's time is over while its request lies unread."""
+    """A connection times out while its request is unread."""
 
     def test_request_on_a_new_connection_that_was_silent(self) -> None:
         self.begin()
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         client.send(self.job("a1"))
         self.jump(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
-    def test_request_on_a_new_connection_with_the_process_held_up(self) -> None:
+    def test_request_on_a_new_connection_while_the_process_is_delayed(self) -> None:
         self.begin()
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         self.wait(self.app.server.timeouts.request - 10)
         client.send(self.job("a1"))
         self.jump(150)
@@ -82,7 +86,7 @@
 
     def test_rest_of_a_head(self) -> None:
         self.begin()
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         data = self.job("a1")
         client.send(data[:20])
         self.turn()
@@ -92,7 +96,7 @@
 
     def test_rest_of_a_body(self) -> None:
         self.begin()
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         data = self.job("a1")
         client.send(data[:-2])
         self.turn()
@@ -100,12 +104,12 @@
         self.jump(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
-    def test_client_that_sends_a_byte_in_that_moment_is_still_ended_within_3_s(self) -> None:
+    def test_client_that_keeps_sending_bytes_is_still_ended_within_3_s(self) -> None:
         self.begin()
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         client.send(self.job("a1")[:20])
         self.wait(self.app.server.timeouts.request - 10)
-        for _ in range(48):  # from then on a byte lies unread at every look
+        for _ in range(48):  # from then on a byte is unread at every check
             client.sock.send(b"x")
             self.jump(10)
             self.turn(3)
@@ -113,63 +117,63 @@
 
     def test_silent_connection_is_still_ended(self) -> None:
         self.begin()
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         self.wait(self.app.server.timeouts.request + 10)
-        self.assertTrue(self.closed(client))
+        self.assertTrue(self.is_closed(client))
 
 
 class Drain(Closing):
-    """The planned end closes connections between requests."""
+    """A drain closes connections between requests."""
 
     def test_request_that_crosses_the_close_is_not_read(self) -> None:
-        """Its client sends it again, which it does not with one that was read."""
+        """A client sends an unread request again, but not one that was read."""
         self.begin()
-        client = self.kept("a1")
-        c = self.connection(client)
+        client = self.keep_alive_client("a1")
+        connection = self.connection(client)
         self.app.sigterm()
-        self.wait(LET_GO_AT - 10)
-        self.jump(20)  # the close is decided on; nothing has come
+        self.wait(IDLE_CLOSE_DELAY_MS - 10)
+        self.jump(20)  # the close has begun; no request has arrived
         client.send(self.job("a2"))
         self.turn()
-        self.assertTrue(self.closed(client))
-        self.assertTrue(unread(c.transport))
+        self.assertTrue(self.is_closed(client))
+        self.assertTrue(unread(connection.transport))
         self.assertFalse(self.app.engine.jobs.knows("a2"))
         self.assertEqual([], client.messages)
         client.sock.close()
         self.wait(2 * DEPARTURE_CHECK_INTERVAL_MS)
-        self.assertNotIn(c, list(self.app.server.connections))
+        self.assertNotIn(connection, list(self.app.server.connections))
         self.wait(2 * DEPARTURE_CHECK_INTERVAL_MS)
         self.assertTrue(self.loop.stopped)
 
-    def test_connection_whose_client_stays_is_ended_after_the_lingering_time(self) -> None:
+    def test_connection_that_its_client_keeps_open_is_ended_after_the_linger_time(self) -> None:
         self.begin()
-        self.kept("a1")
+        self.keep_alive_client("a1")
         self.app.sigterm()
-        self.wait(LET_GO_AT + LINGER_TIMEOUT_MS + 100)
+        self.wait(IDLE_CLOSE_DELAY_MS + LINGER_TIMEOUT_MS + 100)
         self.assertTrue(self.loop.stopped)
         self.assertEqual([], list(self.app.server.connections))
 
-    def kept_past_letting_go(self) -> Side:
-        """Give a client with no request yet, while the program stays for another one's job."""
+    def client_past_idle_close(self) -> Side:
+        """Return a client without a request while another client's job keeps the process running."""
         owed = self.client()
         owed.send(self.job("owed", "deck-build", 15_000))
         self.take("POST owed").send(http.response(202))
-        client, _ = self.accepted()
+        client, _ = self.accepted_client()
         self.app.sigterm()
-        self.wait(LET_GO_AT + 10)
+        self.wait(IDLE_CLOSE_DELAY_MS + 10)
         return client
 
-    def test_requests_behind_one_another_are_all_answered_before_the_close(self) -> None:
+    def test_pipelined_requests_are_all_answered_before_the_close(self) -> None:
         self.begin(workers=2)
-        client = self.kept_past_letting_go()
+        client = self.client_past_idle_close()
         client.send(self.job("a1", budget=900) + self.job("a2", budget=900))
         self.assertIsNone(self.serve(client, "a1").headers.get("Connection"))
         self.assertEqual("close", self.serve(client, "a2").headers.get("Connection"))
-        self.assertTrue(self.closed(client))
+        self.assertTrue(self.is_closed(client))
 
-    def test_request_unread_when_the_one_before_is_answered(self) -> None:
+    def test_request_unread_when_the_previous_one_is_answered(self) -> None:
         self.begin(workers=2)
-        client = self.kept_past_letting_go()
+        client = self.client_past_idle_close()
         client.send(self.job("a1", budget=900))
         self.take("POST a1").send(http.response(202))
         self.turn()
@@ -180,21 +184,21 @@
         self.assertEqual(200, self.answer(client).status)
         self.serve(client, "a2")
 
-    def test_answer_that_the_system_has_not_taken_yet_holds_the_end(self) -> None:
-        """An answer written in the turn before the program's end was dropped with it."""
+    def test_answer_that_is_not_written_yet_delays_the_end(self) -> None:
+        """An answer written in the last turn before the process ended was lost with it."""
         self.begin()
         self.app.sigterm()
         self.wait(690)
         for data, status in ((UP, 503), (self.job("a1").replace(b"/deck-fetch", b"/nowhere"), 400)):
             with self.subTest(status):
-                client, c = self.accepted()
+                client, connection = self.accepted_client()
                 client.send(data)
                 for _ in range(100):
-                    if unwritten(c.transport):
+                    if unwritten(connection.transport):
                         break
                     reactor.iterate(0)
-                self.assertTrue(unwritten(c.transport))
-                self.jump(100)  # the program looks whether all is answered before the next turn
+                self.assertTrue(unwritten(connection.transport))
+                self.jump(100)  # the check for unwritten answers runs before the next turn
                 self.assertFalse(self.loop.stopped)
                 self.assertEqual(status, self.answer(client).status)
         self.wait(100)
@@ -202,20 +206,21 @@
 
 
 class SlowReader(Closing):
-    """A client that takes its answers late, the last of them smaller than the transport's buffer."""
+    """A client that reads its answers late, the last of them smaller than the transport's buffer."""
 
-    def answers_unread(self) -> tuple[Side, ServerConnection, int]:
-        """Give answers to a client that does not read until the system takes one in part; then the last."""
+    def client_with_unread_answers(self) -> tuple[Side, ServerConnection, int]:
+        """Answer a client that does not read until an answer is only partly written; then send a last one."""
         self.begin()
         client = self.client()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
         client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.turn()
-        c = self.connection(client)
-        c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
+        connection = self.connection(client)
+        connection.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         count = 0
-        while not unwritten(c.transport):
-            request_id, count = f"a{count}", count + 1
+        while not unwritten(connection.transport):
+            request_id = f"a{count}"
+            count += 1
             client.send(self.job(request_id))
             self.take(f"POST {request_id}").send(http.response(202))
             self.turn()
@@ -225,87 +230,89 @@
             self.turn()
         client.send(b"nothing\r\n\r\n")
         self.turn()
-        self.assertTrue(c.closing)
-        self.assertFalse(c.blocked)
-        return client, c, count
+        self.assertTrue(connection.closing)
+        self.assertFalse(connection.blocked)
+        return client, connection, count
 
-    def test_last_answers_are_not_cut_short(self) -> None:
-        """They were, twice the lingering time after the last one was given."""
-        client, _, count = self.answers_unread()
+    def test_last_answers_are_not_truncated(self) -> None:
+        """They were truncated twice the linger time after the last one was written."""
+        client, _, count = self.client_with_unread_answers()
         self.wait(3 * LINGER_TIMEOUT_MS)
         for _ in range(count):
             self.assertEqual(5_000, len(self.answer(client).body))
         self.assertEqual(400, self.answer(client).status)
 
     def test_client_that_never_reads_is_ended(self) -> None:
-        _, c, _ = self.answers_unread()
+        _, connection, _ = self.client_with_unread_answers()
         self.wait(self.app.server.timeouts.write + 3 * LINGER_TIMEOUT_MS)
-        self.assertNotIn(c, list(self.app.server.connections))
+        self.assertNotIn(connection, list(self.app.server.connections))
 
 
 class Shedding(Closing):
-    """Descriptors are short, and some connections have to go."""
+    """Descriptors run short, and some connections are shed."""
 
-    def keep_at_most(self, count: int) -> None:
+    def limit_connections(self, count: int) -> None:
         self.app.server.shedding_threshold = count
         self.app.server.enforce_limits()
 
-    def test_connection_with_an_unread_request_is_passed_over(self) -> None:
+    def test_connection_with_an_unread_request_is_not_shed(self) -> None:
         self.begin()
-        first, second = self.kept("a1"), self.kept("a2")
+        first = self.keep_alive_client("a1")
+        second = self.keep_alive_client("a2")
         first.send(self.job("a3"))
-        self.keep_at_most(1)
+        self.limit_connections(1)
         self.serve(first, "a3")
-        self.assertTrue(self.closed(second))
+        self.assertTrue(self.is_closed(second))
 
-    def test_new_connection_with_an_unread_request_is_passed_over(self) -> None:
+    def test_new_connection_with_an_unread_request_is_not_shed(self) -> None:
         self.begin()
-        first, second = self.accepted()[0], self.accepted()[0]
+        first = self.accepted_client()[0]
+        second = self.accepted_client()[0]
         self.wait(MIN_SHED_AGE_MS + 10)
         first.send(self.job("a1"))
-        self.keep_at_most(1)
+        self.limit_connections(1)
         self.app.server.shedding_threshold = 500
         self.serve(first, "a1")
-        self.assertTrue(self.closed(second))
+        self.assertTrue(self.is_closed(second))
 
-    def test_client_in_the_middle_of_a_request_is_asked_to_come_back(self) -> None:
+    def test_client_in_the_middle_of_a_request_is_told_to_retry(self) -> None:
         for part in (20, -2):  # of the head, of the body
             with self.subTest(part):
                 self.begin()
-                client, _ = self.accepted()
+                client, _ = self.accepted_client()
                 client.send(self.job("a1")[:part])
                 self.wait(MIN_SHED_AGE_MS + 10)
-                self.keep_at_most(0)
+                self.limit_connections(0)
                 message = self.answer(client)
                 self.assertEqual((503, "1"), (message.status, message.headers.get("Retry-After")))
-                self.assertTrue(self.closed(client))
+                self.assertTrue(self.is_closed(client))
 
-    def test_answer_that_is_not_written_yet_is_not_cut_short(self) -> None:
+    def test_answer_that_is_not_written_yet_is_not_truncated(self) -> None:
         self.begin()
         client = self.client()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
         client.send(self.job("a1").replace(b"Host:", b"Connection: close\r\nHost:"))
         self.take("POST a1").send(http.response(202))
         self.turn()
-        c = self.connection(client)
-        c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
+        connection = self.connection(client)
+        connection.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         attempt = self.app.engine.jobs.live_attempt("a1", "w1")
         assert attempt is not None
         self.app.engine.attempts.worker_ended(attempt, Outcome(Ending.SERVED, b"x" * 60_000))
         self.turn()
-        self.assertTrue(c.closing)
+        self.assertTrue(connection.closing)
         self.wait(MIN_SHED_AGE_MS + 10)
-        self.keep_at_most(0)
+        self.limit_connections(0)
         self.assertEqual(60_000, len(self.answer(client).body))
 
-    def test_many_that_have_their_answers_go_without_recursion(self) -> None:
+    def test_many_answered_connections_are_shed_without_recursion(self) -> None:
         self.begin()
-        clients = [self.accepted()[0] for _ in range(200)]
+        clients = [self.accepted_client()[0] for _ in range(200)]
         for client in clients:
             client.send(b"nothing\r\n\r\n")
         self.turn()
         self.wait(MIN_SHED_AGE_MS + 10)
-        self.keep_at_most(0)
+        self.limit_connections(0)
         self.wait(10)
         self.assertEqual([], list(self.app.server.connections))
         for client in clients:
@@ -313,9 +320,9 @@
 
 
 class HandOver(Closing):
-    """A connection with its job goes to another process, or cannot."""
+    """Hand-over of a connection with its job to another process, and its failures."""
 
-    def job_out(self) -> Side:
+    def client_with_running_job(self) -> Side:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.begin(folder=folder.name)
@@ -330,72 +337,73 @@
         self.assertEqual(b"deck a1", self.answer(client).body)
         self.nothing()
 
-    def test_other_process_gone_before_the_descriptor_is_sent(self) -> None:
-        client = self.job_out()
+    def test_successor_ends_before_the_descriptor_is_sent(self) -> None:
+        client = self.client_with_running_job()
         server = self.app.server
-        can_hand_over, server.can_hand_over = server.can_hand_over, lambda: True
+        can_hand_over = server.can_hand_over
+        server.can_hand_over = lambda: True
         server.hand_over_all()
         server.can_hand_over = can_hand_over
         self.assertEqual(0, len(self.app.engine.jobs))
         self.turn()
         self.finish(client)
 
-    def successor(self) -> socket.socket:
-        """Have a process ask for the listener and say that it serves; it reads no connection."""
+    def connect_successor(self) -> socket.socket:
+        """Connect a successor that requests the hand-over and serves, but reads no connection."""
         assert self.app.upgrade.handover is not None
         link = socket.socket(socket.AF_UNIX)
         self.addCleanup(link.close)
         link.connect(self.app.upgrade.handover.path)
         link.sendall(b'{"m": "hello", "version": 1}\n')
         self.turn()
-        _, fds, _, _ = socket.recv_fds(link, 1 << 20, 4)
-        for fd in fds:
-            os.close(fd)
+        _, descriptors, _, _ = socket.recv_fds(link, 1 << 20, 4)
+        for descriptor in descriptors:
+            os.close(descriptor)
         link.sendall(b'{"m": "got"}\n{"m": "serving"}\n')
         self.turn()
         return link
 
-    def test_other_process_dies_with_the_descriptor_on_its_way(self) -> None:
-        client = self.job_out()
-        link = self.successor()
+    def test_successor_dies_before_it_confirms_the_descriptor(self) -> None:
+        client = self.client_with_running_job()
+        link = self.connect_successor()
         self.assertEqual(0, len(self.app.engine.jobs))
         link.close()
         self.turn()
         self.assertEqual(1, len(self.app.engine.jobs))
         self.finish(client)
 
-    def test_other_process_dies_after_it_confirmed_the_descriptor(self) -> None:
-        client = self.job_out()
-        link = self.successor()
-        _, fds, _, _ = socket.recv_fds(link, 1 << 20, 8)
-        link.sendall(b'{"m": "got"}\n' * len(fds))
+    def test_successor_dies_after_it_confirmed_the_descriptor(self) -> None:
+        client = self.client_with_running_job()
+        link = self.connect_successor()
+        _, descriptors, _, _ = socket.recv_fds(link, 1 << 20, 8)
+        link.sendall(b'{"m": "got"}\n' * len(descriptors))
         self.turn()
-        for fd in fds:
-            os.close(fd)
+        for descriptor in descriptors:
+            os.close(descriptor)
         link.close()
         self.turn()
-        self.assertEqual(0, len(self.app.engine.jobs))  # its connection was the other's alone
-        self.assertTrue(self.closed(client))
+        self.assertEqual(0, len(self.app.engine.jobs))  # only the successor had its connection
+        self.assertTrue(self.is_closed(client))
 
-    def test_descriptor_taken_is_confirmed_though_the_next_message_is_faulty(self) -> None:
-        """Else the other process would take its connection back, and both would serve it."""
-        self.job_out()
-        fields, fd, client = self.moved()
+    def test_received_descriptor_is_confirmed_although_the_next_message_is_malformed(self) -> None:
+        """Otherwise the sender would take the connection back, and both processes would serve it."""
+        self.client_with_running_job()
+        fields, descriptor, client = self.handed_over_job()
         assert self.app.upgrade.handover is not None
         link = socket.socket(socket.AF_UNIX)
         self.addCleanup(link.close)
         link.connect(self.app.upgrade.handover.path)
         line = json.dumps({"m": "connection", "fd": 1, **fields, "job": {**fields["job"], "cid": "a2"}})
-        socket.send_fds(link, [line.encode() + b"\nno message\n"], [fd])
-        os.close(fd)
+        socket.send_fds(link, [line.encode() + b"\nno message\n"], [descriptor])
+        os.close(descriptor)
         self.turn()
         self.assertTrue(self.app.engine.jobs.knows("a2"))
         self.assertEqual(b'{"m": "got"}\n', link.recv(1_000))
         self.assertEqual(b"", link.recv(1_000))
         client.sock.close()
 
-    def moved(self, **more: Any) -> tuple[dict[str, Any], int, Side]:
-        """Give a job as another process hands it over, its connection's descriptor and its client."""
+    def handed_over_job(self, **more: Any) -> tuple[dict[str, Any], int, Side]:
+        """Return a job as a predecessor encodes it, its connection's descriptor and its client."""
         server = socket.create_server(("127.0.0.1", 0))
         client = Side(socket.create_connection(server.getsockname()), responses=True)
         self.addCleanup(client.sock.close)
@@ -437,37 +445,37 @@
         }
         return fields, accepted.detach(), client
 
-    def test_no_descriptor_is_free_for_a_connection_that_comes(self) -> None:
+    def test_connection_is_adopted_once_a_descriptor_is_free(self) -> None:
         for number in (errno.EMFILE, errno.ENFILE, errno.ENOMEM):
             with self.subTest(errno.errorcode[number]):
                 self.begin()
-                fields, fd, client = self.moved()
+                fields, descriptor, client = self.handed_over_job()
                 adopt = self.loop.adoptStreamConnection
-                self.loop.adoptStreamConnection = self.short_of(number)
-                self.app.upgrade.message_received(ConnectionTransfer(fields), fd)
+                self.loop.adoptStreamConnection = self.failing_adoption(number)
+                self.app.upgrade.message_received(ConnectionTransfer(fields), descriptor)
                 self.wait(60)
                 self.loop.adoptStreamConnection = adopt
                 self.wait(200)
                 self.serve(client, "a1")
 
-    def short_of(self, number: int) -> Any:
-        def adopt(fd: int, family: int, factory: Any) -> None:
+    def failing_adoption(self, number: int) -> Any:
+        def adopt(descriptor: int, family: int, factory: Any) -> None:
             raise OSError(number, "short of it")
 
         return adopt
 
-    def test_descriptors_stay_short(self) -> None:
-        """Its client's connection ends with the job, its worker is notified, and no descriptor is left."""
+    def test_no_descriptor_becomes_free(self) -> None:
+        """The client's connection ends with its job, the worker is notified, and no descriptor leaks."""
         self.begin()
-        fields, fd, client = self.moved()
-        self.loop.adoptStreamConnection = self.short_of(errno.EMFILE)
-        self.app.upgrade.message_received(ConnectionTransfer(fields), fd)
+        fields, descriptor, client = self.handed_over_job()
+        self.loop.adoptStreamConnection = self.failing_adoption(errno.EMFILE)
+        self.app.upgrade.message_received(ConnectionTransfer(fields), descriptor)
         self.wait(3_000)
-        self.assertTrue(self.closed(client))
+        self.assertTrue(self.is_closed(client))
         with self.assertRaises(OSError):
-            os.fstat(fd)
+            os.fstat(descriptor)
 
-    def test_job_that_comes_where_no_more_are_taken(self) -> None:
+    def test_job_handed_over_while_the_job_table_is_full(self) -> None:
         safe = {
             "name": "deck-fetch",
             "worth": 2.0,
@@ -481,10 +489,10 @@
                 self.begin()
                 self.app.engine.jobs.live.max_items = 0
                 now = self.app.deadlines.now()
-                fields, fd, client = self.moved(
+                fields, descriptor, client = self.handed_over_job(
                     cls={**safe, "effect": effect}, attempt=["w1", now, now + 900] if attempt else None
                 )
-                self.app.upgrade.message_received(ConnectionTransfer(fields), fd)
+                self.app.upgrade.message_received(ConnectionTransfer(fields), descriptor)
                 self.assertEqual(status, self.answer(client).status)
                 if attempt:
                     self.take("DELETE /jobs/a1")
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""The messages between the processes of an upgrade, byte by byte: two versions of the program meet there."""
+"""The messages between the processes of an upgrade, byte by byte, as the processes may differ in version."""
 
 from __future__ import annotations
 
@@ -49,13 +49,13 @@
 
 
 class Codec(unittest.TestCase):
-    def test_every_message_is_written_as_the_version_before_wrote_it(self) -> None:
+    def test_every_message_is_encoded_as_in_the_previous_version(self) -> None:
         for envelope, line in LINES:
             with self.subTest(envelope):
                 self.assertEqual(line + b"\n", encode(envelope))
                 self.assertEqual(envelope.message, decode(line).message)
 
-    def test_those_with_a_descriptor_say_so_last(self) -> None:
+    def test_messages_with_a_descriptor_end_with_its_flag(self) -> None:
         fields = {"client": True, "asked": 1}
         messages: tuple[tuple[Message, bytes], ...] = (
             (State(fields), b'{"m": "state", "client": true, "asked": 1, "fd": 1}\n'),
@@ -73,7 +73,7 @@
             Envelope(Callback(CALL), number=3), decode(encode(Envelope(Callback(CALL), number=3)))
         )
 
-    def test_what_is_unknown_or_malformed_is_an_error(self) -> None:
+    def test_unknown_or_malformed_message_is_an_error(self) -> None:
         with self.assertRaisesRegex(ValueError, "unknown message 'other'"):
             decode(b'{"m": "other"}')
         for line in (b"no message", b"[]", b"{}", b'{"m": []}', b'{"m": "held"}', b'{"m": "word", "n": 1}'):
@@ -82,7 +82,7 @@
 
 
 class Reading(unittest.TestCase):
-    def test_messages_before_a_faulty_one_are_given_each_with_its_descriptor(self) -> None:
+    def test_messages_before_a_malformed_one_are_yielded_each_with_its_descriptor(self) -> None:
         reader = MessageReader()
         read, write = os.pipe()
         os.close(write)
@@ -95,7 +95,7 @@
         self.assertRaises(ValueError, next, messages)
         os.close(read)
 
-    def test_descriptors_whose_message_never_came_are_closed(self) -> None:
+    def test_descriptors_without_their_message_are_closed(self) -> None:
         reader = MessageReader()
         read, write = os.pipe()
         reader.descriptors.extend((read, write))
@@ -118,7 +118,7 @@
         connections=4,
     )
 
-    def test_the_state_is_written_as_the_version_before_wrote_it(self) -> None:
+    def test_the_state_is_encoded_as_in_the_previous_version(self) -> None:
         self.assertEqual(
             '{"clock": {"version": 1, "offset_ms": 1000.0}, "starts": {"w1": [5.0, 6.0]}, '
             '"known": {"index": 3, "snapshot": true, "endpoints": []}, "discovery": "127.0.0.1:1", '
@@ -127,10 +127,10 @@
             json.dumps(self.STATE.encode()),
         )
 
-    def test_it_is_read_as_it_was_written(self) -> None:
+    def test_the_decoded_state_equals_the_encoded_one(self) -> None:
         self.assertEqual(self.STATE, ProcessState.decode(self.STATE.encode(), 0.0))
 
-    def test_what_an_earlier_version_does_not_send_has_a_default(self) -> None:
+    def test_fields_missing_from_earlier_versions_have_defaults(self) -> None:
         message = {"banned": {}, "back": {}, "ids": [], "begun": [], "held": 0}
         state = ProcessState.decode(message, 0.0)
         self.assertFalse(state.clock.has_sender_offset)
--- a/tests/test_listener_parts.py
+++ b/tests/test_listener_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the listener that need no connection: the table, heads, callbacks."""
+"""The listener's components that need no connection: connection table, request heads, callbacks."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 
 class Peer:
-    """A connection as the table sees it."""
+    """A fake connection with the interface that the table uses."""
 
     def __init__(
         self, table: ConnectionTable[Peer], activity: Activity | None, *, can_shed: bool = True
     ) -> None:
-        self.table, self.can_shed = table, can_shed
+        self.table = table
+        self.can_shed = can_shed
         self.activity: Activity | None = None
         self.active_since = 0.0
         self.is_shed = False
@@ -32,13 +33,15 @@
         self.table.closing_count += 1
 
 
-def table_of(clock: Clock, max_connections: int = 10, shedding_threshold: int = 10) -> ConnectionTable[Peer]:
+def make_table(
+    clock: Clock, max_connections: int = 10, shedding_threshold: int = 10
+) -> ConnectionTable[Peer]:
     return ConnectionTable(Deadlines(clock, clock.seconds, 0.0), max_connections, shedding_threshold)
 
 
-def test_connections_are_shed_in_the_order_of_what_they_do() -> None:
+def test_connections_are_shed_in_the_order_of_their_activity() -> None:
     clock = Clock()
-    table = table_of(clock)
+    table = make_table(clock)
     peers = [Peer(table, activity) for activity in reversed(Activity)]
     busy = Peer(table, None)
     clock.advance(MIN_SHED_AGE_MS / 1000)
@@ -54,7 +57,7 @@
 
 def test_a_new_connection_is_shed_once_its_first_request_had_time_to_come() -> None:
     clock = Clock()
-    table = table_of(clock, shedding_threshold=0)
+    table = make_table(clock, shedding_threshold=0)
     peer = Peer(table, Activity.NEW)
     table.enforce_limits()
     assert not peer.is_shed
@@ -62,16 +65,17 @@
     assert peer.is_shed
 
 
-def test_what_is_owed_an_answer_is_passed_over() -> None:
+def test_connection_that_is_owed_an_answer_is_not_shed() -> None:
     clock = Clock()
-    table = table_of(clock, shedding_threshold=1)
-    owed, idle = Peer(table, Activity.IDLE, can_shed=False), Peer(table, Activity.IDLE)
+    table = make_table(clock, shedding_threshold=1)
+    owed = Peer(table, Activity.IDLE, can_shed=False)
+    idle = Peer(table, Activity.IDLE)
     table.enforce_limits()
     assert (owed.is_shed, idle.is_shed) == (False, True)
 
 
-def test_accepting_stops_at_the_hard_limit_and_goes_on_below_it() -> None:
-    table = table_of(Clock(), max_connections=2)
+def test_accepting_stops_at_the_maximum_and_resumes_below_it() -> None:
+    table = make_table(Clock(), max_connections=2)
     calls: list[bool] = []
     table.accept = calls.append
     first = Peer(table, None)
@@ -98,13 +102,13 @@
 @pytest.mark.parametrize(
     "body", [b"[", b"[]", b'"x"', b'{"id": "a1", "from": "w1"}', b'{"id": 1, "from": "w", "state": ""}']
 )
-def test_a_callback_that_is_none_is_refused(body: bytes) -> None:
+def test_a_malformed_callback_is_refused(body: bytes) -> None:
     with pytest.raises(RequestError) as refused:
         WorkerCallback.from_body(body)
     assert refused.value.status == 400
 
 
-def test_a_callback_is_read_once() -> None:
+def test_a_callback_is_parsed() -> None:
     fields = {
         "id": "a1",
         "from": "w1",
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -1,6 +1,6 @@
-"""Clients that stop in the middle of a request and stay: each has its error or its close within 3 s.
+"""Clients that stop in the middle of a request and stay connected get an error or a close within 3 s.
 
-On real sockets, by the clock that the test moves; see docs/design/crossings.md, 'What production adds'.
+The tests use real sockets and a clock that they move; see docs/design/crossings.md, 'What production adds'.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from elderstall.net import http
 from tests.loopback import Loopback, Side
 
-OWED_WITHIN = 3_000.0  # ms in which a bad client is owed its error or its close
-STEP = 50.0  # ms between looks at the clients
-LINGER = 1_100.0  # ms after which the connection of one that stays has been closed, too
+MAX_END_DELAY_MS = 3_000.0  # within which a bad client must get an error or a close
+CHECK_INTERVAL_MS = 50.0  # between checks of the clients
+LINGER_TIMEOUT_MS = 1_100.0  # after which the connection of a client that stays is closed as well
 UP = http.request("GET", "/up", "x")
-SLOW_PIECE = 400.0  # ms between the pieces of a slow client
-MANY = 100  # clients that stop at once
+SLOW_SEND_INTERVAL_MS = 400.0  # between the bytes of a slow client
+STOPPED_CLIENTS = 100  # that stop at once
 
 
 def head_of(data: bytes) -> bytes:
@@ -32,7 +32,7 @@
     return head_of(data)[:-2] + b"Expect: 100-continue\r\n\r\n"
 
 
-# What a client has sent of its job when it stops.
+# The data of its request that a client has sent when it stops.
 STOPS: dict[str, Callable[[bytes], bytes]] = {
     "after one byte": lambda data: data[:1],
     "in the request line": lambda data: data[:9],
@@ -51,44 +51,44 @@
 
 
 class Stopped(Loopback):
-    """What is common to the clients that stop."""
+    """Helpers for clients that stop."""
 
-    def ended_after(self, sides: list[Side], most: float = OWED_WITHIN) -> float:
-        """Wait until each client has an answer or its connection's end; gives how long that took, ms."""
+    def wait_until_ended(self, sides: list[Side], max_delay: float = MAX_END_DELAY_MS) -> float:
+        """Wait until each client has an answer or its connection has ended; return the time waited, ms."""
         waited = 0.0
-        while any(not (side.ended or self.final(side)) for side in sides):
-            self.assertLess(waited, most)
-            self.wait(STEP)
-            waited += STEP
+        while any(not (side.ended or self.final_statuses(side)) for side in sides):
+            self.assertLess(waited, max_delay)
+            self.wait(CHECK_INTERVAL_MS)
+            waited += CHECK_INTERVAL_MS
             for side in sides:
                 side.read()
         return waited
 
-    def final(self, side: Side) -> list[int]:
+    def final_statuses(self, side: Side) -> list[int]:
         return [m.status for m in side.messages if m.status >= 200]
 
-    def closed(self) -> None:
-        """See that nothing is kept of clients that stay."""
-        self.wait(LINGER)
+    def assert_nothing_kept(self) -> None:
+        """Assert that no state is kept for clients that stay connected."""
+        self.wait(LINGER_TIMEOUT_MS)
         self.assertEqual([], list(self.app.server.connections))
         self.assertEqual(0, self.app.server.kept_bytes)
         self.assertEqual({}, self.app.engine.jobs.by_request_id)
 
-    def served(self, side: Side, request_id: str = "good") -> None:
+    def serve(self, side: Side, request_id: str = "good") -> None:
         side.send(self.job(request_id))
         self.take(f"POST {request_id}").send(http.response(202))
         self.call_back(request_id)
         self.assertEqual(200, self.answer(side).status)
 
-    def slowly(self, side: Side, data: bytes) -> None:
-        """Send byte by byte, as slow clients do."""
+    def send_slowly(self, side: Side, data: bytes) -> None:
+        """Send byte by byte at the interval of a slow client."""
         for n in range(len(data)):
             side.send(data[n : n + 1])
-            self.wait(SLOW_PIECE)
+            self.wait(SLOW_SEND_INTERVAL_MS)
 
 
 class StopsInARequest(Stopped):
-    """One client, wherever in its request it stops."""
+    """One client that stops at any point of its request."""
 
     def test_on_a_new_connection(self) -> None:
         self.begin()
@@ -96,37 +96,37 @@
             with self.subTest(where):
                 side = self.client()
                 side.send(part(self.job("a1")))
-                self.ended_after([side])
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.wait_until_ended([side])
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
         self.nothing()
 
-    def test_on_a_connection_that_was_quiet_at_first(self) -> None:
-        """The time until its first byte is its own; from that byte on it has no more than the 3 s."""
+    def test_on_a_connection_that_was_silent_at_first(self) -> None:
+        """The limit of 3 s counts from the first byte of the request."""
         self.begin()
         for where, part in STOPS.items():
             with self.subTest(where):
                 side = self.client()
                 self.wait(2_300)
                 side.send(part(self.job("a1")))
-                self.ended_after([side])
-                self.closed()
+                self.wait_until_ended([side])
+                self.assert_nothing_kept()
         self.nothing()
 
-    def test_on_a_connection_that_has_rested(self) -> None:
+    def test_on_a_connection_that_was_idle(self) -> None:
         self.begin()
         for n, (where, part) in enumerate(STOPS.items()):
             with self.subTest(where):
                 side = self.client()
-                self.served(side, f"good{n}")
+                self.serve(side, f"good{n}")
                 self.jump(30_000)
                 self.turn()
                 side.send(part(self.job("a1")))
-                self.ended_after([side])
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.wait_until_ended([side])
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
 
-    def test_on_one_that_has_only_asked_for_up(self) -> None:
+    def test_on_a_connection_that_has_only_requested_up(self) -> None:
         self.begin()
         for where, part in STOPS.items():
             with self.subTest(where):
@@ -136,12 +136,12 @@
                 self.jump(10_000)
                 self.turn()
                 side.send(part(self.job("a1")))
-                self.ended_after([side])
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.wait_until_ended([side])
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
 
     def test_behind_a_request_that_is_answered_late(self) -> None:
-        """Its own time counts from the answer before it."""
+        """Its time-out counts from the previous answer."""
         for where, part in STOPS.items():
             with self.subTest(where):
                 self.begin()
@@ -151,21 +151,21 @@
                 self.wait(4_000)
                 self.call_back("good")
                 self.assertEqual(200, self.answer(side).status)
-                self.ended_after([side])
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.wait_until_ended([side])
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
 
-    def test_on_the_front_for_streams(self) -> None:
+    def test_on_the_listener_for_streams(self) -> None:
         self.begin(progress=True)
         for where, part in STOPS.items():
             with self.subTest(where):
                 side = self.client()
                 side.send(part(self.job("a1", accept="text/event-stream")))
-                self.ended_after([side])
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.wait_until_ended([side])
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
 
-    def test_a_workers_call_back(self) -> None:
+    def test_a_workers_callback(self) -> None:
         self.begin()
         call = {"id": "a1", "from": "w1", "state": "done", "result": "deck"}
         data = http.request("POST", "/callback", "n1", (), json.dumps(call).encode())
@@ -173,34 +173,34 @@
             with self.subTest(n):
                 side = self.client()
                 side.send(data[:n])
-                self.ended_after([side])
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.wait_until_ended([side])
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
 
     def test_after_an_empty_line_only(self) -> None:
         self.begin()
         side = self.client()
-        self.served(side)
+        self.serve(side)
         side.send(b"\r\n")
-        self.ended_after([side])
-        self.closed()
+        self.wait_until_ended([side])
+        self.assert_nothing_kept()
 
-    def test_many_at_once_and_a_good_client_among_them(self) -> None:
+    def test_a_good_client_among_many_that_stop_at_once(self) -> None:
         self.begin()
-        parts = [part(self.job(f"a{n}")) for n, part in enumerate(list(STOPS.values()) * 8)][:MANY]
+        parts = [part(self.job(f"a{n}")) for n, part in enumerate(list(STOPS.values()) * 8)][:STOPPED_CLIENTS]
         sides = [self.client() for _ in parts]
         self.turn()
         for side, part in zip(sides, parts, strict=True):
             side.send(part)
         good = self.client()
-        self.served(good)
-        self.ended_after(sides)
-        self.assertEqual({(408,)}, {tuple(self.final(side)) for side in sides})
-        self.served(good, "later")
+        self.serve(good)
+        self.wait_until_ended(sides)
+        self.assertEqual({(408,)}, {tuple(self.final_statuses(side)) for side in sides})
+        self.serve(good, "later")
         good.sock.close()
-        self.closed()
+        self.assert_nothing_kept()
 
-    def test_at_sigterm_it_holds_the_end_up_no_longer_than_that(self) -> None:
+    def test_a_stopped_client_delays_shutdown_no_longer(self) -> None:
         for where, part in STOPS.items():
             with self.subTest(where):
                 self.begin()
@@ -208,40 +208,40 @@
                 side.send(part(self.job("a1")))
                 self.turn()
                 self.app.sigterm()
-                self.ended_after([side])
-                self.wait(LINGER + 1_000)
+                self.wait_until_ended([side])
+                self.wait(LINGER_TIMEOUT_MS + 1_000)
                 self.assertTrue(self.loop.stopped)
 
 
 class Slow(Stopped):
-    """A client that still sends is slow, until it stops."""
+    """A client that sends slowly, and may stop."""
 
-    def test_one_that_still_sends_its_body_is_not_cut(self) -> None:
+    def test_client_that_still_sends_its_body_is_not_cut_off(self) -> None:
         self.begin()
         side = self.client()
         data = self.job("a1", "deck-build", 20_000).replace(b"Content-Length: 4", b"Content-Length: 20")
         side.send(head_of(data))
-        self.slowly(side, b"x" * 20)
+        self.send_slowly(side, b"x" * 20)
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_one_that_stops_after_a_while_is_ended_within_3_s_of_its_last_byte(self) -> None:
+    def test_client_that_stops_after_a_while_is_ended_within_3_s_of_its_last_byte(self) -> None:
         for pieces in (1, 4, 6, 7, 15):
             with self.subTest(pieces):
                 self.begin()
                 side = self.client()
                 data = self.job("a1").replace(b"Content-Length: 4", b"Content-Length: 20")
                 side.send(head_of(data))
-                self.slowly(side, b"x" * pieces)
-                self.ended_after([side], OWED_WITHIN - SLOW_PIECE)
-                self.assertEqual([408], self.final(side))
-                self.closed()
+                self.send_slowly(side, b"x" * pieces)
+                self.wait_until_ended([side], MAX_END_DELAY_MS - SLOW_SEND_INTERVAL_MS)
+                self.assertEqual([408], self.final_statuses(side))
+                self.assert_nothing_kept()
 
-    def test_one_whose_last_bytes_come_in_the_turn_of_its_time_out_is_served(self) -> None:
+    def test_client_whose_last_bytes_arrive_in_the_turn_of_its_time_out_is_served(self) -> None:
         for where, part in STOPS.items():
             if "chunk" in where:
-                continue  # framed otherwise than the rest that is sent here
+                continue  # the rest that is sent here is not chunked
             with self.subTest(where):
                 self.begin()
                 side = self.client()
@@ -252,12 +252,12 @@
                 self.jump(2_400)
                 self.turn()
                 side.send(data[len(first) :])
-                self.jump(150)  # the process is held up past the time-out
+                self.jump(150)  # the process is delayed past the time-out
                 self.take("POST a1").send(http.response(202))
                 self.call_back("a1")
                 self.assertEqual(200, self.answer(side).status)
 
-    def test_one_that_sends_in_that_turn_and_still_not_all_is_ended(self) -> None:
+    def test_client_that_sends_only_a_part_in_that_turn_is_ended(self) -> None:
         self.begin()
         side = self.client()
         data = self.job("a1", "deck-build")
@@ -267,11 +267,11 @@
         self.turn()
         side.send(data[40:50])
         self.jump(150)
-        self.ended_after([side], 300.0)
-        self.assertEqual([408], self.final(side))
-        self.closed()
+        self.wait_until_ended([side], 300.0)
+        self.assertEqual([408], self.final_statuses(side))
+        self.assert_nothing_kept()
 
-    def test_a_body_that_never_ends_is_cut_in_the_end(self) -> None:
+    def test_a_body_that_never_ends_is_cut_off(self) -> None:
         self.begin()
         side = self.client()
         data = self.job("a1").replace(b"Content-Length: 4", b"Content-Length: 2000")
@@ -279,9 +279,9 @@
         for _ in range(60):
             if not side.ended and not side.messages:
                 side.send(b"x")
-            self.wait(SLOW_PIECE)
+            self.wait(SLOW_SEND_INTERVAL_MS)
             side.read()
-        self.assertEqual([408], self.final(side))
+        self.assertEqual([408], self.final_statuses(side))
         self.assertEqual([], list(self.app.server.connections))
 
 
