--- a/elderstall/net/handover/questions.py
+++ b/elderstall/net/handover/questions.py
@@ -16,13 +16,13 @@
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines = deadlines
-        self.count = 0
+        self.last_number = 0
         self.waiting: dict[int, Deferred[bool]] = {}
 
     def open(self) -> tuple[int, Deferred[bool]]:
         """Return a new question's number and the Deferred of its answer."""
-        self.count += 1
-        number = self.count
+        self.last_number += 1
+        number = self.last_number
         answered = Deferred[bool]()
         self.waiting[number] = answered
         timer = self.deadlines.after(QUESTION_TIMEOUT_MS, self.answer, number, False)
--- a/elderstall/net/handover/search.py
+++ b/elderstall/net/handover/search.py
@@ -53,12 +53,12 @@
         self.factory = factory
         self.connected = connected
         self.path = ""
-        self.awaited: Deferred[Offer | None] | None = None
+        self.pending_offer: Deferred[Offer | None] | None = None
 
     @property
     def is_active(self) -> bool:
         """Whether the search has no result yet."""
-        return self.awaited is not None
+        return self.pending_offer is not None
 
     def begin(self, path: str) -> Deferred[Offer | None]:
         """Search at a path; the result is the offer, or None if no process is running.
@@ -66,7 +66,7 @@
         Fails with TimeoutError if a process is running but does not hand over.
         """
         self.path = path
-        self.awaited = awaited = Deferred[Offer | None]()
+        self.pending_offer = pending_offer = Deferred[Offer | None]()
         if is_path_too_long(path):
             self.log.write("handover", f"off: the path of {path} is too long")
             self.settle(None)
@@ -75,11 +75,11 @@
         else:
             self.deadlines.after(OFFER_TIMEOUT_MS, self.timed_out)
             self.connect()
-        return awaited
+        return pending_offer
 
     def connect(self) -> None:
         """Connect to the running process."""
-        if self.awaited is None:
+        if self.pending_offer is None:
             return
         endpoint_class: Any = UNIXClientEndpoint
         endpoint = endpoint_class(self.reactor, self.path, timeout=CONNECT_TIMEOUT_S)
@@ -102,14 +102,14 @@
 
     def timed_out(self) -> None:
         """Fail the search, as the running process does not hand over."""
-        if self.awaited is not None:
-            awaited = self.awaited
-            self.awaited = None
-            awaited.errback(TimeoutError("the running process did not hand over in time"))
+        if self.pending_offer is not None:
+            pending_offer = self.pending_offer
+            self.pending_offer = None
+            pending_offer.errback(TimeoutError("the running process did not hand over in time"))
 
     def settle(self, offer: Offer | None) -> None:
         """End the search with its result."""
-        if self.awaited is not None:
-            awaited = self.awaited
-            self.awaited = None
-            awaited.callback(offer)
+        if self.pending_offer is not None:
+            pending_offer = self.pending_offer
+            self.pending_offer = None
+            pending_offer.callback(offer)
--- a/elderstall/net/server/closing.py
+++ b/elderstall/net/server/closing.py
@@ -35,7 +35,7 @@
             return
         now = self.server.deadlines.now()
         body_deadline = min(
-            self.last_received + MAX_BODY_PAUSE_MS, self.message_began + self.server.timeouts.body
+            self.last_received_at + MAX_BODY_PAUSE_MS, self.message_began_at + self.server.timeouts.body
         )
         if self.message is not None and now < body_deadline:
             self.set_timeout(MAX_BODY_PAUSE_MS, reason)
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -26,7 +26,7 @@
         self.number = table.connections.add(self)
         self.transport.registerProducer(self, True)
         table.set_activity(self, Activity.NEW)
-        self.message_began = self.active_since
+        self.message_began_at = self.active_since
         table.enforce_limits()
         # Starts at the connection, not at its first byte: a silent peer holds a descriptor too.
         self.set_timeout(self.server.timeouts.request, CloseReason.SILENT)
@@ -36,12 +36,12 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
         if self.closing:
             return
-        self.last_received = self.server.deadlines.now()
+        self.last_received_at = self.server.deadlines.now()
         if self.first_byte_at is None:
-            self.first_byte_at = self.last_received
+            self.first_byte_at = self.last_received_at
         if self.activity in (Activity.HEALTH_CHECKED, Activity.IDLE):
             # Limits a later request that never ends; the first one is timed from the connection's start.
-            self.expect_request(self.last_received)
+            self.expect_request(self.last_received_at)
         self.parser.feed(data)
         self.process_received()
 
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -142,7 +142,7 @@
             "client": connection.is_client,
             "worker": connection.is_worker,
             "asked": connection.requests,
-            "age": self.deadlines.now() - connection.message_began,
+            "age": self.deadlines.now() - connection.message_began_at,
         }
         if connection.transfer is not None and connection.original is not None:
             fields["job"] = self.engine.encode_transfer(connection.transfer)
@@ -161,7 +161,7 @@
             connection.await_request()
         else:
             age = fields["age"]
-            connection.message_began -= age
+            connection.message_began_at -= age
             time_left = max(0.0, connection.server.timeouts.request - age)
             connection.set_timeout(time_left, CloseReason.SILENT)
 
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -54,7 +54,7 @@
 
     def expect_request(self, began: float) -> None:
         """Start the time-out of a request that began at a reading of the clock, ms."""
-        self.message_began = began
+        self.message_began_at = began
         self.server.table.set_activity(self, Activity.READING)
         self.set_timeout(self.server.timeouts.request, CloseReason.SLOW_REQUEST)
 
@@ -141,7 +141,7 @@
                 raise
             self.reply(denied.status, denied.body, denied.headers)
         finally:
-            self.first_byte_at = self.last_received if len(self.parser.buffer) else None
+            self.first_byte_at = self.last_received_at if len(self.parser.buffer) else None
 
     def time_since_first_byte(self) -> float:
         """Return the time since the current request's first bytes, ms: its client has waited since then."""
--- a/elderstall/net/server/state.py
+++ b/elderstall/net/server/state.py
@@ -120,8 +120,8 @@
         self.body_parts: list[bytes] = []
         self.body_size = 0  # bytes, also during its job
         self.kept_bytes = 0  # counted for this connection
-        self.message_began = 0.0
-        self.last_received = 0.0
+        self.message_began_at = 0.0
+        self.last_received_at = 0.0
         self.first_byte_at: float | None = None  # of the current or next request
         # The current request.
         self.job: int | None = None  # its number in the engine
