--- a/elderstall/recovery/listing.py
+++ b/elderstall/recovery/listing.py
@@ -20,9 +20,9 @@
 
 An open watch that ends, and a call or a watch that falls silent, are different: they don't show that
 discovery is overloaded, and changes missed meanwhile are expected to be known 6 s after the silence began,
-which is noticed only `net.discovery.SILENCE_TIMEOUT_MS` after the last line of a watch. So the watch is reopened
-soon, with the calls of a large fleet spread as after a start. A call without an answer is hedged by a second
-one (`net.discovery.HEDGE_DELAY_AFTER_SILENCE_MS`).
+which is noticed only `net.discovery.SILENCE_TIMEOUT_MS` after the last line of a watch. So the watch is
+reopened soon, with the calls of a large fleet spread as after a start. A call without an answer is hedged by
+a second one (`net.discovery.HEDGE_DELAY_AFTER_SILENCE_MS`).
 """
 
 from __future__ import annotations
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -67,7 +67,7 @@
         self.server.drain()
         longest = min(max(c.deadline for c in self.engine.classes.values()), MAX_COUNTED_DEADLINE_MS)
         all_answered_after = longest + SERVING_PERIOD_MS - KILL_MARGIN_MS
-        self.server.until = self.deadlines.now() + all_answered_after
+        self.server.shutdown_deadline = self.deadlines.now() + all_answered_after
         self.earliest_end = self.deadlines.now() + SERVING_PERIOD_MS
         self.deadlines.after(SERVING_PERIOD_MS, self.shorten_budgets)
         self.deadlines.after(min(CLOSE_IDLE_AFTER_MS, all_answered_after), self.server.close_idle_clients)
@@ -75,7 +75,7 @@
 
     def shorten_budgets(self) -> None:
         """Limit the budgets of new jobs to the time left: a job unanswered at SIGKILL is lost."""
-        self.server.shortened = True
+        self.server.limits_budgets = True
 
     def check(self) -> None:
         """End the process once no work or client connection is left; else check again later."""
@@ -91,7 +91,7 @@
         return bool(
             len(self.engine.jobs)
             or not self.server.is_quiescent
-            or any(c.client or c.handed_descriptor is not None for c in self.server.connections)
+            or any(c.is_client or c.handed_descriptor is not None for c in self.server.connections)
             or (handover is not None and handover.has_unconfirmed)
             or self.upgrade.adoption.waiting
             or self.console.answering
