--- a/elderstall/net/upstream/cancel_exchange.py
+++ b/elderstall/net/upstream/cancel_exchange.py
@@ -14,7 +14,8 @@
 class CancelExchange:
     """The exchange of a DELETE; any answer confirms the cancellation."""
 
-    ends_attempt = counts_for_keep_alive = False
+    allows_retry = False
+    counts_for_keep_alive = False
 
     def __init__(self, result: Deferred[bool]) -> None:
         self.result = result
--- a/elderstall/net/upstream/connection.py
+++ b/elderstall/net/upstream/connection.py
@@ -25,13 +25,13 @@
 class CloseReason(Enum):
     """The reason why a connection ended; the value is its code in the log."""
 
-    WORKER_CLOSED = "worker-closed"
-    LAST_ANSWER = "worker-close"  # its last answer, or one that may belong to an earlier request
-    BAD_ANSWER = "bad-answer"
+    WORKER_CLOSED = "worker-closed"  # by the worker or the network, or it had unread data before a request
+    LAST_ANSWER = "worker-close"  # closed here after an answer: the last, or perhaps an earlier request's
+    BAD_ANSWER = "bad-answer"  # malformed, of an unexpected status, or without a request
     WRITE_FAILED = "write-failed"
-    ABORTED = "given-up"
-    IDLE = "idle"
-    POOL_CLOSED = "retired"
+    ABORTED = "given-up"  # the request was aborted: cancelled or timed out
+    IDLE = "idle"  # closed here while idle
+    POOL_CLOSED = "retired"  # its pool was closed while it was in use or opening
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,7 +56,7 @@
     def close_idle(self, connection: WorkerConnection) -> None:
         """Close a connection if it is idle."""
 
-    def drop_idle(self, min_idle_ms: float = 0.0) -> None:
+    def close_idle_connections(self, min_idle_ms: float = 0.0) -> None:
         """Close the connections that have been idle for at least ``min_idle_ms``."""
 
     def connection_lost(self, connection: WorkerConnection) -> None:
@@ -74,13 +74,13 @@
         self.parser = http.Parser(responses=True)
         self.exchange: Exchange | None = None
         self.writer: RequestWriter | None = None  # of the current request
-        self.reusable = False
+        self.is_reusable = False
         self.close_reason = CloseReason.WORKER_CLOSED
         self.number = 0
         self.idle_timer: Deadline | None = None
-        self.started_at = 0.0  # when its current request was started
-        self.idle_since: float | None = None  # when it last became idle, if it was used before
-        self.idle_before_ms = 0.0  # ms that it was idle before the current request
+        self.started_at = 0.0  # clock reading at the start of its current request, ms
+        self.idle_since: float | None = None  # when last released to its pool; None if it is not a reused one
+        self.idle_before_ms = 0.0  # before the current request; 0 on a new connection
         self.last_answer: LastAnswer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -107,9 +107,9 @@
             self.idle_timer.cancel()
 
     @property
-    def written(self) -> bool:
+    def is_written(self) -> bool:
         """Whether the current request was written to its last byte."""
-        return self.writer is not None and self.writer.written
+        return self.writer is not None and self.writer.is_written
 
     def request_written(self) -> None:
         """Report to the exchange that the request's last byte was written."""
@@ -160,9 +160,9 @@
         """Pass one event of the answer to the exchange; informational answers (1xx) are skipped."""
         if isinstance(event, http.Head):
             if 100 <= event.message.status < 200:
-                self.parser.next()  # its End; the final answer follows
+                self.parser.next()  # has no body, so its End is there at once; the final answer follows
                 return
-            self.reusable = event.message.keep_alive
+            self.is_reusable = event.message.keep_alive
             exchange.head_received(event.message)
         elif isinstance(event, http.Data):
             exchange.data_received(event.data)
@@ -177,48 +177,51 @@
         it is reported as ended only after that, with whether its own answer, perhaps a 202, has begun.
         """
         self._end_exchange()
-        maybe_earlier_answer = self.idle_since is not None and exchange.ends_attempt
-        if self.reusable and self.written and self.parser.idle and not maybe_earlier_answer:
+        maybe_earlier_answer = self.idle_since is not None and exchange.allows_retry
+        if self.is_reusable and self.is_written and self.parser.idle and not maybe_earlier_answer:
             # Released first, so that a request which the exchange sends next can use this connection.
             self._release()
             exchange.completed()
         else:
             self.last_answer = LastAnswer(
-                exchange, maybe_earlier_answer, maybe_earlier_answer and self.answer_begun
+                exchange, maybe_earlier_answer, maybe_earlier_answer and self.has_unfinished_answer
             )
             self.drop(CloseReason.LAST_ANSWER)
 
     @property
-    def unread(self) -> bool:
-        """Whether data or an end of the connection is waiting that the reactor has not read yet."""
+    def has_unread_input(self) -> bool:
+        """Whether data or the connection's end is waiting that the reactor has not read yet."""
         return unread(self.transport)
 
     @property
-    def answer_begun(self) -> bool:
-        """Whether an answer of the worker has begun and was not read to its end."""
-        return not self.parser.idle or self.unread
+    def has_unfinished_answer(self) -> bool:
+        """Whether an answer of the worker may have begun and was not read to its end.
+
+        Also true if only the connection's end is waiting to be read, or if the check for it failed.
+        """
+        return not self.parser.idle or self.has_unread_input
 
     def has_begun_to_answer(self, exchange: Exchange) -> bool:
         """Return whether an exchange's answer has begun, as far as that is known without blocking."""
         if self.last_answer is not None and self.last_answer.exchange is exchange:
             return True
-        return self.exchange is exchange and self.answer_begun
+        return self.exchange is exchange and self.has_unfinished_answer
 
     # ---- its end ----
 
     @property
-    def started_recently(self) -> bool:
+    def is_recently_started(self) -> bool:
         """Whether the request was started so recently that a break indicates a stale connection."""
         return self.services.deadlines.now() - self.started_at <= STALE_CONNECTION_WINDOW_MS
 
-    def ending(self, *, stale: bool) -> Ending:
+    def ending(self, *, assume_stale: bool) -> Ending:
         """Return the ending of the current request.
 
-        ``stale``: a reused connection is taken to have ended before the request.
+        ``assume_stale``: report a reused connection as ended before the request; no effect on a new one.
         """
-        if not self.written:
+        if not self.is_written:
             return Ending.UNREACHABLE
-        return Ending.STALE_CONNECTION if stale and self.idle_before_ms > 0 else Ending.BROKEN
+        return Ending.STALE_CONNECTION if assume_stale and self.idle_before_ms > 0 else Ending.BROKEN
 
     def close_idle(self) -> None:
         """Close the connection if it is idle."""
@@ -227,11 +230,12 @@
     def abort(self, exchange: Exchange) -> Ending:
         """Close the connection if it still carries the exchange; return the ending of the exchange.
 
-        Nothing more is reported to the exchange.
+        Nothing more is reported to it, except the end of an answer that is complete and is reported only when
+        the connection has ended.
         """
         if self.exchange is not exchange:
             return Ending.BROKEN
-        ending = self.ending(stale=True)
+        ending = self.ending(assume_stale=True)
         self._end_exchange()
         self.drop(CloseReason.ABORTED)
         return ending
@@ -263,7 +267,7 @@
         if self.parser.eof() is not None:
             exchange.completed()
             return
-        if exchange.counts_for_keep_alive and self.started_recently:
+        if exchange.counts_for_keep_alive and self.is_recently_started:
             self.services.keep_alive.record_break(self.pool.name, self.idle_before_ms)
         answer_begun = self.close_reason is CloseReason.BAD_ANSWER or not self.parser.idle
-        exchange.failed(self.ending(stale=self.started_recently), answer_begun=answer_begun)
+        exchange.failed(self.ending(assume_stale=self.is_recently_started), answer_begun=answer_begun)
--- a/elderstall/net/upstream/exchange.py
+++ b/elderstall/net/upstream/exchange.py
@@ -17,15 +17,19 @@
         """Whether it counts in the statistics of broken connections; cancels, which follow breaks, do not."""
 
     @property
-    def ends_attempt(self) -> bool:
-        """Whether the answer allows another attempt of the job.
+    def allows_retry(self) -> bool:
+        """Whether the job may be attempted again after this answer.
 
-        If the answer belongs to an earlier request, another attempt would be a duplicate execution; a reused
-        connection is therefore closed first.
+        False after a 202 or a streamed result, and for polls and cancels. Where it is true, the answer may
+        belong to an earlier request, and another attempt would be a duplicate execution; a reused connection
+        is therefore closed first.
         """
 
     def forbidden_by(self) -> str | None:
-        """Return the name of a rule that now forbids the request, or None; checked once it is connected."""
+        """Return the name of a rule that now forbids the request, or None.
+
+        Checked when a new connection is established; on a reused one the request is written at once.
+        """
 
     def request_written(self) -> None:
         """Handle the write of the request's last byte."""
@@ -39,15 +43,17 @@
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Handle the answer's end.
 
-        ``maybe_accepted``: the answer may belong to an earlier request. ``answer_begun``: an answer to this
-        request has begun after it.
+        ``maybe_accepted``: the answer may belong to an earlier request, so the worker may have accepted this
+        one. ``answer_begun``: another answer has begun after this one; it may be the one to this request.
         """
 
     def failed(self, ending: Ending, *, answer_begun: bool = False, worker_unreachable: bool = False) -> None:
-        """Handle the end of the connection before the end of the answer.
+        """Handle a request that failed before the end of its answer.
 
-        The ending is unreachable if the request's last byte was not written. ``answer_begun``: the worker
-        had begun to answer. ``worker_unreachable``: see ``messages.Outcome``.
+        Its connection was not established or has ended (unreachable if the request's last byte was not
+        written), the request timed out before its first byte (never sent, the connection is kept), or a poll
+        was not answered in time (timed out). ``answer_begun``: the worker had begun to answer, whether or not
+        the answer was valid. ``worker_unreachable``: see ``messages.Outcome``.
         """
 
 
--- a/elderstall/net/upstream/handle.py
+++ b/elderstall/net/upstream/handle.py
@@ -18,7 +18,7 @@
         self.connecting: Deferred[WorkerConnection] | None = None
 
     @property
-    def answer_begun(self) -> bool:
+    def has_answer_begun(self) -> bool:
         """Whether the worker has begun to answer, as far as that is known without blocking."""
         return self.connection is not None and self.connection.has_begun_to_answer(self.exchange)
 
--- a/elderstall/net/upstream/job_exchange.py
+++ b/elderstall/net/upstream/job_exchange.py
@@ -14,8 +14,8 @@
 from elderstall.net import http
 from elderstall.net.upstream.handle import RequestHandle
 
-ACCEPT_TIMEOUT_FACTOR = 4.0  # of the connect timeout; without an answer by then the path counts as dead
-REPEATABLE_ACCEPT_TIMEOUT_FACTOR = 1.0  # for repeatable jobs: a needless second attempt costs only work
+ACCEPT_TIMEOUT_FACTOR = 4.0  # of the connect timeout; without an answer by then the path is assumed broken
+REPEATABLE_ACCEPT_TIMEOUT_FACTOR = 1.0  # for repeatable jobs: a needless second attempt only repeats work
 ANSWER_END_TIMEOUT_MS = 1_000.0  # for the rest of an answer that begins with a 202
 ACCEPTED = 202
 
@@ -25,14 +25,14 @@
     """The arguments of an attempt, as in ``messages.AttemptTransport.send``."""
 
     request: JobRequest
-    ends_at: float
+    ends_at: float  # clock reading, ms
     on_progress: Callable[[float, str], None]
     forbidden_by: Callable[[], str | None]
-    result: Deferred[Outcome | None]  # fires with the outcome, None once the worker has accepted the job
+    result: Deferred[Outcome | None]  # fires with None if the worker accepted, or may have
 
 
-class JobTransport(Protocol):
-    """The services that an attempt's exchange uses from its transport."""
+class AttemptServices(Protocol):
+    """The services that an attempt's exchange uses."""
 
     deadlines: Deadlines
     connect_timeout: float  # ms
@@ -41,8 +41,8 @@
     def read_outcome(self, message: http.Message) -> Outcome:
         """Return the outcome that an answer which ends an attempt stands for."""
 
-    def report_silent_worker(self, handle: RequestHandle) -> None:
-        """Handle a worker that does not answer a request."""
+    def handle_silent_worker(self, handle: RequestHandle) -> None:
+        """Log that a worker does not answer a request, and close the idle connections to it."""
 
 
 class JobExchange:
@@ -51,59 +51,59 @@
     counts_for_keep_alive = True
     answer_statuses = frozenset({ACCEPTED, 500, 503, 504})  # the protocol's answers to a job
 
-    def __init__(self, transport: JobTransport, attempt: JobAttempt) -> None:
-        self.transport = transport
+    def __init__(self, services: AttemptServices, attempt: JobAttempt) -> None:
+        self.services = services
         self.result = attempt.result
         self.message = http.Message((1, 1), http.Headers())
         self.forbidden_by = attempt.forbidden_by
         self.timer: Deadline | None = None
         self.answer_timeout = 0.0  # ms from the request's last byte; 0: until the deadline
         self.handle: RequestHandle | None = None
-        self.written = False  # to its last byte
-        self.timeout_extended = False  # once, as the answer had begun when the timeout expired
+        self.is_written = False  # to its last byte
+        self.has_extended_timeout = False  # once, as the answer had begun when the timeout expired
 
     @property
-    def ends_attempt(self) -> bool:
-        """Whether the answer is other than a 202, which allows another attempt of the job."""
+    def allows_retry(self) -> bool:
+        """Whether the answer is a 500, 503 or 504, after which the job may be attempted again."""
         return self.message.status in (500, 503, 504)
 
     # ---- the wait for an answer ----
 
-    def wait_for_answer(self, handle: RequestHandle, timeout: float) -> None:
-        """Limit the wait for the worker's answer to ``timeout`` ms.
+    def wait_for_answer(self, handle: RequestHandle, timeout_ms: float) -> None:
+        """Limit the wait for the worker's answer to ``timeout_ms``.
 
-        Without this timeout a job on a connection that silently died would wait until its deadline and
-        occupy its worker. The timeout counts from the request's last byte; until that is written, the
-        connect timeout is added.
+        Without this timeout a job on a connection that no longer delivers anything would wait until its
+        deadline and occupy its worker. The timeout counts from the request's last byte; until that is
+        written, the connect timeout is added.
         """
         self.handle = handle
-        self.answer_timeout = timeout
+        self.answer_timeout = timeout_ms
         if not self.result.called:
-            self._start_timer(timeout if self.written else timeout + self.transport.connect_timeout)
+            self._start_timer(timeout_ms if self.is_written else timeout_ms + self.services.connect_timeout)
 
-    def _start_timer(self, timeout: float) -> None:
+    def _start_timer(self, timeout_ms: float) -> None:
         """Restart the answer timeout."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.transport.deadlines.after(timeout, self._on_answer_timeout)
+        self.timer = self.services.deadlines.after(timeout_ms, self._on_answer_timeout)
 
     def _on_answer_timeout(self) -> None:
         """Abort the attempt; if the worker has begun to answer, first extend the timeout once to read it."""
         if self.result.called or self.handle is None:
             return
-        answer_begun = self.handle.answer_begun
-        if answer_begun and not self.timeout_extended:
-            self.timeout_extended = True
+        answer_begun = self.handle.has_answer_begun
+        if answer_begun and not self.has_extended_timeout:
+            self.has_extended_timeout = True
             self._start_timer(self.answer_timeout)
             return
-        self.transport.report_silent_worker(self.handle)
+        self.services.handle_silent_worker(self.handle)
         ending = self.handle.abort()
-        self.finish(Outcome(ending, maybe_accepted=self.written, answer_begun=answer_begun))
+        self.finish(Outcome(ending, maybe_accepted=self.is_written, answer_begun=answer_begun))
 
     def request_written(self) -> None:
         """Count the attempt and start the answer timeout, if one was set."""
-        self.transport.on_written()
-        self.written = True
+        self.services.on_written()
+        self.is_written = True
         if self.answer_timeout and not self.result.called:
             self._start_timer(self.answer_timeout)
 
@@ -124,7 +124,7 @@
             # From here on the worker has the job: closing the connection no longer cancels the attempt,
             # whether or not the answer ever ends.
             self.finish(None)
-            self.timer = self.transport.deadlines.after(ANSWER_END_TIMEOUT_MS, self.abort)
+            self.timer = self.services.deadlines.after(ANSWER_END_TIMEOUT_MS, self.abort)
 
     def data_received(self, data: bytes) -> None:
         """Ignore the body, which has no meaning here."""
@@ -132,7 +132,7 @@
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
         """Report the outcome, unless the answer is a 202, which was reported with its head."""
         if self.message.status != ACCEPTED:
-            outcome = self.transport.read_outcome(self.message)
+            outcome = self.services.read_outcome(self.message)
             self.finish(replace(outcome, maybe_accepted=maybe_accepted, answer_begun=answer_begun))
         elif self.timer is not None:
             self.timer.cancel()
@@ -146,7 +146,7 @@
             self.finish(
                 Outcome(
                     ending,
-                    maybe_accepted=self.written,
+                    maybe_accepted=self.is_written,
                     answer_begun=answer_begun,
                     worker_unreachable=worker_unreachable,
                 )
--- a/elderstall/net/upstream/keep_alive.py
+++ b/elderstall/net/upstream/keep_alive.py
@@ -10,12 +10,12 @@
 STALE_CONNECTION_WINDOW_MS = 50.0  # a reused connection that breaks this soon after a request was stale
 MIN_IDLE_TIMEOUT_MS = 20.0  # so that a request that follows at once can still reuse the connection
 DECAY_FACTOR = 0.98  # of the counts of uses and breaks, at each use: a window of about 50 uses
-STALE_BREAK_RATE_FACTOR = 2.0  # reused connections that break this many times as often as new ones are stale
-SUSPECT_IDLE_TIMEOUT_MS = 1_000.0  # below this, non-repeatable jobs use new connections
-MAX_NEW_BREAKS = 0.5  # decayed breaks of new connections: one break about 30 uses ago
-MIN_DOUBLING_TIME_MS = 10_000.0  # after which a reduced idle timeout has doubled, at first
-MAX_DOUBLING_TIME_MS = 60_000.0
-MAX_DOUBLINGS = 16.0
+STALE_BREAK_RATE_FACTOR = 2.0  # reused ones count as stale if they break more often than new ones times this
+SUSPECT_IDLE_TIMEOUT_MS = 1_000.0  # idle timeout below which non-repeatable jobs use new connections
+MAX_NEW_BREAKS = 0.5  # decayed breaks of new connections: one break 34 uses ago
+MIN_DOUBLING_TIME_MS = 10_000.0  # in which a reduced idle timeout doubles; twice as long if reduced again
+MAX_DOUBLING_TIME_MS = 60_000.0  # however often it is reduced
+MAX_DOUBLINGS = 16.0  # bounds the exponent, which grows with the time since the reduction
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
 
     @property
     def break_rate(self) -> float:
-        """The fraction of uses that ended in a break."""
+        """The fraction of uses that ended in a break; one use is added, so that few uses give a low rate."""
         return self.breaks / (self.uses + 1)
 
 
@@ -46,7 +46,7 @@
         self.new_connections = UseCounts()
         self.reused_connections = UseCounts()
         self.reduced_timeout = max_idle_timeout  # ms
-        self.reduced_at = 0.0  # reading of the clock
+        self.reduced_at = 0.0  # clock reading, ms
         self.doubling_time = MIN_DOUBLING_TIME_MS
 
     @property
@@ -57,7 +57,7 @@
 
     @property
     def prefers_new_connections(self) -> bool:
-        """Whether a new connection is safer than a reused one: idle ones were stale and new ones hold."""
+        """Whether new connections are safer: idle ones were stale, and new ones have not broken lately."""
         return (
             self.idle_timeout < min(SUSPECT_IDLE_TIMEOUT_MS, self.max_idle_timeout)
             and self.new_connections.breaks < MAX_NEW_BREAKS
@@ -74,20 +74,22 @@
         self.counts_for(idle_ms).uses += 1
 
     def record_break(self, worker: str, idle_ms: float) -> None:
-        """Count a connection that broke just after a request was written to it, and adapt the idle timeout.
+        """Count a connection that ended soon after a request was started on it, and adapt the idle timeout.
+
+        Ends by a write error or a bad answer count too, and those before the request was written.
 
         Where something on the path closes idle connections, it is unknown whether the request on a stale one
         has run, and a job that must not be repeated would fail.
         """
         self.counts_for(idle_ms).breaks += 1
         if self.reused_connections.break_rate <= STALE_BREAK_RATE_FACTOR * self.new_connections.break_rate:
-            # Workers reset new connections too: shorter reuse would only add handshakes.
+            # Workers reset new connections too: reducing the idle timeout would only add handshakes.
             self.reduced_timeout = self.max_idle_timeout
         elif idle_ms > 0:
             self._reduce_idle_timeout(worker, idle_ms)
 
     def _reduce_idle_timeout(self, worker: str, idle_ms: float) -> None:
-        """Halve the idle timeout, as a connection that was idle for ``idle_ms`` was stale."""
+        """Reduce the idle timeout to half of itself or of a stale connection's idle time, if that is less."""
         if self.idle_timeout >= self.max_idle_timeout:
             self.doubling_time = MIN_DOUBLING_TIME_MS
         else:
--- a/elderstall/net/upstream/load_exchange.py
+++ b/elderstall/net/upstream/load_exchange.py
@@ -16,10 +16,10 @@
 POLL_TIMEOUT_FACTOR = 1.0  # of the connect timeout, for the answer
 
 
-class LoadExchange:
+class PollExchange:
     """The exchange of one poll."""
 
-    ends_attempt = False
+    allows_retry = False
     counts_for_keep_alive = True
 
     def __init__(
@@ -47,7 +47,7 @@
         self.body += data
 
     def completed(self, *, maybe_accepted: bool = False, answer_begun: bool = False) -> None:
-        """Report the load report, or that the worker rejects polls at present."""
+        """Report the load report, or a full worker for any status other than 200."""
         report: LoadReport = ()
         if self.status == 200:
             try:
--- a/elderstall/net/upstream/open_connections.py
+++ b/elderstall/net/upstream/open_connections.py
@@ -7,7 +7,7 @@
 
 from elderstall.slots import Slots
 
-MAX_CLOSING_CONNECTIONS = 8  # closing at once to make room: each holds its descriptor for one more iteration
+MAX_CLOSING_CONNECTIONS = 8  # at this many, which still hold descriptors, no idle one is closed to make room
 
 
 class IdleConnection(Protocol):
@@ -46,11 +46,13 @@
         self.slots.remove(number)
 
     def make_room(self) -> bool:
-        """Return whether one more connection may be opened, closing the longest idle one if necessary.
+        """Close the longest idle connection if the limit is reached; return whether one more may be opened.
 
         With fewer descriptors than workers, idle connections would otherwise hold all descriptors, and no
         other worker could be reached until they time out.
         """
+        # Connections over the limit once one more is opened. Closing ones do not count: their descriptors
+        # are free in the next iteration of the reactor.
         excess = len(self) - len(self.closing) + self.opening - self.limit + 1
         if excess <= 0:
             return True
--- a/elderstall/net/upstream/pool.py
+++ b/elderstall/net/upstream/pool.py
@@ -31,7 +31,7 @@
         self.address = address
         self.connect = connect
         self.idle: list[WorkerConnection] = []  # the most recently used last
-        self.closed = False
+        self.is_closed = False
 
     def buildProtocol(self, addr: object) -> WorkerConnection:  # noqa: N802, D102
         return WorkerConnection(self)
@@ -39,8 +39,8 @@
     # ---- idle connections ----
 
     def release(self, connection: WorkerConnection) -> None:
-        """Add an idle connection, to be closed well before the worker would close it."""
-        if self.closed:
+        """Add an idle connection, to be closed after the idle timeout; close it if the pool is closed."""
+        if self.is_closed:
             connection.drop(CloseReason.POOL_CLOSED)
             return
         deadlines = self.services.deadlines
@@ -58,7 +58,7 @@
             self.services.connections.idle.pop(connection, None)
             connection.drop(CloseReason.IDLE)
 
-    def drop_idle(self, min_idle_ms: float = 0.0) -> None:
+    def close_idle_connections(self, min_idle_ms: float = 0.0) -> None:
         """Close the connections that have been idle for at least ``min_idle_ms``."""
         since = self.services.deadlines.now() - min_idle_ms
         for connection in self.idle[::-1]:
@@ -73,20 +73,20 @@
 
     def close(self) -> None:
         """Close the idle connections now, and those in use when their requests end."""
-        self.closed = True
-        self.drop_idle()
+        self.is_closed = True
+        self.close_idle_connections()
 
     def _take_idle(self, *, repeatable: bool) -> WorkerConnection | None:
         """Remove and return the most recently used idle connection that may carry a request, or None."""
         keep_alive = self.services.keep_alive
-        self.drop_idle(keep_alive.idle_timeout)  # the idle timeout may have been reduced since
+        self.close_idle_connections(keep_alive.idle_timeout)  # the idle timeout may have been reduced since
         while self.idle and (repeatable or not keep_alive.prefers_new_connections):
             connection = self.idle.pop()
             self.services.connections.idle.pop(connection, None)
-            if not connection.unread:
+            if not connection.has_unread_input:
                 return connection
-            # Since the reactor last polled it, the worker closed it or sent unsolicited data. The request is
-            # not written to it, so it cannot have run.
+            # The worker closed it or sent unsolicited data, which the reactor has not read yet. The request
+            # is not written to it, so it cannot have run.
             connection.drop(CloseReason.WORKER_CLOSED)
         return None
 
@@ -135,11 +135,12 @@
         self.services.connections.opening -= 1
         handle.connection = connection
         exchange = handle.exchange
-        if connection.unread:  # it has already ended, see ``_take_idle``
+        if connection.has_unread_input:  # ended or unsolicited data, see ``_take_idle``
             connection.drop(CloseReason.WORKER_CLOSED)
             exchange.failed(Ending.UNREACHABLE)
             return
-        reason = "the worker is gone or has restarted" if self.closed else exchange.forbidden_by()
+        # A pool is closed if its worker is gone, has restarted or has a new address, and at shutdown.
+        reason = "the pool has been closed" if self.is_closed else exchange.forbidden_by()
         if reason is not None:
             self.services.log.write("rule", f"request not sent to {self.name} after connecting: {reason}")
             self.release(connection)
--- a/elderstall/net/upstream/request.py
+++ b/elderstall/net/upstream/request.py
@@ -13,7 +13,7 @@
 BUDGET_MARGIN_MS = 20.0  # kept back from the stated time, for a process that is delayed while writing
 MAX_BUDGET_MARGIN_FRACTION = 0.05  # of the time left, so that a short time is hardly reduced
 # Fields of a client's request that are not forwarded: they concern its connection alone or are rewritten.
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED = frozenset(
     {
         "connection",
         "keep-alive",
@@ -62,7 +62,7 @@
     """Return an attempt's request: the client's, with its Accept field replaced if ``accept`` is given."""
     original = request.original
     assert isinstance(original, http.Message)
-    fields = [(name, value) for name, value in original.headers.fields if name.lower() not in HOP_BY_HOP]
+    fields = [(name, value) for name, value in original.headers.fields if name.lower() not in NOT_FORWARDED]
     if accept:
         fields = [(name, value) for name, value in fields if name.lower() != "accept"]
         fields.append(("Accept", accept))
@@ -74,6 +74,6 @@
     return WorkerRequest("DELETE", f"/jobs/{quote(request_id, safe='')}", address)
 
 
-def load_request(address: str) -> WorkerRequest:
+def poll_request(address: str) -> WorkerRequest:
     """Return the request for a worker's load report."""
     return WorkerRequest("GET", LOAD_PATH, address)
--- a/elderstall/net/upstream/request_writer.py
+++ b/elderstall/net/upstream/request_writer.py
@@ -30,7 +30,7 @@
 class RequestWriter:
     """Writes one request to a transport."""
 
-    __slots__ = ("deadlines", "owner", "request", "retry_timer", "transport", "unsent", "written")
+    __slots__ = ("deadlines", "is_written", "owner", "request", "retry_timer", "transport", "unsent")
 
     def __init__(
         self, owner: RequestOwner, transport: Any, deadlines: Deadlines, request: WorkerRequest
@@ -41,7 +41,7 @@
         self.request: WorkerRequest | None = request  # until its first byte is written
         self.unsent = b""  # the bytes that the system did not accept at once
         self.retry_timer: Deadline | None = None
-        self.written = False  # to its last byte
+        self.is_written = False  # to its last byte
 
     def write(self) -> None:
         """Write the request to the socket immediately, with the time left now.
@@ -75,7 +75,7 @@
             data = self.unsent
             self.unsent = b""
             self.transport.write(data)
-        elif not self.written:
+        elif not self.is_written:
             self.transport.unregisterProducer()
             self._finish()
 
@@ -90,5 +90,5 @@
 
     def _finish(self) -> None:
         """Report that the last byte was written."""
-        self.written = True
+        self.is_written = True
         self.owner.request_written()
--- a/elderstall/net/upstream/responses.py
+++ b/elderstall/net/upstream/responses.py
@@ -8,13 +8,13 @@
 from elderstall.messages import Outcome
 from elderstall.net import http
 
-MAX_REPORT_VALUE = 1e15  # a larger value in a load report is an error of the worker
+MAX_REPORT_VALUE = 1e15  # a report with a value this large, infinite or NaN is ignored
 
 LoadReport = tuple[float, ...]  # in the order of the settings' fields
 
 
 def read_report(load: object, fields: tuple[str, ...]) -> LoadReport:
-    """Return a load report's values in the order of ``fields``; empty if any of them is missing."""
+    """Return a load report's values in the order of ``fields``; empty if one is not a valid number."""
     if not isinstance(load, dict):
         return ()
     values = [load.get(name) for name in fields]
@@ -24,13 +24,17 @@
 
 
 def read_outcome(message: http.Message, fields: tuple[str, ...]) -> Outcome:
-    """Return the outcome that an answer which ends an attempt stands for in the protocol's table."""
+    """Return the outcome of an attempt that an answer ends.
+
+    FULL for a 503 or a 504 with ``X-Rejected: 1``, ERROR for all others.
+    """
     report: LoadReport = ()
     try:
         text = message.headers.get("X-Load-Report")
         report = read_report(json.loads(text), fields) if text else ()
         rejected = message.headers.get("X-Rejected") == "1"
     except (ValueError, RecursionError, http.MessageError):
+        # A malformed or repeated load report does not hide a rejection; a repeated X-Rejected is none.
         rejected = message.headers.all("X-Rejected") == ["1"]
     if message.status in (503, 504) and rejected:
         return Outcome(Ending.FULL, report=report)
--- a/elderstall/net/upstream/streams.py
+++ b/elderstall/net/upstream/streams.py
@@ -7,7 +7,7 @@
 from elderstall.net import http
 from elderstall.net.event_stream import MEDIA_TYPE, EventParser, ServerEvent, parse_share
 from elderstall.net.upstream.handle import RequestHandle
-from elderstall.net.upstream.job_exchange import JobAttempt, JobExchange, JobTransport
+from elderstall.net.upstream.job_exchange import AttemptServices, JobAttempt, JobExchange
 from elderstall.net.upstream.pool import Pool
 from elderstall.net.upstream.request import job_request
 from elderstall.net.upstream.transport import WorkerTransport
@@ -21,15 +21,15 @@
 
     answer_statuses = JobExchange.answer_statuses | {200}
 
-    def __init__(self, transport: JobTransport, attempt: JobAttempt) -> None:
-        super().__init__(transport, attempt)
+    def __init__(self, services: AttemptServices, attempt: JobAttempt) -> None:
+        super().__init__(services, attempt)
         self.on_progress = attempt.on_progress
         self.event_parser: EventParser | None = None
-        self.ended = False
+        self.has_reported_outcome = False
 
     @property
-    def ends_attempt(self) -> bool:
-        """Whether the answer is neither a 202 nor a stream, which allows another attempt of the job."""
+    def allows_retry(self) -> bool:
+        """Whether the answer is neither a 202 nor a stream: the job may then be attempted again."""
         return self.message.status != 202 and self.event_parser is None
 
     def head_received(self, message: http.Message) -> None:
@@ -41,11 +41,11 @@
 
     def data_received(self, data: bytes) -> None:
         """Handle a piece of the stream; data after the last event is ignored."""
-        if self.event_parser is None or self.ended:
+        if self.event_parser is None or self.has_reported_outcome:
             return
         for event in self.event_parser.feed(data):
             self._handle_event(event)
-            if self.ended:
+            if self.has_reported_outcome:
                 break
 
     def _handle_event(self, event: ServerEvent) -> None:
@@ -73,11 +73,11 @@
 
     def finish(self, outcome: Outcome | None) -> None:
         """Report the attempt's outcome, once; the stream must then end within a timeout."""
-        if self.ended:
+        if self.has_reported_outcome:
             return
-        self.ended = True
+        self.has_reported_outcome = True
         if self.event_parser is not None:
-            self.transport.deadlines.after(STREAM_END_TIMEOUT_MS, self.abort)
+            self.services.deadlines.after(STREAM_END_TIMEOUT_MS, self.abort)
         super().finish(outcome)
 
 
@@ -87,7 +87,7 @@
     def start_attempt(self, pool: Pool, attempt: JobAttempt) -> RequestHandle:
         """Start the exchange of an attempt.
 
-        A stream may begin only when the job starts, so its first byte may come as late as the deadline.
+        No answer timeout is set: a stream may begin only when its job starts, as late as the deadline.
         """
         exchange = StreamExchange(self, attempt)
         request = job_request(attempt.request, pool.address, attempt.ends_at, MEDIA_TYPE)
--- a/elderstall/net/upstream/transport.py
+++ b/elderstall/net/upstream/transport.py
@@ -27,10 +27,10 @@
     JobExchange,
 )
 from elderstall.net.upstream.keep_alive import KeepAlive
-from elderstall.net.upstream.load_exchange import POLL_TIMEOUT_FACTOR, LoadExchange
+from elderstall.net.upstream.load_exchange import POLL_TIMEOUT_FACTOR, PollExchange
 from elderstall.net.upstream.open_connections import OpenConnections
 from elderstall.net.upstream.pool import Connect, Pool
-from elderstall.net.upstream.request import cancel_request, job_request, load_request
+from elderstall.net.upstream.request import cancel_request, job_request, poll_request
 from elderstall.net.upstream.responses import LoadReport, read_outcome, read_report
 
 T = TypeVar("T")
@@ -52,9 +52,9 @@
         connect: Connect,
         log: Log,
         report_fields: tuple[str, ...] = (),
-        max_idle_timeout: float = 8_000.0,
-        connection_limit: int = 300,
-        connect_timeout: float = 250.0,
+        max_idle_timeout: float = 8_000.0,  # ms
+        connection_limit: int = 300,  # of all workers together
+        connect_timeout: float = 250.0,  # ms
     ) -> None:
         self.deadlines = deadlines
         self.connect = connect
@@ -64,7 +64,7 @@
         self.keep_alive = KeepAlive(max_idle_timeout, deadlines.now, log)
         self.connections: OpenConnections[WorkerConnection] = OpenConnections(connection_limit)
         self.services = Services(deadlines, log, self.keep_alive, self.connections)
-        self.on_written: Callable[[], None] = lambda: None  # called for each job whose last byte was written
+        self.on_written: Callable[[], None] = lambda: None  # called for each attempt written in full
         self.addresses: dict[str, WorkerAddress] = {}  # of all workers on the endpoint list, by name
         self.pools: dict[str, Pool] = {}  # by worker; created at the first request to it
 
@@ -78,12 +78,15 @@
             self.addresses[name] = worker_address
 
     def remove_endpoint(self, name: str) -> None:
-        """Close the pool of a worker that is no longer on the endpoint list."""
+        """Remove a worker's address and close its pool: delisted, changed address, restart or shutdown."""
         self.addresses.pop(name, None)
         self.drop_idle(name)
 
     def drop_idle(self, worker: str) -> None:
-        """Close the pool of a worker; see ``messages.AttemptTransport``."""
+        """Remove a worker's pool: its idle connections close now, those in use when their requests end.
+
+        See ``messages.AttemptTransport``; the next request creates a new pool.
+        """
         if (pool := self.pools.pop(worker, None)) is not None:
             pool.close()
 
@@ -108,20 +111,20 @@
     # ---- answers ----
 
     def read_report(self, load: object) -> LoadReport:
-        """Return a load report's values in the order of the settings' fields; empty if any is missing."""
+        """Return a load report's values as ``responses.read_report`` does, for the settings' fields."""
         return read_report(load, self.report_fields)
 
     def read_outcome(self, message: http.Message) -> Outcome:
         """Return the outcome that an answer which ends an attempt stands for."""
         return read_outcome(message, self.report_fields)
 
-    def report_silent_worker(self, handle: RequestHandle) -> None:
+    def handle_silent_worker(self, handle: RequestHandle) -> None:
         """Log that a worker does not answer a job, and close the idle connections to it."""
         if (connection := handle.connection) is not None:
             self.log.write(
                 "silent", f"{connection.pool.name} did not answer a job in time; closing idle connections"
             )
-            connection.pool.drop_idle()  # they may be dead too
+            connection.pool.close_idle_connections()  # they may no longer reach the worker either
 
     # ---- attempts, cancellations, polls ----
 
@@ -138,10 +141,11 @@
 
         def abort(_: object) -> None:
             for handle in handles:
-                answer_begun = handle.answer_begun
+                answer_begun = handle.has_answer_begun
                 handle.abort()
                 if answer_begun:
-                    result.callback(None)  # it may be a 202, after which the worker has the job
+                    # It may be a 202, after which the worker has the job: it is reported as accepted.
+                    result.callback(None)
 
         result: Deferred[Outcome | None] = Deferred(abort)
         pool = self._pool_for(worker)
@@ -156,12 +160,12 @@
         """Start the exchange of an attempt."""
         exchange = JobExchange(self, attempt)
         repeatable = attempt.request.repeatable
-        timeout = self.connect_timeout * (
+        timeout_ms = self.connect_timeout * (
             REPEATABLE_ACCEPT_TIMEOUT_FACTOR if repeatable else ACCEPT_TIMEOUT_FACTOR
         )
         request = job_request(attempt.request, pool.address, attempt.ends_at)
         handle = pool.start_request(request, exchange, repeatable=repeatable)
-        exchange.wait_for_answer(handle, timeout)
+        exchange.wait_for_answer(handle, timeout_ms)
         return handle
 
     def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
@@ -178,10 +182,10 @@
             handle.abort()
             exchange.finish(confirmed=False)
 
-        timeout = (
+        timeout_ms = (
             CANCEL_TIMEOUT_MS if confirmation_required else self.connect_timeout * SHORT_CANCEL_TIMEOUT_FACTOR
         )
-        return self._with_timeout(result, timeout, on_timeout)
+        return self._with_timeout(result, timeout_ms, on_timeout)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
         """Poll a worker for its load report; see ``messages.AttemptTransport``."""
@@ -190,21 +194,21 @@
         if pool is None:
             result.callback(Outcome(Ending.UNREACHABLE))
             return result
-        exchange = LoadExchange(self.read_report, self.log, result)
-        handle = pool.start_request(load_request(pool.address), exchange)
+        exchange = PollExchange(self.read_report, self.log, result)
+        handle = pool.start_request(poll_request(pool.address), exchange)
 
         def on_timeout() -> None:
             handle.abort()
-            pool.drop_idle()  # they may be dead too
+            pool.close_idle_connections()  # they may no longer reach the worker either
             exchange.failed(Ending.TIMED_OUT, worker_unreachable=True)
 
         return self._with_timeout(result, self.connect_timeout * POLL_TIMEOUT_FACTOR, on_timeout)
 
     def _with_timeout(
-        self, result: Deferred[T], timeout: float, on_timeout: Callable[[], None]
+        self, result: Deferred[T], timeout_ms: float, on_timeout: Callable[[], None]
     ) -> Deferred[T]:
-        """Call ``on_timeout`` unless ``result`` fires within ``timeout`` ms; return ``result``."""
-        timer = self.deadlines.after(timeout, on_timeout)
+        """Call ``on_timeout`` unless ``result`` fires within ``timeout_ms``; return ``result``."""
+        timer = self.deadlines.after(timeout_ms, on_timeout)
 
         def cancel_timer(value: T) -> T:
             timer.cancel()
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -47,7 +47,7 @@
 # ---- idle connections ----
 
 
-def test_a_stale_connection_halves_the_idle_timeout_which_grows_back() -> None:
+def test_a_stale_connection_reduces_the_idle_timeout_which_grows_back() -> None:
     clock = Clock()
     keep_alive = keep_alive_on(clock)
     keep_alive.record_use(400.0)
@@ -90,7 +90,8 @@
 
 def test_opening_connections_count_and_the_longest_idle_one_is_closed_for_them() -> None:
     connections = OpenConnections["IdleConnection"](2)
-    first, second = IdleConnection(connections), IdleConnection(connections)
+    first = IdleConnection(connections)
+    second = IdleConnection(connections)
     assert connections.make_room()
     assert (list(connections.idle), connections.closing) == ([second], {first})
     connections.opening += 1
@@ -154,7 +155,7 @@
         ),
     ],
 )
-def test_an_answer_gives_the_outcome_of_the_protocols_table(
+def test_only_a_503_or_504_with_x_rejected_means_a_full_worker(
     status: int, fields: list[tuple[str, str]], outcome: Outcome
 ) -> None:
     message = http.Message((1, 1), http.Headers(fields), status=status)
