--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -93,7 +93,7 @@
         "wall_s": round(wall, 2),
         "us_a_job": round(1e6 * cpu / jobs, 1),
         "module_us_a_job": round(1e6 * spent / jobs, 1),
-        "calls_a_job": round(world.loop.made / jobs, 2),
+        "calls_a_job": round(world.loop.calls_made / jobs, 2),
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
         "service": figures["service"]["whole"],
         "broken": figures["rules"]["broken"],
--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from elderstall.cli.output import BAD, FAILED, GOOD, print_error, write_json
-from elderstall.simulation.audit import lines_of
+from elderstall.simulation.audit import history_lines
 from elderstall.simulation.reading import ENDING, SHIPPED, ScriptError, find, read
 from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import World
@@ -410,7 +410,7 @@
     if request is None:
         print_error(f"there is no request {job}; the night had {figures['requests']}")
         return FAILED
-    lines = lines_of(request)
+    lines = history_lines(request)
     summary = {
         "request": job,
         "class": request.load.cls.name,
@@ -420,7 +420,7 @@
         "wanted_s": round(request.latency_objective_at / 1000, 4),
         "work_ms": round(request.work, 3),
         "slots": request.slots,
-        "in_share": request.in_share,
+        "in_share": request.within_quota,
     }
     if as_json:
         write_json({**summary, "history": lines}, "-")
--- a/elderstall/simulation/attempt.py
+++ b/elderstall/simulation/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt in memory and the connection that it goes over, and what both need of their surroundings.
+"""A simulated attempt, the connection that carries it, and the interfaces that both use.
 
-They follow the rules of ``net/upstream/``: a job is given up when its worker does not say it has it, and
-what was not written has not run.
+They follow the rules of ``net/upstream/``: an attempt is abandoned when its worker does not confirm the job
+in time, and a job that was not written has not run.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 
 
 class UpstreamAudit(Protocol):
-    """The auditor, as what carries attempts reports to it."""
+    """The auditor's methods that the transport calls."""
 
     def sent(self, attempt: SimulatedAttempt) -> None:
-        """Check a send."""
+        """Check that the rules permit this attempt."""
 
-    def given_up(self, attempt: SimulatedAttempt) -> None:
-        """Note that a dispatcher no longer waits for an attempt."""
+    def abandoned(self, attempt: SimulatedAttempt) -> None:
+        """Record that a dispatcher no longer waits for an attempt."""
 
 
 class UpstreamTally(Protocol):
-    """The counts of what goes to workers."""
+    """The counts of attempts, connections and polls sent to workers."""
 
     attempts: int
     connections: int
     probes: int
 
 
-class UpstreamSurroundings(Protocol):
-    """What carries attempts needs this of the scenario that it is part of."""
+class UpstreamContext(Protocol):
+    """The parts of the simulation that the transport uses."""
 
     scenario: Scenario
     loop: VirtualTime
@@ -59,84 +59,84 @@
     def tally(self) -> UpstreamTally:
         """The counts."""
 
-    def reaches(self, upstream: AttemptCarrier, worker_host: TargetHost) -> bool:
-        """Say whether anything said between them arrives now."""
+    def reaches(self, upstream: AttemptTransport, worker_host: TargetHost) -> bool:
+        """Return whether messages between them are delivered at present."""
 
 
-class TargetSurroundings(Protocol):
-    """What connections need of the scenario that a worker host is part of."""
+class TargetContext(Protocol):
+    """The parts of the simulation that connections use."""
 
     loop: VirtualTime
 
 
 class TargetHost(Protocol):
-    """A worker host, as connections and attempts see it."""
+    """The interface of a worker host that connections and attempts use."""
 
     spec: Worker
     kind: Kind
     model: CardWorker
     links: set[Link]
-    silent: int
+    silent_faults: int
 
     @property
-    def world(self) -> TargetSurroundings:
-        """The scenario that it is part of."""
+    def world(self) -> TargetContext:
+        """The simulation that this belongs to."""
 
     @property
     def name(self) -> str:
-        """Its name on the list."""
+        """Return its name in the endpoint list."""
 
     def delay(self) -> float:
-        """Draw the time of one way to or from it, ms."""
+        """Return a random one-way network delay, ms."""
 
-    def poke(self, happenings: list[WorkerEvent]) -> None:
-        """Pass on what has happened."""
+    def process_events(self, events: list[WorkerEvent]) -> None:
+        """Handle the events that the worker model reports."""
 
     def connect(self, attempt: SimulatedAttempt) -> None:
-        """Take, refuse or not hear a new connection."""
+        """Handle a new connection: accept it, refuse it or leave it unanswered."""
 
     def receive(self, attempt: SimulatedAttempt, link: Link) -> None:
-        """Hear a job's last byte."""
+        """Handle a job whose last byte has arrived."""
 
     def cancel(self, attempt: SimulatedAttempt) -> None:
-        """Hear that an attempt is given up."""
+        """Handle the cancellation of an attempt."""
 
     def report(self) -> tuple[float, ...]:
-        """Give the newest report that is old enough to be sent."""
+        """Return the newest load report whose delay has passed; empty if there is none."""
 
 
 class OwnerHost(Protocol):
-    """The host of the process whose attempts are carried."""
+    """The dispatcher host, as the transport uses it."""
 
     name: str
     rank: int
 
     @property
     def process(self) -> UpstreamOwner | None:
-        """Give the process that serves there, if any."""
+        """Return the process that runs there, if any."""
 
 
 class UpstreamOwner(Protocol):
-    """The dispatcher's process whose attempts are carried."""
+    """The dispatcher process, as the transport uses it."""
 
     alive: bool
     engine: Engine
     deadlines: Deadlines
 
     @property
-    def world(self) -> UpstreamSurroundings:
-        """The scenario that it is part of."""
+    def world(self) -> UpstreamContext:
+        """The simulation that this belongs to."""
 
     @property
     def dispatcher_host(self) -> OwnerHost:
-        """Where it runs."""
+        """Return the host that it runs on."""
 
     def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
-        """Report to the auditor what this process has learned of an attempt."""
+        """Report the ending of an attempt, as this process knows it, to the auditor."""
 
 
-class AttemptCarrier(Protocol):
-    """What carries attempts, as its connections and attempts see it."""
+class AttemptTransport(Protocol):
+    """The transport of attempts, as connections and attempts use it."""
 
     process: UpstreamOwner
     loop: VirtualTime
@@ -144,94 +144,95 @@
     count: int
     opening: int
 
-    def link_to(self, worker_host: TargetHost) -> Link:
-        """Make a connection."""
+    def new_link(self, worker_host: TargetHost) -> Link:
+        """Return a new connection to a worker host."""
 
-    def free_link(self, worker_host: TargetHost) -> Link | None:
-        """Take the newest free connection that may be used."""
+    def take_idle_link(self, worker_host: TargetHost) -> Link | None:
+        """Remove and return the newest idle connection, if there is one."""
 
-    def rest(self, link: Link) -> None:
-        """Keep a connection that is free for a while."""
+    def keep_idle(self, link: Link) -> None:
+        """Return a connection to its pool until its idle timeout ends."""
 
-    def forget(self, link: Link) -> None:
-        """Take a connection that has ended off its pool."""
+    def remove_from_pool(self, link: Link) -> None:
+        """Remove a closed connection from its pool."""
 
-    def doubt(self, worker_host: TargetHost) -> None:
-        """Drop the free connections to a worker host."""
+    def drop_idle_to(self, worker_host: TargetHost) -> None:
+        """Close the idle connections to a worker host."""
 
     def called_back(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
-        """Take the end that a worker reports."""
+        """Handle the ending that a worker reports."""
 
-    def noted(self, attempt: SimulatedAttempt, share: float, started: bool = False) -> None:
-        """Take a start or progress."""
+    def progress_reported(self, attempt: SimulatedAttempt, share: float, started: bool = False) -> None:
+        """Handle a start or progress that a worker reports."""
 
 
 class Link:
     """One connection between a dispatcher and a worker host."""
 
-    def __init__(self, upstream: AttemptCarrier, worker_host: TargetHost, number: int) -> None:
-        self.upstream, self.worker_host, self.number = upstream, worker_host, number
-        self.open, self.deaf = True, False
-        self.rested: float | None = None
+    def __init__(self, upstream: AttemptTransport, worker_host: TargetHost, number: int) -> None:
+        self.upstream = upstream
+        self.worker_host = worker_host
+        self.number = number
+        self.open = True
+        self.unreachable = False
+        self.idle_since: float | None = None
         self.attempt: SimulatedAttempt | None = None
 
     def close(self) -> None:
-        """End it from the dispatcher's side, or for both."""
+        """Close the connection; the worker host is not notified."""
         if self.open:
             self.open = False
             self.upstream.count -= 1
             self.worker_host.links.discard(self)
             self.worker_host.model.connections = len(self.worker_host.links)
-            self.upstream.forget(self)
+            self.upstream.remove_from_pool(self)
 
     def reset(self) -> None:
-        """End it from the worker host's side; whoever waits on it hears of that a moment later."""
+        """Close the connection from the worker's side; its attempt learns of it after the network delay."""
         attempt = self.attempt
         self.close()
         if attempt is not None:
-            self.worker_host.world.loop.after(self.worker_host.delay(), attempt.broke)
+            self.worker_host.world.loop.after(self.worker_host.delay(), attempt.link_lost)
 
 
 class SimulatedAttempt:
-    """One attempt on its way: what the core sent, and how it goes."""
+    """One attempt that the engine sent, and its state on the network."""
 
     def __init__(
         self,
-        upstream: AttemptCarrier,
+        upstream: AttemptTransport,
         worker_host: TargetHost,
-        ask: JobRequest,
+        job_request: JobRequest,
         number: int,
         ends: float,
         note: Callable[[float, str], None],
     ) -> None:
-        self.upstream, self.worker_host, self.ask, self.number, self.ends, self.note = (
-            upstream,
-            worker_host,
-            ask,
-            number,
-            ends,
-            note,
-        )
-        self.done: Deferred[Outcome | None] = Deferred(self.give_up)
+        self.upstream = upstream
+        self.worker_host = worker_host
+        self.job_request = job_request
+        self.number = number
+        self.ends = ends
+        self.note = note
+        self.done: Deferred[Outcome | None] = Deferred(self.abandon)
         self.link: Link | None = None
         self.written = self.over = False
-        self.unused = 0.0  # ms that its connection was free before
-        self.wrote_at = 0.0
+        self.idle_before_ms = 0.0  # time that its connection was idle before this attempt
+        self.written_at = 0.0
         self.timers: list[Call] = []
         self.task: Task | None = None
 
     @property
     def tried(self) -> Try:
-        """The client's try whose attempt this is."""
-        return self.ask.original  # type: ignore[return-value]
+        """Return the client's try that this attempt belongs to."""
+        return self.job_request.original  # type: ignore[return-value]
 
     @property
     def job(self) -> Request:
-        """The request behind it."""
+        """Return the client's request that this attempt belongs to."""
         return self.tried.request
 
     def finish(self, outcome: Outcome | None) -> None:
-        """Report to the core, once."""
+        """Report the outcome to the engine; later calls do nothing."""
         if self.over:
             return
         self.over = True
@@ -244,32 +245,36 @@
     # ---- connecting ----
 
     def begin(self) -> None:
-        """Go over the newest free connection, or a new one."""
-        upstream, loop, network = self.upstream, self.upstream.loop, self.upstream.network
-        wait = REPEATABLE_ACCEPT_TIMEOUT_FACTOR if self.ask.repeatable else ACCEPT_TIMEOUT_FACTOR
-        link = upstream.free_link(self.worker_host)
+        """Start on the newest idle connection, or open a new one."""
+        upstream = self.upstream
+        loop = self.upstream.loop
+        network = self.upstream.network
+        timeout_factor = (
+            REPEATABLE_ACCEPT_TIMEOUT_FACTOR if self.job_request.repeatable else ACCEPT_TIMEOUT_FACTOR
+        )
+        link = upstream.take_idle_link(self.worker_host)
         if link is None:
             if upstream.count + upstream.opening >= network.worker_connections:
                 self.finish(Outcome(Ending.UNREACHABLE))
                 return
             upstream.opening += 1
             self.timers.append(loop.after(network.connect_timeout, self.refused))
-        # The limit on the worker's word runs from the start, as it does on sockets.
-        self.timers.append(loop.after(network.connect_timeout * wait, self.silent))
+        # The limit on the worker's confirmation runs from the start, as it does on sockets.
+        self.timers.append(loop.after(network.connect_timeout * timeout_factor, self.accept_timed_out))
         if link is not None:
-            self.unused = loop.now - (link.rested or loop.now)
+            self.idle_before_ms = loop.now - (link.idle_since or loop.now)
             self.write(link)
         else:
             loop.after(self.worker_host.delay(), self.worker_host.connect, self)
 
     def refused(self) -> None:
-        """Note that no connection came up."""
+        """Handle a connection that was refused or timed out."""
         if not self.over and self.link is None:
             self.upstream.opening -= 1
             self.finish(Outcome(Ending.UNREACHABLE, worker_unreachable=True))
 
-    def up(self, link: Link) -> None:
-        """Take the connection that came up, unless nobody waits for it any more."""
+    def connected(self, link: Link) -> None:
+        """Handle the opened connection; it is closed if the attempt is over."""
         if self.over:
             link.close()
             return
@@ -281,65 +286,70 @@
             self.write(link)
 
     def write(self, link: Link) -> None:
-        """Write the job; from its last byte on it may run."""
-        self.link, self.written, self.wrote_at = link, True, self.upstream.loop.now
+        """Write the job; the worker may run it once the last byte is written."""
+        self.link = link
+        self.written = True
+        self.written_at = self.upstream.loop.now
         link.attempt = self
         self.upstream.process.engine.count_written()
         self.upstream.process.world.tally.attempts += 1
         self.upstream.loop.after(self.worker_host.delay(), self.worker_host.receive, self, link)
 
-    # ---- how it ends ----
+    # ---- endings ----
 
     def answered(self, outcome: Outcome | None) -> None:
-        """Hear the answer on the connection."""
-        link, self.link = self.link, None
+        """Handle the worker's answer on the connection."""
+        link = self.link
+        self.link = None
         if link is not None and link.attempt is self:
             link.attempt = None
             if self.over:
                 link.close()
             else:
-                self.upstream.rest(link)
+                self.upstream.keep_idle(link)
         self.finish(outcome)
 
-    def broke(self) -> None:
-        """Hear that the connection is gone."""
-        link, self.link = self.link, None
+    def link_lost(self) -> None:
+        """Handle the loss of the connection."""
+        link = self.link
+        self.link = None
         if link is not None:
             link.attempt = None
             link.close()
         self.finish(Outcome(self.ending()))
 
     def ending(self) -> Ending:
-        """Name a break: whether it ran, and whether a kept connection had gone before it."""
+        """Return the ending for a lost connection: unreachable, stale or broken."""
         if not self.written:
             return Ending.UNREACHABLE
-        quick = self.upstream.loop.now - self.wrote_at <= STALE_CONNECTION_WINDOW_MS
-        return Ending.STALE_CONNECTION if quick and self.unused > 0 else Ending.BROKEN
+        broke_soon = self.upstream.loop.now - self.written_at <= STALE_CONNECTION_WINDOW_MS
+        return Ending.STALE_CONNECTION if broke_soon and self.idle_before_ms > 0 else Ending.BROKEN
 
-    def silent(self) -> None:
-        """Give a worker up that does not say it has the job; free connections there may be as dead."""
+    def accept_timed_out(self) -> None:
+        """Abandon an attempt not confirmed in time; the worker's idle connections may be as dead."""
         if not self.over:
-            self.upstream.doubt(self.worker_host)
+            self.upstream.drop_idle_to(self.worker_host)
             ending = Ending.BROKEN if self.written else Ending.UNREACHABLE
-            self.leave()
+            self.close_link()
             self.finish(Outcome(ending))
 
-    def give_up(self, _: object) -> None:
-        """Close the connection, as the core has cancelled the attempt."""
+    def abandon(self, _: object) -> None:
+        """Close the connection of an attempt that the engine has cancelled."""
         if not self.over:
             self.over = True
             for timer in self.timers:
                 timer.stop()
-            self.upstream.process.world.audit.given_up(self)
-            self.leave()
+            self.upstream.process.world.audit.abandoned(self)
+            self.close_link()
 
-    def leave(self) -> None:
-        """Close what carries the attempt; the worker host hears of that."""
+    def close_link(self) -> None:
+        """Close the attempt's connection; the worker host treats that as a cancellation."""
         if self.link is None:
             if not self.written:
                 self.upstream.opening -= 1
             return
-        link, self.link = self.link, None
+        link = self.link
+        self.link = None
         link.attempt = None
         link.close()
         worker_host = self.worker_host
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients: arrivals that wait for nobody, retries that heed advice or do not, early leavers."""
+"""Clients: open-loop arrivals, retries with or without regard to retry advice, early departures."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from elderstall.client.policy import Answer as Reply
 from elderstall.messages import Answer, Failed, Rejected, Served
 from elderstall.simulation.draws import Choice, Draws
-from elderstall.simulation.requests import Request, ServedAttempt, ServingHost, Try, TryAudit, TrySurroundings
+from elderstall.simulation.requests import Request, ServedAttempt, ServingHost, Try, TryAudit, TryContext
 from elderstall.simulation.scenario import Scenario, Traffic
 
 if TYPE_CHECKING:
@@ -19,13 +19,13 @@
 
 
 class ClientAudit(TryAudit, Protocol):
-    """The auditor, as clients report to it."""
+    """The auditor's methods that clients call."""
 
     def taken(self, tried: Try) -> None:
-        """Note that a dispatcher has a client's try."""
+        """Record that a dispatcher has accepted a try."""
 
     def left(self, tried: Try) -> None:
-        """Note that a client has left."""
+        """Record that a client has left."""
 
 
 class ClientTally(Protocol):
@@ -38,14 +38,14 @@
         """Count a request."""
 
     def useful(self, attempt: ServedAttempt) -> None:
-        """Book the core time of the attempt that served."""
+        """Count the core time of the attempt that served a request."""
 
     def ended(self, request: Request, at: float) -> None:
         """Count how a request ended."""
 
 
-class ClientSurroundings(TrySurroundings, Protocol):
-    """What clients need of the scenario that they are part of."""
+class ClientContext(TryContext, Protocol):
+    """The parts of the simulation that clients use."""
 
     scenario: Scenario
     loop: VirtualTime
@@ -65,30 +65,33 @@
 class Clients:
     """All clients of a scenario."""
 
-    def __init__(self, world: ClientSurroundings) -> None:
-        self.world, self.scenario, self.spec = world, world.scenario, world.scenario.clients
+    def __init__(self, world: ClientContext) -> None:
+        self.world = world
+        self.scenario = world.scenario
+        self.spec = world.scenario.clients
         draws = world.draws
         self.count = 0
         self.open: dict[int, Request] = {}
         loads = self.scenario.classes
         self.shares = [c.share for c in loads]
-        self.tails: dict[str, list[tuple[float, float]]] = {c.cls.name: [] for c in loads}  # chance, factor
+        # Active heavy-tail faults by class: chance, factor.
+        self.tails: dict[str, list[tuple[float, float]]] = {c.cls.name: [] for c in loads}
         self.tokens = {t.name: (max(1.0, t.quota), 0.0) for t in self.scenario.tenants}
         self.quotas = {t.name: t.quota for t in self.scenario.tenants}
         self.waits = draws.uniform("client", "waits")
-        self.joins = draws.uniform("client", "joins")
+        self.reconnect_delays = draws.uniform("client", "joins")
         self.library = Library(self) if self.spec.policy == "library" else None
-        self.hop = draws.spread(self.scenario.network.jitter, "client", "hops")
+        self.delay_factors = draws.spread(self.scenario.network.jitter, "client", "hops")
 
     def begin(self, dispatcher_hosts: Sequence[ServingHost]) -> None:
-        """Have requests arrive at every dispatcher, in proportion to their weights."""
+        """Start the arrivals at every dispatcher, in proportion to the weights."""
         total = sum(dispatcher_host.weight for dispatcher_host in dispatcher_hosts)
         for dispatcher_host in dispatcher_hosts:
             if dispatcher_host.weight > 0:
                 rate = self.scenario.load.rate * dispatcher_host.weight / total / 1000
-                Arrivals(self, dispatcher_host, rate, "").next()
+                Arrivals(self, dispatcher_host, rate, "").schedule_next()
 
-    def rush(
+    def add_arrivals(
         self,
         dispatcher_hosts: Sequence[ServingHost],
         factor: float,
@@ -97,71 +100,74 @@
         length: float,
         name: str,
     ) -> None:
-        """Have further requests come for a while: the others stay as they are."""
+        """Add arrivals for a limited time; the random draws of the other arrivals do not change."""
         total = sum(dispatcher_host.weight for dispatcher_host in dispatcher_hosts)
         for dispatcher_host in dispatcher_hosts:
             if dispatcher_host.weight > 0:
                 rate = self.scenario.load.rate * (factor - 1) * dispatcher_host.weight / total / 1000
-                Arrivals(self, dispatcher_host, rate, name, at, length, ramp).next()
+                Arrivals(self, dispatcher_host, rate, name, at, length, ramp).schedule_next()
 
     # ---- a request ----
 
     def arrive(self, dispatcher_host: ServingHost, source: Arrivals) -> None:
-        """Make a request and send it."""
-        world, now = self.world, self.world.loop.now
+        """Create a request from its source's random streams, and send it."""
+        world = self.world
+        now = self.world.loop.now
         self.count += 1
-        n = source.choose()
-        load = self.scenario.classes[n]
+        class_index = source.choose_class()
+        load = self.scenario.classes[class_index]
         request = Request(self.count, load, now)
         request.dispatcher_host = dispatcher_host
-        request.work = next(source.works[n])
+        request.work = next(source.works[class_index])
         for chance, factor in self.tails[load.cls.name]:
             if next(source.tail) < chance:
                 request.work *= factor
         request.work = min(request.work, load.longest)
         if load.hint_spread is not None:
-            request.hint = request.work * next(source.hints[n])
+            request.hint = request.work * next(source.hints[class_index])
         if len(load.slots) > 1:
-            request.slots = source.slots[n]() + 1
+            request.slots = source.slots[class_index]() + 1
         if self.scenario.tenants:
             request.tenant = self.scenario.tenants[source.tenant()].name
-            request.in_share = self.meter(request.tenant)
+            request.within_quota = self.take_quota_token(request.tenant)
         rules = self.scenario.rules
         request.priority_weight = (
             load.cls.priority_weight
             * (request.work * request.slots if rules.worth_by_work else 1.0)
-            * (1.0 if request.in_share else rules.over_share_worth)
+            * (1.0 if request.within_quota else rules.over_share_worth)
         )
         habits = self.spec
-        request.heeds = next(source.habits) < habits.honour
+        request.honours_advice = next(source.habits) < habits.honour
         request.retries = int(habits.retries) + (next(source.habits) < habits.retries % 1)
         if next(source.habits) < habits.impatient:
-            request.leaves = now + next(source.habits) * load.cls.deadline
+            request.leaves_at = now + next(source.habits) * load.cls.deadline
         self.open[request.number] = request
         world.tally.count_request(request)
         if self.count == world.explain:
             world.explained = request
-        if request.leaves < request.deadline:
-            world.loop.at(request.leaves, self.leave, request)
+        if request.leaves_at < request.deadline:
+            world.loop.at(request.leaves_at, self.leave, request)
         if self.library is not None:
             self.library.begin(request)
         else:
             self.send(request)
 
-    def meter(self, tenant: str) -> bool:
-        """Say whether a tenant is within its share: a bucket of one second over all dispatchers."""
-        (tokens, at), quota, now = self.tokens[tenant], self.quotas[tenant] / 1000, self.world.loop.now
+    def take_quota_token(self, tenant: str) -> bool:
+        """Return whether a tenant is within its quota: a token bucket of one second for all dispatchers."""
+        tokens, at = self.tokens[tenant]
+        quota = self.quotas[tenant] / 1000
+        now = self.world.loop.now
         tokens = min(max(1.0, quota * 1000), tokens + (now - at) * quota)
         self.tokens[tenant] = (tokens - 1 if tokens >= 1 else tokens, now)
         return tokens >= 1
 
     def delay(self) -> float:
-        """Draw the time of one way between a client and its dispatcher, ms."""
+        """Return a random one-way delay between a client and its dispatcher, ms."""
         mean = self.scenario.network.client_delay
-        return mean * next(self.hop) if mean > 0 else 0.0
+        return mean * next(self.delay_factors) if mean > 0 else 0.0
 
     def send(self, request: Request) -> None:
-        """Send the next try."""
+        """Send the request's next try after the network delay."""
         request.tries += 1
         tried = Try(self.world, request, request.tries)
         request.current = tried
@@ -172,16 +178,18 @@
             self.reach(tried)
 
     def reach(self, tried: Try) -> None:
-        """Reach the dispatcher, if one is there."""
-        request, dispatcher_host, world = tried.request, tried.request.dispatcher_host, self.world
+        """Deliver a try to its dispatcher, if one accepts jobs."""
+        request = tried.request
+        dispatcher_host = tried.request.dispatcher_host
+        world = self.world
         if request.ended is not None:
             return
         assert dispatcher_host is not None
         process = dispatcher_host.process
-        if process is not None and dispatcher_host.lives > 1 and not tried.joined:
-            # It was away: each client finds it again at a moment of its own.
-            tried.joined = True
-            back = dispatcher_host.since + self.spec.reconnect * next(self.joins)
+        if process is not None and dispatcher_host.process_count > 1 and not tried.rejoined:
+            # After a restart each client reconnects at a random time.
+            tried.rejoined = True
+            back = dispatcher_host.process_started_at + self.spec.reconnect * next(self.reconnect_delays)
             if back > world.loop.now:
                 world.loop.at(min(back, request.deadline), self.reach, tried)
                 return
@@ -192,12 +200,13 @@
         tried.process = process
         world.tally.tries += 1
         world.audit.taken(tried)
-        if not process.take(tried, max(0.0, request.deadline - world.loop.now)):
+        if not process.accept(tried, max(0.0, request.deadline - world.loop.now)):
             tried.answered(Rejected())
 
     def heard(self, tried: Try, answer: Answer) -> None:
-        """Hear the answer."""
-        request, now = tried.request, self.world.loop.now + self.delay()
+        """Handle the answer: close the request or schedule a retry."""
+        request = tried.request
+        now = self.world.loop.now + self.delay()
         if request.ended is not None:
             return
         if self.library is not None and not isinstance(answer, Served):
@@ -208,42 +217,42 @@
                 self.world.tally.useful(tried.served_by)
             self.close(request, "served" if in_time else "late", now)
         elif isinstance(answer, Rejected):
-            self.again(request, now, answer.retry_after, "refused")
+            self.retry(request, now, answer.retry_after, "refused")
         elif request.safe:
-            self.again(request, now, 0.0, "timed out" if answer.timed_out else "failed")
+            self.retry(request, now, 0.0, "timed out" if answer.timed_out else "failed")
         else:
             self.close(request, "timed out" if answer.timed_out else "failed", now)
 
     def unreachable(self, tried: Try, *, taken: bool) -> None:
-        """Find nobody, or lose the dispatcher; what it had taken may have run."""
+        """Handle a dispatcher that is absent or has ended; a try that it had accepted may have run."""
         request = tried.request
         if request.ended is not None:
             return
         if self.library is not None:
             self.library.lost(request, unsent=not taken)
         elif not taken or request.safe:
-            self.again(request, self.world.loop.now, 0.0, "unreachable")
+            self.retry(request, self.world.loop.now, 0.0, "unreachable")
         else:
             self.close(request, "lost", self.world.loop.now)
 
-    def again(self, request: Request, now: float, advice: float, why: str) -> None:
-        """Try again after a wait, where that is still worth it."""
+    def retry(self, request: Request, now: float, advice: float, ending: str) -> None:
+        """Schedule a retry after a backoff, or close the request if retries or time are used up."""
         spec = self.spec
         if request.tries > request.retries:
-            self.close(request, why, now)
+            self.close(request, ending, now)
             return
         wait = spec.backoff * (2 ** (request.tries - 1) if spec.backoff_doubles else 1)
         wait *= 0.5 + next(self.waits)
-        if request.heeds and advice > 0:
+        if request.honours_advice and advice > 0:
             wait = max(wait, min(advice, spec.longest_advice))
         if now + wait >= request.deadline:
-            self.close(request, why, now)
+            self.close(request, ending, now)
             return
         self.world.tally.retries += 1
         self.world.loop.at(now + wait, self.send, request)
 
     def leave(self, request: Request) -> None:
-        """Leave early."""
+        """Disconnect before the answer, and notify the dispatcher."""
         if request.ended is None:
             self.close(request, "left", self.world.loop.now)
             tried = request.current
@@ -254,7 +263,7 @@
                 tried.process.answered.append(tried.request_id)
 
     def close(self, request: Request, ending: str, at: float) -> None:
-        """End a request."""
+        """Close a request and count its ending."""
         request.ended = ending
         if self.library is not None:
             self.library.ended(request)
@@ -263,19 +272,21 @@
 
 
 class Library:
-    """The client library's decisions in place of plain habits: the very code that client processes run."""
+    """Clients that retry by the client library's policy; it runs the library's own code."""
 
     def __init__(self, clients: Clients) -> None:
-        self.clients, self.world = clients, clients.world
+        self.clients = clients
+        self.world = clients.world
         spec = clients.spec
         self.habits = Habits(max_tries=spec.max_tries)
-        # One budget for the clients of each dispatcher, as each client process has one.
+        # One budget for each dispatcher's clients, as each client process has one.
         self.budgets = [RetryBudget(spec.retry_share) for _ in clients.scenario.dispatchers.weights]
         self.calls: dict[int, Call] = {}
 
     def begin(self, request: Request) -> None:
-        """Start a request's call."""
-        cls, dispatcher_host = request.load.cls, request.dispatcher_host
+        """Start the library's call for a request."""
+        cls = request.load.cls
+        dispatcher_host = request.dispatcher_host
         assert dispatcher_host is not None
         call = self.calls[request.number] = Call(
             Rule(cls.name, cls.deadline, request.safe),
@@ -288,7 +299,7 @@
         self.follow(request, call.begin(self.world.loop.now))
 
     def answered(self, request: Request, answer: Answer, now: float) -> None:
-        """Take an answer that is no result."""
+        """Pass an answer other than success to the library."""
         if isinstance(answer, Rejected):
             advice = f"{answer.retry_after / 1000:.3f}" if answer.retry_after else None
             result = Reply(503, retry_after=advice)
@@ -297,16 +308,16 @@
         self.follow(request, self.calls[request.number].heard(now, result))
 
     def lost(self, request: Request, unsent: bool) -> None:
-        """Take a try of which no answer came."""
+        """Pass the loss of a try to the library."""
         self.follow(request, self.calls[request.number].heard(self.world.loop.now, Lost(unsent)))
 
     def woken(self, request: Request) -> None:
-        """Go on after a wait, unless the client has left."""
+        """Continue after a backoff, unless the client has left."""
         if request.ended is None:
             self.follow(request, self.calls[request.number].woken(self.world.loop.now))
 
     def follow(self, request: Request, action: Action) -> None:
-        """Do what the library says."""
+        """Carry out the library's next action."""
         if isinstance(action, Send):
             self.world.tally.retries += action.again
             self.clients.send(request)
@@ -316,12 +327,12 @@
             self.clients.close(request, action.ending.value, self.world.loop.now)
 
     def ended(self, request: Request) -> None:
-        """Forget a request's call."""
+        """Remove the library's call of a closed request."""
         self.calls.pop(request.number, None)
 
 
 class Arrivals:
-    """The requests of one source at one dispatcher: a Poisson process whose rate moves, by thinning."""
+    """The arrivals of one source at one dispatcher: a Poisson process of variable rate, by thinning."""
 
     def __init__(
         self,
@@ -333,14 +344,21 @@
         length: float | None = None,
         ramp: float = 0.0,
     ) -> None:
-        self.clients, self.dispatcher_host, self.rate, self.ramp = clients, dispatcher_host, rate, ramp
-        world, scenario = clients.world, clients.scenario
-        self.loop, self.load = world.loop, scenario.load
-        self.at, self.end = at, min(scenario.length, math.inf if length is None else at + length)
-        draws, words = world.draws, (dispatcher_host.name, name)
+        self.clients = clients
+        self.dispatcher_host = dispatcher_host
+        self.rate = rate
+        self.ramp = ramp
+        world = clients.world
+        scenario = clients.scenario
+        self.loop = world.loop
+        self.load = scenario.load
+        self.at = at
+        self.end = min(scenario.length, math.inf if length is None else at + length)
+        draws = world.draws
+        words = (dispatcher_host.name, name)
         self.gaps = draws.exponential("arrivals", *words)
-        self.keep = draws.uniform("arrivals", "kept", *words)
-        self.choose = Choice(clients.shares, draws.uniform("class", *words))
+        self.thinning = draws.uniform("arrivals", "kept", *words)
+        self.choose_class = Choice(clients.shares, draws.uniform("class", *words))
         self.works: list[Iterator[float]] = [
             draws.work(c.distribution, c.work, c.spread, "work", c.cls.name, *words) for c in scenario.classes
         ]
@@ -351,34 +369,37 @@
         self.tail = draws.uniform("tail", *words)
         self.habits = draws.uniform("habits", *words)
         self.tenant = Choice([t.share for t in scenario.tenants] or [1.0], draws.uniform("tenant", *words))
-        self.most = peak(self.load)
-        self.when = max(world.loop.now, at)
+        self.max_rate_factor = max_rate_factor(self.load)
+        self.next_at = max(world.loop.now, at)
 
-    def next(self) -> None:
-        """Plan the next arrival."""
-        mean = 1 / (self.rate * self.most) if self.rate > 0 else math.inf
+    def schedule_next(self) -> None:
+        """Schedule the next arrival, if there is one before the source's end."""
+        mean = 1 / (self.rate * self.max_rate_factor) if self.rate > 0 else math.inf
         while True:
-            self.when += next(self.gaps) * mean
-            if not self.when < self.end:
+            self.next_at += next(self.gaps) * mean
+            if not self.next_at < self.end:
                 return
-            if next(self.keep) * self.most < level(self.load, self.when) * self.risen():
-                self.loop.at(self.when, self.come)
+            if (
+                next(self.thinning) * self.max_rate_factor
+                < rate_factor(self.load, self.next_at) * self.ramp_fraction()
+            ):
+                self.loop.at(self.next_at, self.arrive)
                 return
 
-    def risen(self) -> float:
-        """Give the part of its height that a rush has reached."""
+    def ramp_fraction(self) -> float:
+        """Return the fraction of the full rate that the ramp has reached."""
         if self.ramp <= 0:
             return 1.0
-        return max(0.0, min(1.0, (self.when - self.at) / self.ramp, (self.end - self.when) / self.ramp))
+        return max(0.0, min(1.0, (self.next_at - self.at) / self.ramp, (self.end - self.next_at) / self.ramp))
 
-    def come(self) -> None:
-        """Arrive, and plan the next."""
+    def arrive(self) -> None:
+        """Create the request that is due, and schedule the next."""
         self.clients.arrive(self.dispatcher_host, self)
-        self.next()
+        self.schedule_next()
 
 
-def level(load: Traffic, at: float) -> float:
-    """Give the factor on the rate at a time: the shape, evenly between its points, and the swing."""
+def rate_factor(load: Traffic, at: float) -> float:
+    """Return the factor on the rate at a time: the shape, linearly interpolated, times the swing."""
     value = 1.0
     points = load.shape
     if points:
@@ -388,11 +409,12 @@
             value = points[-1][1]
         else:
             n = next(k for k, point in enumerate(points) if point[0] > at)
-            (a, x), (b, y) = points[n - 1], points[n]
+            a, x = points[n - 1]
+            b, y = points[n]
             value = x + (y - x) * (at - a) / (b - a)
     return value * (1 + load.swing * math.sin(2 * math.pi * at / load.swing_period))
 
 
-def peak(load: Traffic) -> float:
-    """Give the most that the factor can be."""
+def max_rate_factor(load: Traffic) -> float:
+    """Return an upper bound of ``rate_factor``."""
     return max((y for _, y in load.shape), default=1.0) * (1 + load.swing)
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -1,4 +1,4 @@
-"""Dispatchers in the emulated network: the real core and module on virtual time, with what surrounds them."""
+"""Simulated dispatchers: the real engine and decisions on virtual time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from elderstall.interface import Ending, Endpoint, ListScope
 from elderstall.log import Log
 from elderstall.messages import JobRequest
-from elderstall.simulation.attempt import SimulatedAttempt, UpstreamAudit, UpstreamSurroundings
+from elderstall.simulation.attempt import SimulatedAttempt, UpstreamAudit, UpstreamContext
 from elderstall.simulation.scenario import EPOCH
 from elderstall.simulation.upstream import SimulatedUpstream
 
@@ -18,11 +18,11 @@
     from elderstall.simulation.draws import Draws
     from elderstall.simulation.requests import Try
 
-KILLED_AFTER = 1_700.0  # ms after a planned restart has stopped taking jobs until it is killed
+RESTART_KILL_TIMEOUT_MS = 1_700.0  # from the end of the drain time of a planned restart
 
 
 class CountingLog(Log):
-    """A log that only counts by code; bugs and broken rules are kept, as they should never be."""
+    """A log that counts lines by code and keeps the text of bugs and rule violations."""
 
     def __init__(self) -> None:
         super().__init__(lambda: 0.0)
@@ -30,34 +30,34 @@
         self.kept: deque[str] = deque(maxlen=100)
 
     def write(self, code: str, text: str) -> None:
-        """Count a line."""
+        """Count a line by its code, and keep its text if it shows a bug."""
         self.codes[code] += 1
         if code in ("bug", "rule", "guard"):
             self.kept.append(f"{code} {text}")
 
 
 class DispatcherAudit(UpstreamAudit, Protocol):
-    """The auditor, as dispatchers and what carries their attempts report to it."""
+    """The auditor's methods that dispatchers and their transport call."""
 
     def notified(self, process: Process, scope: ListScope, entries: tuple[Endpoint, ...]) -> None:
-        """Note what a dispatcher was notified of."""
+        """Record a list update that a dispatcher received."""
 
     def ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
-        """Note how an attempt ended, as its dispatcher knows."""
+        """Record how an attempt ended, as its dispatcher knows."""
 
 
 class ListCalls(Protocol):
-    """The list, as dispatchers call it."""
+    """The endpoint list's methods that dispatchers call."""
 
     def follow(self, process: Process) -> None:
-        """Take a call."""
+        """Handle a list call."""
 
     def forget(self, process: Process) -> None:
-        """End the watch of a process that is gone."""
+        """End the watch of a process that has ended."""
 
 
-class DispatcherSurroundings(UpstreamSurroundings, Protocol):
-    """What a dispatcher host needs of the scenario that it is part of."""
+class DispatcherContext(UpstreamContext, Protocol):
+    """The parts of the simulation that a dispatcher host uses."""
 
     draws: Draws
     log: CountingLog
@@ -72,14 +72,16 @@
 
 
 class Process:
-    """One life of a dispatcher."""
+    """One dispatcher process, from its start to its end."""
 
     def __init__(self, dispatcher_host: DispatcherHost, seed: int) -> None:
-        self.dispatcher_host, self.world = dispatcher_host, dispatcher_host.world
+        self.dispatcher_host = dispatcher_host
+        self.world = dispatcher_host.world
         world = self.world
         self.deadlines = Deadlines(world.loop, world.loop.seconds, EPOCH + world.loop.now)
         self.deadlines.on_error = lambda error: world.log.failure("deadline", error)
-        self.alive, self.leaving = True, False
+        self.alive = True
+        self.leaving = False
         self.upstream = SimulatedUpstream(self)
         rules = world.scenario.rules
         self.engine = Engine(
@@ -92,19 +94,19 @@
             rules.max_open,
         )
         self.engine.endpoints.follow = lambda: world.listing.follow(self)
-        self.version = 0  # of the list as it was last notified of
+        self.version = 0  # of the endpoint list in the last update
         self.tries: dict[str, Try] = {}
-        self.answered: deque[str] = deque()  # whose attempts can be forgotten
+        self.answered: deque[str] = deque()  # ids of tries whose records can be removed
 
     def begin(self) -> None:
-        """Start with the list as this dispatcher last held it."""
-        self.version, entries = self.dispatcher_host.known
+        """Start with the endpoint list that this dispatcher last had."""
+        self.version, entries = self.dispatcher_host.last_list
         self.world.audit.notified(self, ListScope.WHOLE, entries)
         self.upstream.listed(entries, whole=True)
         self.engine.start(entries)
 
     def notified(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
-        """Take news of the list."""
+        """Handle an update of the endpoint list."""
         if not self.alive:
             return
         if scope not in (ListScope.FAILED, ListScope.SILENT):
@@ -113,15 +115,15 @@
             self.upstream.listed(entries, whole=scope is ListScope.WHOLE)
         self.engine.endpoints.take(scope, entries)
 
-    def take(self, tried: Try, budget: float) -> bool:
-        """Take a client's try on; says no where there is no room."""
+    def accept(self, tried: Try, budget: float) -> bool:
+        """Accept a client's try; return False if there are too many jobs."""
         while self.answered:
             request_id = self.answered.popleft()
             self.upstream.ended(request_id)
             self.tries.pop(request_id, None)
         request = tried.request
         load = request.load
-        ask = JobRequest(
+        job_request = JobRequest(
             tried.request_id,
             load.cls.name,
             budget,
@@ -134,25 +136,26 @@
         )
         self.tries[tried.request_id] = tried
         try:
-            tried.job = self.engine.accept(ask, tried)
+            tried.job = self.engine.accept(job_request, tried)
         except TooManyJobsError:
             self.tries.pop(tried.request_id, None)
             return False
         return True
 
     def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
-        """Report to the auditor what this process has learned of an attempt."""
+        """Report the ending of an attempt, as this process knows it, to the auditor."""
         if self.alive:
             self.world.audit.ended(attempt, ending)
 
     def die(self) -> None:
-        """End at once; nothing of it is heard any more, and its clients see their connections reset."""
+        """End at once: no more messages are sent or handled, and clients' connections are reset."""
         if not self.alive:
             return
         self.alive = False
         self.world.listing.forget(self)
         self.upstream.close()
-        heap, self.deadlines.heap = self.deadlines.heap, []
+        heap = self.deadlines.heap
+        self.deadlines.heap = []
         for _, _, deadline in heap:
             deadline.cancel()
         if self.deadlines.reactor_call is not None:
@@ -164,55 +167,57 @@
 
 
 class DispatcherHost:
-    """A dispatcher's place: its name and address, whoever serves there."""
+    """A dispatcher host: its name, and its present process if any."""
 
-    def __init__(self, world: DispatcherSurroundings, rank: int, weight: float) -> None:
-        self.world, self.rank, self.weight = world, rank, weight
+    def __init__(self, world: DispatcherContext, rank: int, weight: float) -> None:
+        self.world = world
+        self.rank = rank
+        self.weight = weight
         self.name = f"n{rank + 1}"
         self.process: Process | None = None
-        self.known: tuple[int, tuple[Endpoint, ...]] = (0, ())
-        self.lives = 0
-        self.since = 0.0  # when its present process began
+        self.last_list: tuple[int, tuple[Endpoint, ...]] = (0, ())
+        self.process_count = 0
+        self.process_started_at = 0.0
 
     def start(self) -> None:
-        """Start a process."""
-        self.lives += 1
-        self.since = self.world.loop.now
-        self.process = Process(self, self.world.draws.number("module", self.name, str(self.lives)))
+        """Start a new process with its own random seed."""
+        self.process_count += 1
+        self.process_started_at = self.world.loop.now
+        self.process = Process(self, self.world.draws.number("module", self.name, str(self.process_count)))
         self.process.begin()
 
     @property
     def open(self) -> bool:
-        """Whether clients find somebody who takes jobs."""
+        """Return whether a process runs there that accepts new jobs."""
         return self.process is not None and not self.process.leaving
 
-    def leave(self, back_in: float) -> None:
-        """Restart as planned: serve on for a while, then take nothing new, and end once all is answered."""
+    def leave(self, restart_delay: float) -> None:
+        """Restart as planned: accept jobs for the drain time, then end once all are answered."""
         process = self.process
         if process is not None:
             self.world.loop.after(
-                self.world.scenario.dispatchers.drain_for, self.stop_taking, process, back_in
+                self.world.scenario.dispatchers.drain_for, self.stop_taking, process, restart_delay
             )
 
-    def stop_taking(self, process: Process, back_in: float) -> None:
-        """Take nothing new."""
+    def stop_taking(self, process: Process, restart_delay: float) -> None:
+        """Stop accepting jobs; the process ends when idle, or is killed after a timeout."""
         if process.alive:
             process.leaving = True
 
-            def empty() -> None:
-                self.world.loop.after(0.0, self.kill, process, back_in)
+            def kill_when_idle() -> None:
+                self.world.loop.after(0.0, self.kill, process, restart_delay)
 
-            process.engine.answers.on_idle = empty
-            self.world.loop.after(KILLED_AFTER, self.kill, process, back_in)
+            process.engine.answers.on_idle = kill_when_idle
+            self.world.loop.after(RESTART_KILL_TIMEOUT_MS, self.kill, process, restart_delay)
             if not len(process.engine.jobs):
-                self.kill(process, back_in)
+                self.kill(process, restart_delay)
 
-    def kill(self, process: Process | None, back_in: float) -> None:
-        """End a process now, and start the next one a while later."""
+    def kill(self, process: Process | None, restart_delay: float) -> None:
+        """Kill a process now, and start the next one after ``restart_delay`` ms."""
         process = process or self.process
         if process is None or not process.alive:
             return
-        self.known = process.version, tuple(process.engine.view.entries.values())
+        self.last_list = process.version, tuple(process.engine.view.entries.values())
         self.process = None
         process.die()
-        self.world.loop.after(back_in, self.start)
+        self.world.loop.after(restart_delay, self.start)
--- a/elderstall/simulation/faults.py
+++ b/elderstall/simulation/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a scenario: the script's faults, carried out on worker hosts, list and load."""
+"""The faults of a scenario, applied to worker hosts, the endpoint list, load and dispatchers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.worker_host import WorkerHost
 
-RAMP_STEPS = 10  # a slow-down comes and goes in so many steps
+RAMP_STEPS = 10  # of a slowdown, at its begin and at its end
 
 
-class FaultSurroundings(Protocol):
-    """What faults strike, and what carries them out."""
+class FaultContext(Protocol):
+    """The parts of the simulation that faults change."""
 
     scenario: Scenario
     loop: VirtualTime
@@ -37,10 +37,11 @@
 
 
 class Faults:
-    """All of a scenario."""
+    """All faults of a scenario."""
 
-    def __init__(self, world: FaultSurroundings) -> None:
-        self.world, self.loop = world, world.loop
+    def __init__(self, world: FaultContext) -> None:
+        self.world = world
+        self.loop = world.loop
         self.acts: dict[str, Callable[[Fault, int], None]] = {
             "slow": self.slow,
             "pause": self.pause,
@@ -58,160 +59,177 @@
         }
 
     def begin(self) -> None:
-        """Plan all of them."""
-        for n, fault in enumerate(self.world.scenario.faults):
-            self.acts[fault.kind](fault, n)
+        """Schedule all faults."""
+        for number, fault in enumerate(self.world.scenario.faults):
+            self.acts[fault.kind](fault, number)
 
     # ---- whom it strikes ----
 
-    def struck(self, t: Fault, n: int) -> list[WorkerHost]:
-        """Choose the workers: by name, or a share drawn; without either all."""
+    def choose_workers(self, fault: Fault, number: int) -> list[WorkerHost]:
+        """Return the workers that a fault names, or a random fraction of them; without either, all."""
         worker_hosts = self.world.worker_hosts
-        if t.workers:
-            chosen = [name for word in t.workers for name in select(word, worker_hosts)]
+        if fault.workers:
+            chosen = [name for pattern in fault.workers for name in select(pattern, worker_hosts)]
         else:
-            chosen = self.drawn(list(worker_hosts), 1.0 if t.share is None else t.share, n)
+            chosen = self.draw_fraction(
+                list(worker_hosts), 1.0 if fault.share is None else fault.share, number
+            )
         chosen = list(dict.fromkeys(chosen))
-        self.world.struck.setdefault(n, []).extend(chosen)
+        self.world.struck.setdefault(number, []).extend(chosen)
         return [worker_hosts[name] for name in chosen]
 
-    def drawn(self, names: list[str], share: float, n: int) -> list[str]:
-        """Draw a share of them, one at least, in an order of its own; alike for the same seed."""
-        order = self.world.draws.generator("trouble", str(n)).permutation(len(names))
-        return [names[k] for k in order[: max(1, round(share * len(names)))]] if share > 0 else []
+    def draw_fraction(self, names: list[str], share: float, number: int) -> list[str]:
+        """Return a random fraction of the names, at least one; the same for each run with the same seed."""
+        order = self.world.draws.generator("trouble", str(number)).permutation(len(names))
+        return [names[index] for index in order[: max(1, round(share * len(names)))]] if share > 0 else []
 
-    def struck_dispatchers(self, t: Fault, n: int) -> list[DispatcherHost]:
-        """Choose the dispatchers."""
+    def choose_dispatchers(self, fault: Fault, number: int) -> list[DispatcherHost]:
+        """Return the dispatchers that a fault names, or a random fraction of them."""
         dispatcher_hosts = {
             dispatcher_host.name: dispatcher_host for dispatcher_host in self.world.dispatcher_hosts
         }
-        if t.dispatchers:
-            chosen = [name for word in t.dispatchers for name in select(word, dispatcher_hosts)]
+        if fault.dispatchers:
+            chosen = [name for pattern in fault.dispatchers for name in select(pattern, dispatcher_hosts)]
         else:
-            chosen = self.drawn(list(dispatcher_hosts), 1.0 if t.share is None else t.share, n)
-        self.world.struck.setdefault(n, []).extend(chosen)
+            chosen = self.draw_fraction(
+                list(dispatcher_hosts), 1.0 if fault.share is None else fault.share, number
+            )
+        self.world.struck.setdefault(number, []).extend(chosen)
         return [dispatcher_hosts[name] for name in chosen]
 
-    def each(
+    def schedule_each(
         self,
-        t: Fault,
-        n: int,
+        fault: Fault,
+        number: int,
         act: Callable[[WorkerHost], None],
         undo: Callable[[WorkerHost], None] | None = None,
     ) -> None:
-        """Strike one after the other, and let each go after the fault's length."""
-        for k, worker_host in enumerate(self.struck(t, n)):
-            at = t.at + k * t.apart
+        """Schedule a fault for each worker in turn, and its end after the fault's length."""
+        for index, worker_host in enumerate(self.choose_workers(fault, number)):
+            at = fault.at + index * fault.apart
             self.loop.at(at, act, worker_host)
             if undo is not None:
-                self.loop.at(at + t.length, undo, worker_host)
+                self.loop.at(at + fault.length, undo, worker_host)
 
     # ---- workers ----
 
-    def slow(self, t: Fault, n: int) -> None:
-        """Run slower; with a ramp in steps."""
-        steps = RAMP_STEPS if t.ramp > 0 else 1
-        factors = [1 + (t.factor - 1) * (k + 1) / steps for k in range(steps)]
+    def slow(self, fault: Fault, number: int) -> None:
+        """Slow workers down; a ramp is applied in RAMP_STEPS steps."""
+        steps = RAMP_STEPS if fault.ramp > 0 else 1
+        factors = [1 + (fault.factor - 1) * (index + 1) / steps for index in range(steps)]
         changes: list[tuple[float, float | None, float | None]] = []
-        for k, factor in enumerate(factors):
-            before = factors[k - 1] if k else None
-            changes.append((t.at + t.ramp * k / steps, before, factor))
-            changes.append((t.ends - t.ramp * k / steps, factor, before))
-        for worker_host in self.struck(t, n):
+        for index, factor in enumerate(factors):
+            before = factors[index - 1] if index else None
+            changes.append((fault.at + fault.ramp * index / steps, before, factor))
+            changes.append((fault.ends - fault.ramp * index / steps, factor, before))
+        for worker_host in self.choose_workers(fault, number):
             for at, old, new in changes:
-                self.loop.at(at, worker_host.slow_by, old, new)
-
-    def pause(self, t: Fault, n: int) -> None:
-        """Stand still."""
-        self.each(t, n, lambda m: m.pause(True), lambda m: m.pause(False))
-
-    def fail(self, t: Fault, n: int) -> None:
-        """Fail a share of the jobs."""
-        entry = (t.chance, t.after)
-        self.each(t, n, lambda m: m.failing.append(entry), lambda m: m.failing.remove(entry))
-
-    def reset(self, t: Fault, n: int) -> None:
-        """Reset a share of the connections as a job is written to them."""
-        self.each(t, n, lambda m: m.resetting.append(t.chance), lambda m: m.resetting.remove(t.chance))
-
-    def vanish(self, t: Fault, n: int) -> None:
-        """Say nothing more, and lose all; come back as a new process."""
+                self.loop.at(at, worker_host.change_slowdown, old, new)
+
+    def pause(self, fault: Fault, number: int) -> None:
+        """Pause workers."""
+        self.schedule_each(fault, number, lambda host: host.pause(True), lambda host: host.pause(False))
+
+    def fail(self, fault: Fault, number: int) -> None:
+        """Fail jobs with the fault's chance."""
+        entry = (fault.chance, fault.after)
+        self.schedule_each(
+            fault, number, lambda host: host.failing.append(entry), lambda host: host.failing.remove(entry)
+        )
+
+    def reset(self, fault: Fault, number: int) -> None:
+        """Reset connections with the fault's chance as a job is written."""
+        self.schedule_each(
+            fault,
+            number,
+            lambda host: host.resetting.append(fault.chance),
+            lambda host: host.resetting.remove(fault.chance),
+        )
+
+    def vanish(self, fault: Fault, number: int) -> None:
+        """Crash workers without any message to others; a new process starts at the end."""
         notice = self.world.scenario.listing.silent_notice
 
-        def go(m: WorkerHost) -> None:
-            m.silent += 1
-            m.die()
-            self.world.listing.changed(m, notice)
+        def strike(worker_host: WorkerHost) -> None:
+            worker_host.silent_faults += 1
+            worker_host.die()
+            self.world.listing.changed(worker_host, notice)
 
-        def back(m: WorkerHost) -> None:
-            m.silent -= 1
-            if not m.silent and not m.model.up:
-                m.start()
+        def recover(worker_host: WorkerHost) -> None:
+            worker_host.silent_faults -= 1
+            if not worker_host.silent_faults and not worker_host.model.up:
+                worker_host.start()
 
-        self.each(t, n, go, back)
+        self.schedule_each(fault, number, strike, recover)
 
-    def restart(self, t: Fault, n: int) -> None:
-        """Lose the process, and start it anew, cold."""
+    def restart(self, fault: Fault, number: int) -> None:
+        """Crash worker processes, and start cold ones at the end."""
 
-        def go(m: WorkerHost) -> None:
-            m.die()
-            self.world.listing.changed(m, self.world.scenario.listing.notice)
+        def strike(worker_host: WorkerHost) -> None:
+            worker_host.die()
+            self.world.listing.changed(worker_host, self.world.scenario.listing.notice)
 
-        self.each(t, n, go, lambda m: self.back(m, t))
+        self.schedule_each(fault, number, strike, lambda host: self.restart_if_down(host, fault))
 
-    def back(self, m: WorkerHost, t: Fault) -> None:
-        """Start a worker host's process anew, unless something else has already."""
-        if not m.model.up and not m.silent:
-            m.start(t.cold_share)
+    def restart_if_down(self, worker_host: WorkerHost, fault: Fault) -> None:
+        """Start a worker host's process, unless it runs or the host is silent."""
+        if not worker_host.model.up and not worker_host.silent_faults:
+            worker_host.start(fault.cold_share)
 
-    def drain(self, t: Fault, n: int) -> None:
-        """Drain, end once nothing is left or the time is up, and come back as a new process."""
+    def drain(self, fault: Fault, number: int) -> None:
+        """Drain workers, and replace each with a new process after the fault's length."""
 
-        def back(m: WorkerHost) -> None:
-            if m.model.draining:
-                m.die()
-                m.start(t.cold_share)
+        def recover(worker_host: WorkerHost) -> None:
+            if worker_host.model.draining:
+                worker_host.die()
+                worker_host.start(fault.cold_share)
 
-        self.each(t, n, lambda m: m.drain(), back)
+        self.schedule_each(fault, number, lambda host: host.drain(), recover)
 
-    def cold(self, t: Fault, n: int) -> None:
-        """Come into service only then, cold."""
-        for k, worker_host in enumerate(self.struck(t, n)):
+    def cold(self, fault: Fault, number: int) -> None:
+        """Keep workers out of service until the fault begins, then start them cold."""
+        for index, worker_host in enumerate(self.choose_workers(fault, number)):
             self.world.absent.add(worker_host.name)
-            self.loop.at(t.at + k * t.apart, self.back, worker_host, t)
+            self.loop.at(fault.at + index * fault.apart, self.restart_if_down, worker_host, fault)
 
-    def cut_off(self, t: Fault, n: int) -> None:
-        """Cut the paths between workers and dispatchers: nothing said there arrives."""
-        worker_hosts = self.struck(t, n)
+    def cut_off(self, fault: Fault, number: int) -> None:
+        """Drop all messages between the workers and the dispatchers."""
+        worker_hosts = self.choose_workers(fault, number)
         ranks = [
-            s.rank for s in (self.struck_dispatchers(t, n) if t.dispatchers else self.world.dispatcher_hosts)
+            host.rank
+            for host in (
+                self.choose_dispatchers(fault, number) if fault.dispatchers else self.world.dispatcher_hosts
+            )
         ]
         pairs = [(rank, worker_host.name) for worker_host in worker_hosts for rank in ranks]
-        self.loop.at(t.at, self.world.cut.update, pairs)
-        self.loop.at(t.ends, self.world.cut.subtract, pairs)
+        self.loop.at(fault.at, self.world.cut.update, pairs)
+        self.loop.at(fault.ends, self.world.cut.subtract, pairs)
 
     # ---- load, list, dispatchers ----
 
-    def burst(self, t: Fault, n: int) -> None:
-        """Have more requests come."""
-        self.world.clients.rush(self.world.dispatcher_hosts, t.factor, t.ramp, t.at, t.length, f"burst {n}")
-
-    def heavy_tail(self, t: Fault, n: int) -> None:
-        """Have a share of one class cost more."""
-        tails, entry = self.world.clients.tails[t.job_class], (t.chance, t.factor)
-        self.loop.at(t.at, tails.append, entry)
-        self.loop.at(t.ends, tails.remove, entry)
-
-    def list_down(self, t: Fault, n: int) -> None:
-        """Take the list out of reach."""
-        self.loop.at(t.at, self.world.listing.down, True)
-        self.loop.at(t.ends, self.world.listing.down, False)
-
-    def dispatcher_restart(self, t: Fault, n: int) -> None:
-        """Restart dispatchers, as planned or by killing them."""
-        for k, dispatcher_host in enumerate(self.struck_dispatchers(t, n)):
-            at = t.at + k * t.apart
-            if t.planned:
-                self.loop.at(at, dispatcher_host.leave, t.length)
+    def burst(self, fault: Fault, number: int) -> None:
+        """Add arrivals at all dispatchers."""
+        self.world.clients.add_arrivals(
+            self.world.dispatcher_hosts, fault.factor, fault.ramp, fault.at, fault.length, f"burst {number}"
+        )
+
+    def heavy_tail(self, fault: Fault, number: int) -> None:
+        """Multiply the work of one class's jobs by a factor, with the fault's chance."""
+        tails = self.world.clients.tails[fault.job_class]
+        entry = (fault.chance, fault.factor)
+        self.loop.at(fault.at, tails.append, entry)
+        self.loop.at(fault.ends, tails.remove, entry)
+
+    def list_down(self, fault: Fault, number: int) -> None:
+        """Make the endpoint list unavailable."""
+        self.loop.at(fault.at, self.world.listing.down, True)
+        self.loop.at(fault.ends, self.world.listing.down, False)
+
+    def dispatcher_restart(self, fault: Fault, number: int) -> None:
+        """Restart dispatchers, with a drain (``planned``) or by killing them."""
+        for index, dispatcher_host in enumerate(self.choose_dispatchers(fault, number)):
+            at = fault.at + index * fault.apart
+            if fault.planned:
+                self.loop.at(at, dispatcher_host.leave, fault.length)
             else:
-                self.loop.at(at, dispatcher_host.kill, None, t.length)
+                self.loop.at(at, dispatcher_host.kill, None, fault.length)
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -84,7 +84,7 @@
         at.priority_weight.requested += request.priority_weight
         at.classes.setdefault(name, PriorityWeight()).requested += request.priority_weight
         self.classes[name].requested += request.priority_weight
-        if request.tenant is not None and request.in_share:
+        if request.tenant is not None and request.within_quota:
             self.tenants[request.tenant].requested += request.priority_weight
 
     def ended(self, request: Request, at: float) -> None:
@@ -104,7 +104,7 @@
             here.priority_weight.earned += request.priority_weight
             here.classes[name].earned += request.priority_weight
             self.classes[name].earned += request.priority_weight
-            if request.tenant is not None and request.in_share:
+            if request.tenant is not None and request.within_quota:
                 self.tenants[request.tenant].earned += request.priority_weight
 
     def core_time(self, task: Task) -> None:
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -53,7 +53,7 @@
 
     def learn(self, m: WorkerHost) -> None:
         """Look at a worker host, and publish what is new."""
-        state = WorkerState.GONE if m.silent else m.state()
+        state = WorkerState.GONE if m.silent_faults else m.state()
         old = self.entries.get(m.name)
         if old is None and state is WorkerState.GONE:
             return
--- a/elderstall/simulation/loop.py
+++ b/elderstall/simulation/loop.py
@@ -1,7 +1,7 @@
-"""Virtual time: one deterministic loop that offers Twisted's IReactorTime.
+"""Virtual time: a deterministic event loop that implements Twisted's IReactorTime.
 
-The real ``Deadlines``, and with them the real core and module, run on it unchanged, many at once. Calls of
-one moment are made in the order they were asked for. Nothing here reads a clock.
+The real ``Deadlines``, engine and decisions of many dispatchers run on it unchanged. Calls due at the same
+time are made in the order in which they were scheduled. No real clock is read.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from twisted.internet.interfaces import IDelayedCall, IReactorTime
 from zope.interface import implementer
 
-COMPACT_AT = 4_096  # entries from which a heap of mostly cancelled ones is cleared
+MIN_HEAP_SIZE_TO_COMPACT = 4_096  # in entries; a heap of mostly cancelled calls is compacted above it
 
 
 @implementer(IDelayedCall)
 class Call:
-    """One call to come; see ``twisted.internet.interfaces.IDelayedCall``. Times are ms inside, s outside."""
+    """One scheduled call; implements ``IDelayedCall``, with ms internally and seconds in that interface."""
 
-    __slots__ = ("args", "called", "function", "kw", "loop", "serial", "when")
+    __slots__ = ("args", "called", "function", "keyword_args", "loop", "serial", "when")
 
     def __init__(
         self,
@@ -29,32 +29,38 @@
         when: float,
         function: Callable[..., object],
         args: tuple[Any, ...],
-        kw: dict[str, Any] | None,
+        keyword_args: dict[str, Any] | None,
     ) -> None:
-        self.loop, self.when = loop, when
+        self.loop = loop
+        self.when = when
         self.function: Callable[..., object] | None = function
-        self.args, self.kw, self.called, self.serial = args, kw, False, 0
+        self.args = args
+        self.keyword_args = keyword_args
+        self.called = False
+        self.serial = 0
 
     def cancel(self) -> None:
-        """Forget the call. Raises what a reactor's would: AlreadyCalled or AlreadyCancelled."""
+        """Cancel the call; raise AlreadyCalled or AlreadyCancelled as a reactor's call does."""
         if self.called:
             raise AlreadyCalled
         if self.function is None:
             raise AlreadyCancelled
-        self.function, self.args, self.kw = None, (), None
-        self.loop.live -= 1
+        self.function = None
+        self.args = ()
+        self.keyword_args = None
+        self.loop.active_count -= 1
 
     def stop(self) -> None:
-        """Forget the call if it is still to come."""
+        """Cancel the call if it is pending."""
         if self.function is not None and not self.called:
             self.cancel()
 
     def reset(self, seconds_from_now: float) -> None:
-        """Put it off, or bring it forward, to so many seconds from now."""
+        """Reschedule the call to a number of seconds from now."""
         self._move(self.loop.now + seconds_from_now * 1000)
 
     def delay(self, seconds_later: float) -> None:
-        """Put it off by so many seconds."""
+        """Delay the call by a number of seconds."""
         self._move(self.when + seconds_later * 1000)
 
     def _move(self, when: float) -> None:
@@ -66,11 +72,11 @@
         self.loop.push(self)
 
     def getTime(self) -> float:  # noqa: N802
-        """Give when it is due, seconds."""
+        """Return when the call is due, seconds."""
         return self.when / 1000
 
     def active(self) -> bool:
-        """Say whether it is still to come."""
+        """Return whether the call is pending."""
         return self.function is not None and not self.called
 
 
@@ -81,56 +87,62 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.heap: list[tuple[float, int, Call]] = []
-        self.count = self.live = self.made = 0
+        self.last_serial = self.active_count = self.calls_made = 0
 
     # ---- IReactorTime ----
 
     def seconds(self) -> float:
-        """Read the virtual clock, seconds."""
+        """Return the virtual time, seconds."""
         return self.now / 1000
 
     def callLater(  # noqa: N802
         self, delay: float, function: Callable[..., object], *args: Any, **kw: Any
     ) -> Call:
-        """Call after so many seconds. Raises ValueError where they are below zero."""
+        """Schedule a call after a number of seconds; raise ValueError if it is negative."""
         if not delay >= 0:
             raise ValueError(f"{delay!r} seconds from now is in the past")
         return self._add(self.now + delay * 1000, function, args, kw or None)
 
     def getDelayedCalls(self) -> Sequence[Call]:  # noqa: N802
-        """Give the calls that are still to come, in no order."""
+        """Return the pending calls, in no particular order."""
         return [call for _, serial, call in self.heap if call.serial == serial and call.function is not None]
 
-    # ---- the world's own, in milliseconds ----
+    # ---- scheduling in milliseconds, for the simulation ----
 
     def after(self, delay: float, function: Callable[..., object], *args: Any) -> Call:
-        """Call after so many milliseconds; below zero counts as now."""
+        """Schedule a call after a number of milliseconds; a negative number counts as 0."""
         return self._add(self.now + max(0.0, delay), function, args, None)
 
     def at(self, when: float, function: Callable[..., object], *args: Any) -> Call:
-        """Call at a reading of ``now``; one that has passed counts as now."""
+        """Schedule a call at a time on the clock ``now``; a time in the past counts as the present."""
         return self._add(max(self.now, when), function, args, None)
 
     def _add(
-        self, when: float, function: Callable[..., object], args: tuple[Any, ...], kw: dict[str, Any] | None
+        self,
+        when: float,
+        function: Callable[..., object],
+        args: tuple[Any, ...],
+        keyword_args: dict[str, Any] | None,
     ) -> Call:
-        call = Call(self, when, function, args, kw)
-        self.live += 1
+        call = Call(self, when, function, args, keyword_args)
+        self.active_count += 1
         self.push(call)
         return call
 
     def push(self, call: Call) -> None:
-        """File a call under the time it has now; an earlier entry of it is void."""
-        self.count += 1
-        call.serial = self.count
-        heapq.heappush(self.heap, (call.when, self.count, call))
-        if len(self.heap) > COMPACT_AT and len(self.heap) > 4 * self.live:
-            # Guards memory: deadlines are set and cancelled with every job.
-            self.heap = [e for e in self.heap if e[2].function is not None and e[2].serial == e[1]]
+        """Add a call to the heap under its present time; an earlier entry of it becomes void."""
+        self.last_serial += 1
+        call.serial = self.last_serial
+        heapq.heappush(self.heap, (call.when, self.last_serial, call))
+        if len(self.heap) > MIN_HEAP_SIZE_TO_COMPACT and len(self.heap) > 4 * self.active_count:
+            # Bounds the memory: deadlines are set and cancelled with every job.
+            self.heap = [
+                entry for entry in self.heap if entry[2].function is not None and entry[2].serial == entry[1]
+            ]
             heapq.heapify(self.heap)
 
     def run(self, until: float) -> None:
-        """Make the calls that are due up to a reading of ``now``, and leave the clock there."""
+        """Make the calls that are due up to a time, and set the clock to it."""
         pop = heapq.heappop
         while self.heap and self.heap[0][0] <= until:
             when, serial, call = pop(self.heap)
@@ -139,10 +151,10 @@
                 continue
             self.now = max(self.now, when)
             call.called = True
-            self.live -= 1
-            self.made += 1
-            if call.kw is None:
+            self.active_count -= 1
+            self.calls_made += 1
+            if call.keyword_args is None:
                 function(*call.args)
             else:
-                function(*call.args, **call.kw)
+                function(*call.args, **call.keyword_args)
         self.now = max(self.now, until)
--- a/elderstall/simulation/requests.py
+++ b/elderstall/simulation/requests.py
@@ -1,4 +1,4 @@
-"""A client's request and its tries: what dispatchers, workers and the auditor know of them."""
+"""A client's request and its tries, with the interfaces of dispatchers and auditor that they use."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ServingProcess(Protocol):
-    """A dispatcher's process, as clients see it."""
+    """A dispatcher process, as clients use it."""
 
     alive: bool
     leaving: bool
@@ -24,54 +24,54 @@
 
     @property
     def dispatcher_host(self) -> ServingHost:
-        """Where it runs."""
+        """Return the host that it runs on."""
 
-    def take(self, tried: Try, budget: float) -> bool:
-        """Take a client's try on; says no where there is no room."""
+    def accept(self, tried: Try, budget: float) -> bool:
+        """Accept a client's try; return False if there are too many jobs."""
 
 
 class ServingHost(Protocol):
-    """A dispatcher's host, as clients see it."""
+    """A dispatcher host, as clients use it."""
 
     name: str
     rank: int
     weight: float
-    lives: int
-    since: float
+    process_count: int
+    process_started_at: float
 
     @property
     def process(self) -> ServingProcess | None:
-        """Give the process that serves there, if any."""
+        """Return the process that runs there, if any."""
 
 
 class ServedAttempt(Protocol):
-    """The attempt that served a request."""
+    """The attempt that served a request, as the tally uses it."""
 
     task: Task | None
 
 
 class TryAudit(Protocol):
-    """The auditor, as a try reports to it."""
+    """The auditor's methods that a try calls."""
 
     def answered(self, tried: Try, answer: Answer) -> None:
-        """Check a final answer."""
+        """Check a final answer against the rules."""
 
     def dropped(self, tried: Try) -> None:
-        """Note that a dispatcher died with a try in it."""
+        """Record that a dispatcher ended before it answered a try."""
 
 
 class TryOwner(Protocol):
-    """The client whose try it is."""
+    """The clients' methods that a try calls."""
 
     def heard(self, tried: Try, answer: Answer) -> None:
-        """Hear the answer."""
+        """Handle the answer: close the request or schedule a retry."""
 
     def unreachable(self, tried: Try, *, taken: bool) -> None:
-        """Find nobody, or lose the dispatcher."""
+        """Handle a dispatcher that is absent, or that ended with the try (``taken``)."""
 
 
-class TrySurroundings(Protocol):
-    """What a try needs of the scenario that it is part of."""
+class TryContext(Protocol):
+    """The parts of the simulation that a try uses."""
 
     loop: VirtualTime
 
@@ -85,7 +85,7 @@
 
 
 class Request:
-    """What a client wants, whatever the number of its tries."""
+    """One request of a client, over all its tries."""
 
     __slots__ = (
         "arrived_at",
@@ -93,11 +93,10 @@
         "deadline",
         "dispatcher_host",
         "ended",
-        "heeds",
         "hint",
         "history",
-        "in_share",
-        "leaves",
+        "honours_advice",
+        "leaves_at",
         "load",
         "number",
         "priority_weight",
@@ -107,49 +106,52 @@
         "slots",
         "tenant",
         "tries",
+        "within_quota",
         "work",
     )
 
     def __init__(self, number: int, load: ClassLoad, arrived_at: float) -> None:
-        self.number, self.load, self.arrived_at = number, load, arrived_at
+        self.number = number
+        self.load = load
+        self.arrived_at = arrived_at
         self.deadline = arrived_at + load.cls.deadline
         self.tenant: str | None = None
         self.work = self.priority_weight = 0.0
         self.hint: float | None = None
         self.slots = 1
-        self.in_share = self.heeds = True
+        self.within_quota = self.honours_advice = True
         self.dispatcher_host: ServingHost | None = None
         self.tries = self.runs = 0
         self.retries = 0
-        self.leaves = math.inf
-        self.saved = 0.0  # share of its work that was saved by workers that were lost
-        self.ended: str | None = None  # how, once it has
+        self.leaves_at = math.inf
+        self.saved = 0.0  # fraction of its work that lost attempts have saved
+        self.ended: str | None = None  # its ending, None while open
         self.current: Try | None = None
         self.history: list[tuple[float, str]] = []
 
     @property
     def safe(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Return whether the request is idempotent, so that it may be repeated."""
         return self.load.cls.effect is Effect.IDEMPOTENT
 
     @property
     def latency_objective_at(self) -> float:
-        """The latency objective as a time: a reading of the scenario's clock."""
+        """Return the time on the simulation's clock at which the latency objective ends."""
         cls = self.load.cls
         return self.arrived_at + min(cls.latency_objective + cls.stretch * self.work, cls.deadline)
 
 
 class Try:
-    """One try of a request at a dispatcher: the core's client."""
+    """One try of a request at a dispatcher; implements ``messages.Client`` for the engine."""
 
     __slots__ = (
         "attempts",
         "deadline",
         "job",
-        "joined",
         "number",
         "over",
         "process",
+        "rejoined",
         "request",
         "request_id",
         "sent",
@@ -157,18 +159,21 @@
         "world",
     )
 
-    def __init__(self, world: TrySurroundings, request: Request, number: int) -> None:
-        self.world, self.request, self.number = world, request, number
+    def __init__(self, world: TryContext, request: Request, number: int) -> None:
+        self.world = world
+        self.request = request
+        self.number = number
         self.request_id = f"{request.number}.{number}"
         self.process: ServingProcess | None = None
-        self.sent, self.deadline = world.loop.now, request.deadline
+        self.sent = world.loop.now
+        self.deadline = request.deadline
         self.job = 0
         self.attempts = 0
-        self.over = self.joined = False
+        self.over = self.rejoined = False
         self.served_by: ServedAttempt | None = None
 
     def answered(self, answer: Answer) -> None:
-        """Take the one final answer; see ``messages.Client``."""
+        """Handle the final answer; see ``messages.Client``."""
         self.world.audit.answered(self, answer)
         if self.process is not None:
             self.process.answered.append(self.request_id)
@@ -177,14 +182,14 @@
             self.world.clients.heard(self, answer)
 
     def progressed(self, share: float, text: str) -> None:
-        """Take news of a running attempt; see ``messages.Client``."""
+        """Ignore the progress of an attempt; see ``messages.Client``."""
 
     def is_connected(self) -> bool:
-        """Say whether it waits; leaving is noticed at once here. See ``messages.Client``."""
+        """Return whether the client still waits; see ``messages.Client``."""
         return not self.over
 
     def lost(self) -> None:
-        """See the connection reset: the dispatcher is gone."""
+        """Handle the connection's reset when the dispatcher has ended."""
         if not self.over:
             self.over = True
             self.world.audit.dropped(self)
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -49,11 +49,11 @@
         if not attempt.job.safe:
             self.unsafe.add(attempt.request_id)
 
-    def informed(self, process: object, worker_host: object) -> bool:
+    def is_informed(self, process: object, worker_host: object) -> bool:
         """Who knew of a start is not known here."""
         return True
 
-    def fell(self, worker_host: WorkerHost) -> None:
+    def cold_worker_overloaded(self, worker_host: WorkerHost) -> None:
         """Note a worker that was pushed over."""
         self.fallen.append(worker_host.name)
 
@@ -91,12 +91,12 @@
         """Lose the process."""
         super().die()
         self.attempts.clear()
-        if not self.silent:
+        if not self.silent_faults:
             self.hush()
 
-    def fell(self) -> None:
+    def crash_on_overload(self) -> None:
         """Stay down after a fall."""
-        super().fell()
+        super().crash_on_overload()
         self.hush()
 
     def start(self, cold_share: float | None = None) -> None:
@@ -188,7 +188,7 @@
 
     def reaches(self, caller: Caller, worker_host: WorkerHost) -> bool:
         """Say whether anything said between a dispatcher and a worker host arrives."""
-        return not worker_host.silent and self.cut[caller.rank, worker_host.name] <= 0
+        return not worker_host.silent_faults and self.cut[caller.rank, worker_host.name] <= 0
 
     def count(self) -> int:
         """Give a new connection its number."""
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -108,7 +108,7 @@
             report = (("X-Load-Report", json.dumps(load)),) if load else ()
             self.link.answer(503, (("X-Rejected", "1"), *report))
 
-    def broke(self) -> None:
+    def link_lost(self) -> None:
         """Reset its connection."""
         self.link.transport.abortConnection()
 
@@ -145,7 +145,7 @@
         self.body: list[bytes] = []
         self.message: http.Message | None = None
         self.number = 0
-        self.open, self.deaf, self.busy = True, False, False
+        self.open, self.unreachable, self.busy = True, False, False
         self.ready_at = 0.0  # when its handshake is done
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -157,11 +157,13 @@
             return
         worker_host.links.add(self)  # type: ignore[arg-type]
         worker_host.model.connections = len(worker_host.links)
-        worker_host.poke(worker_host.model.charge(self.stage.loop.now, worker_host.kind.connection_work))
+        worker_host.process_events(
+            worker_host.model.charge(self.stage.loop.now, worker_host.kind.connection_work)
+        )
         self.ready_at = self.stage.loop.now + worker_host.model.backlog()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
-        if self.worker_host.silent or self.deaf:
+        if self.worker_host.silent_faults or self.unreachable:
             return
         self.parser.feed(data)
         try:
@@ -202,7 +204,7 @@
 
     def answer(self, status: int, headers: tuple[tuple[str, str], ...] = (), close: bool = False) -> None:
         """Write an answer and go on to the next request."""
-        if not self.open or self.worker_host.silent:
+        if not self.open or self.worker_host.silent_faults:
             return
         self.busy = False
         self.transport.write(http.response(status, b"", headers, close))
@@ -269,7 +271,7 @@
         attempt.worker_host.attempts.pop(attempt.request_id, None)  # type: ignore[attr-defined]
         self.queue(call)
 
-    def noted(self, attempt: SocketAttempt, share: float, started: bool = False) -> None:
+    def progress_reported(self, attempt: SocketAttempt, share: float, started: bool = False) -> None:
         """Report a start, or progress."""
         state = {"state": "started"} if started else {"state": "running", "share": round(share, 4)}
         self.queue({"id": attempt.request_id, "from": attempt.worker_host.name, **state})
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -1,7 +1,7 @@
-"""The carrier in memory: takes attempts to worker hosts over emulated connections, and reports how they end.
+"""The simulated transport: sends attempts to worker hosts and reports how they end.
 
-It stands where ``net/upstream/`` stands in a dispatcher and follows its rules on connections: the newest
-free one is used, and one that has been free for long is closed.
+It replaces ``net/upstream/`` in a simulated dispatcher and follows its rules on connections: the newest
+idle one is used, and one that has been idle for too long is closed.
 """
 
 from __future__ import annotations
@@ -23,43 +23,46 @@
 
 
 class Pool:
-    """The free connections to one worker host."""
+    """The idle connections to one worker host."""
 
     def __init__(self, worker_host: TargetHost, started: float | None) -> None:
-        self.worker_host, self.started = worker_host, started
+        self.worker_host = worker_host
+        self.started = started
         self.idle: list[Link] = []  # the newest last
         self.timer: Call | None = None
 
 
 class SimulatedUpstream:
-    """The carrier of one dispatcher process; see ``messages.Carrier``."""
+    """The transport of one dispatcher process; implements ``messages.AttemptTransport``."""
 
     def __init__(self, process: UpstreamOwner) -> None:
-        self.process, self.world = process, process.world
-        self.loop, self.network = process.world.loop, process.world.scenario.network
-        self.keep = self.network.idle_close * IDLE_PART
+        self.process = process
+        self.world = process.world
+        self.loop = process.world.loop
+        self.network = process.world.scenario.network
+        self.idle_timeout_ms = self.network.idle_close * IDLE_PART
         self.pools: dict[str, Pool] = {}
-        self.attempts: dict[str, SimulatedAttempt] = {}  # the newest of each id
+        self.attempts: dict[str, SimulatedAttempt] = {}  # the newest of each request id
         self.count = self.opening = 0
 
-    # ---- messages.Carrier ----
+    # ---- messages.AttemptTransport ----
 
     def send(
         self,
         worker: str,
-        ask: JobRequest,
+        job_request: JobRequest,
         ends: float,
         note: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
-        """Start an attempt; here connections are up at once, and none is forbidden meanwhile."""
+        """Start an attempt; ``forbidden_by`` is not called here."""
         pool = self.pools.get(worker)
-        tried: Try = ask.original  # type: ignore[assignment]
+        tried: Try = job_request.original  # type: ignore[assignment]
         worker_host = self.world.worker_hosts[worker]
         left = ends - self.process.deadlines.now()
-        attempt = SimulatedAttempt(self, worker_host, ask, tried.attempts, self.loop.now + left, note)
+        attempt = SimulatedAttempt(self, worker_host, job_request, tried.attempts, self.loop.now + left, note)
         tried.attempts += 1
-        self.attempts[ask.request_id] = attempt
+        self.attempts[job_request.request_id] = attempt
         self.world.audit.sent(attempt)
         if pool is None:
             attempt.finish(Outcome(Ending.UNREACHABLE))
@@ -68,18 +71,18 @@
         return attempt.done
 
     def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
-        """Cancel an attempt at its worker."""
+        """Cancel an attempt at its worker; the result is whether the worker confirmed it."""
         done: Deferred[bool] = Deferred()
         attempt = self.attempts.get(request_id)
         if attempt is None or attempt.worker_host.name != worker:
             done.callback(False)
             return done
-        self.world.audit.given_up(attempt)
+        self.world.audit.abandoned(attempt)
         self.loop.after(attempt.worker_host.delay(), self.deliver_cancellation, attempt, done)
         return done
 
     def deliver_cancellation(self, attempt: SimulatedAttempt, done: Deferred[bool]) -> None:
-        """Have a worker host hear that an attempt is given up; one out of reach is waited for a while."""
+        """Deliver a cancellation, or report False after a timeout if the worker is unreachable or paused."""
         worker_host = attempt.worker_host
         if self.world.reaches(self, worker_host) and not worker_host.model.paused:
             worker_host.cancel(attempt)
@@ -88,29 +91,37 @@
             self.loop.after(CANCEL_TIMEOUT_MS, done.callback, False)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
-        """Ask a worker how it stands; its answer takes two trips, and a new connection's more."""
+        """Poll a worker for its load report; a new connection adds the handshake's round trips."""
         done: Deferred[Outcome] = Deferred()
-        worker_host, pool = self.world.worker_hosts[worker], self.pools.get(worker)
+        worker_host = self.world.worker_hosts[worker]
+        pool = self.pools.get(worker)
         if pool is None:
             done.callback(Outcome(Ending.UNREACHABLE))
             return done
-        link = self.free_link(worker_host)
+        link = self.take_idle_link(worker_host)
         if link is None:
-            link = self.link_to(worker_host)
+            link = self.new_link(worker_host)
             worker_host.links.add(link)
             worker_host.model.connections = len(worker_host.links)
-            worker_host.poke(worker_host.model.charge(self.loop.now, worker_host.kind.connection_work))
+            worker_host.process_events(
+                worker_host.model.charge(self.loop.now, worker_host.kind.connection_work)
+            )
         self.world.tally.probes += 1
-        trips = 2 if link.rested is not None else 2 * self.network.handshake_trips + 2
-        self.loop.after(trips * worker_host.delay(), self.probed, worker_host, link, done)
+        trips = 2 if link.idle_since is not None else 2 * self.network.handshake_trips + 2
+        self.loop.after(trips * worker_host.delay(), self.poll_answered, worker_host, link, done)
         return done
 
-    def probed(self, worker_host: TargetHost, link: Link, done: Deferred[Outcome]) -> None:
-        """Hear a worker's answer to a question, or that it has none."""
+    def poll_answered(self, worker_host: TargetHost, link: Link, done: Deferred[Outcome]) -> None:
+        """Handle the answer to a poll; a worker that cannot answer ends it by timeout."""
         if not self.process.alive:
             link.close()
-        elif link.open and not link.deaf and worker_host.model.up and self.world.reaches(self, worker_host):
-            self.rest(link)
+        elif (
+            link.open
+            and not link.unreachable
+            and worker_host.model.up
+            and self.world.reaches(self, worker_host)
+        ):
+            self.keep_idle(link)
             done.callback(Outcome(Ending.SERVED, report=worker_host.report()))
         else:
             link.close()
@@ -118,77 +129,79 @@
             self.loop.after(self.network.connect_timeout, done.callback, outcome)
 
     def drop_idle(self, worker: str) -> None:
-        """Drop the free connections to a worker."""
+        """Close the idle connections to a worker."""
         if (pool := self.pools.get(worker)) is not None:
             self.drop(pool)
 
     # ---- pools ----
 
     def listed(self, entries: tuple[Endpoint, ...], whole: bool) -> None:
-        """Follow the list as ``net.discovery`` has the pools do: a restart or an end drops one."""
+        """Update the pools from the list; a restarted or gone worker's idle connections are closed."""
         if whole:
-            named = {e.worker for e in entries}
+            named = {entry.worker for entry in entries}
             for name in [name for name in self.pools if name not in named]:
                 self.drop(self.pools.pop(name))
-        for e in entries:
-            pool = self.pools.get(e.worker)
-            if e.state is WorkerState.GONE:
+        for entry in entries:
+            pool = self.pools.get(entry.worker)
+            if entry.state is WorkerState.GONE:
                 if pool is not None:
-                    self.drop(self.pools.pop(e.worker))
-            elif pool is None or pool.started != e.started:
+                    self.drop(self.pools.pop(entry.worker))
+            elif pool is None or pool.started != entry.started:
                 if pool is not None:
                     self.drop(pool)
-                self.pools[e.worker] = Pool(self.world.worker_hosts[e.worker], e.started)
+                self.pools[entry.worker] = Pool(self.world.worker_hosts[entry.worker], entry.started)
 
-    def link_to(self, worker_host: TargetHost) -> Link:
-        """Make a connection."""
+    def new_link(self, worker_host: TargetHost) -> Link:
+        """Return a new connection to a worker host."""
         self.count += 1
         self.world.tally.connections += 1
         return Link(self, worker_host, self.world.tally.connections)
 
-    def free_link(self, worker_host: TargetHost) -> Link | None:
-        """Take the newest free connection that may be used."""
+    def take_idle_link(self, worker_host: TargetHost) -> Link | None:
+        """Remove and return the newest idle connection, if there is one."""
         pool = self.pools.get(worker_host.name)
         return pool.idle.pop() if pool is not None and pool.idle else None
 
-    def rest(self, link: Link) -> None:
-        """Keep a connection that is free for a while."""
+    def keep_idle(self, link: Link) -> None:
+        """Return a connection to its pool until its idle timeout ends."""
         pool = self.pools.get(link.worker_host.name)
-        if pool is None or not link.open or link.deaf:
+        if pool is None or not link.open or link.unreachable:
             link.close()
             return
-        link.rested = self.loop.now
+        link.idle_since = self.loop.now
         pool.idle.append(link)
         if pool.timer is None:
-            pool.timer = self.loop.after(self.keep, self.retire, pool)
+            pool.timer = self.loop.after(self.idle_timeout_ms, self.close_expired, pool)
 
-    def retire(self, pool: Pool) -> None:
-        """Close the connections that have been free for too long."""
+    def close_expired(self, pool: Pool) -> None:
+        """Close the connections whose idle timeout has ended."""
         pool.timer = None
-        while pool.idle and (pool.idle[0].rested or 0.0) + self.keep <= self.loop.now:
+        while pool.idle and (pool.idle[0].idle_since or 0.0) + self.idle_timeout_ms <= self.loop.now:
             pool.idle[0].close()
         if pool.idle:
-            pool.timer = self.loop.at((pool.idle[0].rested or 0.0) + self.keep, self.retire, pool)
+            pool.timer = self.loop.at(
+                (pool.idle[0].idle_since or 0.0) + self.idle_timeout_ms, self.close_expired, pool
+            )
 
-    def forget(self, link: Link) -> None:
-        """Take a connection that has ended off its pool."""
+    def remove_from_pool(self, link: Link) -> None:
+        """Remove a closed connection from its pool."""
         pool = self.pools.get(link.worker_host.name)
         if pool is not None and link in pool.idle:
             pool.idle.remove(link)
 
-    def doubt(self, worker_host: TargetHost) -> None:
-        """Drop the free connections to a worker host."""
+    def drop_idle_to(self, worker_host: TargetHost) -> None:
+        """Close the idle connections to a worker host."""
         if (pool := self.pools.get(worker_host.name)) is not None:
             self.drop(pool)
 
     def drop(self, pool: Pool) -> None:
-        """Close a pool's free connections."""
+        """Close a pool's idle connections."""
         for link in list(pool.idle):
             link.close()
         pool.idle.clear()
 
     def close(self) -> None:
-        """Die with the process: every connection is reset."""
+        """Close every connection and stop every timer, as the process has ended."""
         for pool in self.pools.values():
             if pool.timer is not None:
                 pool.timer.stop()
@@ -204,26 +217,26 @@
     # ---- call-backs ----
 
     def called_back(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
-        """Take the end that a worker reports; acted on only if it is of the live attempt."""
+        """Handle the ending that a worker reports; ignored unless the attempt is the live one."""
         engine = self.process.engine
         if not self.process.alive:
             return
-        live = engine.jobs.live_attempt(attempt.ask.request_id, attempt.worker_host.name)
+        live = engine.jobs.live_attempt(attempt.job_request.request_id, attempt.worker_host.name)
         if live is not None:
             self.process.audit_ended(attempt, outcome.ending)
             if outcome.ending is Ending.SERVED:
                 attempt.tried.served_by = attempt
             engine.attempts.worker_ended(live, outcome)
 
-    def noted(self, attempt: SimulatedAttempt, share: float, started: bool = False) -> None:
-        """Take a start or progress."""
+    def progress_reported(self, attempt: SimulatedAttempt, share: float, started: bool = False) -> None:
+        """Handle a start or progress that a worker reports."""
         engine = self.process.engine
         if not self.process.alive:
             return
-        live = engine.jobs.live_attempt(attempt.ask.request_id, attempt.worker_host.name)
+        live = engine.jobs.live_attempt(attempt.job_request.request_id, attempt.worker_host.name)
         if live is not None:
             engine.attempts.progressed(live, share, started=started)
 
     def ended(self, request_id: str) -> None:
-        """Forget a job's attempts once it is answered."""
+        """Remove the attempts of an answered job."""
         self.attempts.pop(request_id, None)
--- a/elderstall/simulation/worker.py
+++ b/elderstall/simulation/worker.py
@@ -1,10 +1,11 @@
-"""A card worker as a model without I/O: plain values in, happenings out, time handed in.
-
-Jobs in work share the cores: with ``n`` slots in use each runs at ``min(1, cores / n)`` of a core, times the
-worker's speed, its warmth and what slows it. All running jobs thus move at one rate, and the model keeps
-two clocks that move with them: ``done_clock``, standard work done for each slot, and ``core_clock``, core
-time used for each slot. A job ends when the first has moved by its work, so nothing is stepped: ends are
-solved for, also while the worker warms. Times are milliseconds, work is milliseconds on a standard core.
+"""A model of a card worker without I/O; the caller passes the time, and the model returns events.
+
+Running jobs share the cores: with ``n`` slots in use each runs at ``min(1, cores / n)`` of a core, times the
+worker's speed, its warm-up fraction and its efficiency, divided by its slowdown. All running jobs thus
+advance at one rate, and the model keeps two clocks: ``done_clock``, the standard work done for each slot, and
+``core_clock``, the core time used for each slot. A job ends when ``done_clock`` has advanced by its work; the
+model computes that time in closed form, also during the warm-up. Times are milliseconds, work is
+milliseconds on a standard core.
 """
 
 from __future__ import annotations
@@ -18,135 +19,142 @@
 
 from elderstall.simulation.scenario import Kind
 
-NEAR_ENOUGH = 1e-6  # ms of work: rounding in the solved ends
+WORK_TOLERANCE_MS = 1e-6  # of work: rounding error of computed ends
 
 
 class WorkerEventKind(Enum):
-    """What has become of a task."""
+    """The kind of an event of a task."""
 
-    TAKEN = "taken"  # it waits or runs
-    FULL = "full"  # turned away unseen
+    TAKEN = "taken"  # accepted: it waits or runs
+    FULL = "full"  # rejected: no slot and no place in the queue
     STARTED = "started"
     PROGRESS = "progress"
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # handed back unstarted, by a drain
-    DROPPED = "dropped"  # left the queue as its time had run out
-    LOST = "lost"  # the process died with it
-    STOPPED = "stopped"  # left at a cancel
+    RETURNED = "returned"  # handed back before its start, by a drain
+    DROPPED = "dropped"  # left the queue after its deadline
+    LOST = "lost"  # the process crashed
+    STOPPED = "stopped"  # stopped by a cancellation
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One attempt as a worker sees it."""
+    """One attempt at a worker."""
 
     key: Hashable
     work: float  # for each of its slots
     slots: int = 1
     deadline: float = math.inf  # when its sender stops waiting
     repeatable: bool = False
-    fails_at: float | None = None  # the share of its work at which it will fail
-    saved: float = 0.0  # share of its work that is kept from an earlier attempt
+    fails_at: float | None = None  # the fraction of its work at which it fails
+    saved: float = 0.0  # fraction of its work that an earlier attempt has saved
     informed: bool = True  # whether its sender had been notified of the worker's start
-    owner: object = None  # the host's own; passes through unread
+    owner: object = None  # set by the host; not read here
     began: float | None = None
-    ends: float = math.inf  # reading of done_clock at its end
-    from_core: float = 0.0  # reading of core_clock at its start
+    end_clock: float = math.inf  # reading of done_clock at its end
+    core_clock_at_start: float = 0.0  # reading of core_clock at its start
     core_time: float = 0.0  # ms of core it has used, once it is over
     running: bool = False
     over: bool = False
-    news: int = 0  # progress notes reported
+    progress_reports: int = 0  # number made so far
 
     @property
     def size(self) -> float:
-        """Work that it brings, over all its slots."""
+        """Return the work left of it, over all its slots."""
         return self.work * (1 - self.saved) * self.slots
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerEvent:
-    """Something of which the worker's host hears."""
+    """An event of a task that the model reports to the worker host."""
 
-    what: WorkerEventKind
+    kind: WorkerEventKind
     task: Task
     at: float
-    share: float = 0.0  # of its work that is done
+    share: float = 0.0  # fraction of its work that is done
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Where a worker's core time went, ms; the entries sum to its cores times its time."""
+    """A worker's core time by use, ms; the entries sum to its cores times the time that has passed."""
 
     busy: float = 0.0
-    overhead: float = 0.0  # connections and probes
+    overhead: float = 0.0  # new connections and polls
     idle: float = 0.0
     paused: float = 0.0
     down: float = 0.0
 
     @property
     def total(self) -> float:
-        """Sum of all."""
+        """Return the sum of all entries."""
         return self.busy + self.overhead + self.idle + self.paused + self.down
 
 
 @dataclass(slots=True)
-class Push:
-    """The rule on cold workers: what it may be sent, and what happens when it is sent more."""
+class ColdLoadLimit:
+    """The limit on work sent to a cold worker in a window of time (ms); past it the worker crashes."""
 
     multiple: float = 4.0
     window: float = 2_000.0
 
 
 class CardWorker:
-    """One worker process on its worker host."""
+    """The model of one worker process."""
 
     def __init__(
         self,
         kind: Kind,
         speed: float,
         now: float = 0.0,
-        push: Push | None = None,
+        cold_load_limit: ColdLoadLimit | None = None,
         checkpoint: float = 1_000.0,
         progress_every: float = 0.0,
     ) -> None:
-        self.kind, self.speed, self.push = kind, speed, push or Push()
-        self.checkpoint, self.progress_every = checkpoint, progress_every
-        self.at = now
-        self.slow = 1.0  # times slower than it is
+        self.kind = kind
+        self.speed = speed
+        self.cold_load_limit = cold_load_limit or ColdLoadLimit()
+        self.checkpoint = checkpoint
+        self.progress_every = progress_every
+        self.now = now
+        self.slowdown = 1.0  # factor by which it runs slower
         self.done_clock = self.core_clock = 0.0
-        self.used = 0  # slots in work
+        self.used = 0  # slots in use
         self.connections = 0
-        self.overhead = 0.0  # standard work of connections and probes still to be done
-        self.up, self.paused, self.draining, self.fallen = True, False, False, False
-        self.started: float | None = None  # None: long ago, so it is warm
+        self.overhead = 0.0  # standard work left for new connections and polls
+        self.up = True
+        self.paused = False
+        self.draining = False
+        self.overloaded = False
+        self.started: float | None = None  # None: before the simulation, so it is warm
         self.cold_share = kind.cold_share
-        self.warm_work = 0.0  # done since it started
+        self.warm_work = 0.0  # work done since the start
         self.running: list[tuple[float, int, Task]] = []  # by reading of done_clock at the end
-        self.noting: list[tuple[float, int, Task]] = []  # by time of the next progress note
+        self.progress_due: list[tuple[float, int, Task]] = []  # by time of the next progress report
         self.waiting: deque[Task] = deque()
         self.tasks: dict[Hashable, Task] = {}
-        self.unheard: deque[tuple[str, object]] = deque()  # what came while it was paused
-        self.sent: deque[tuple[float, float, bool]] = deque()  # while cold: when, work, sender informed
-        self.pushed = 0.0  # work in that
-        self.blame = 0.0  # at its fall: share of the work that came from senders notified of its start
+        self.received_while_paused: deque[tuple[str, object]] = deque()  # (call, argument)
+        self.cold_sends: deque[tuple[float, float, bool]] = deque()  # time, work, sender informed
+        self.cold_work_sent = 0.0  # sum of the work in ``cold_sends``
+        # At a crash by overload: fraction of the work that came from senders notified of the worker's start.
+        self.informed_fraction = 0.0
         self.serial = 0
         self.ledger = Ledger()
-        self.out: list[WorkerEvent] = []
+        self.pending_events: list[WorkerEvent] = []
 
     # ---- rates ----
 
     @property
     def held(self) -> int:
-        """Tasks that wait or run."""
+        """Return the number of tasks that wait or run."""
         return len(self.tasks)
 
     @property
     def free_slots(self) -> int:
-        """Slots not in work."""
+        """Return the number of slots not in use."""
         return max(0, self.kind.slots - self.used)
 
-    def warmth(self, at: float) -> float:
-        """Give the share of its capacity that a worker has."""
+    def warm_up_fraction(self, at: float) -> float:
+        """Return the fraction of its warm capacity that the worker has at a time."""
         if self.started is None or self.kind.cold_for <= 0:
             return 1.0
         part = (at - self.started) / self.kind.cold_for
@@ -155,35 +163,41 @@
         return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, part))
 
     def capacity(self, at: float) -> float:
-        """Give the standard work it can do in a millisecond."""
-        return self.kind.cores * self.speed * self.warmth(at) * self.ease() / self.slow
-
-    def ease(self) -> float:
-        """Give what crowding and open connections leave of its efficiency."""
-        k = self.kind
-        crowd = k.crowd_cost * max(0.0, len(self.tasks) / k.cores - k.crowd_at)
-        table = k.connection_tax * min(1.0, self.connections / k.connections) if k.connections else 0.0
-        return (1 - table) / (1 + crowd)
+        """Return the standard work that the worker can do in a millisecond."""
+        return self.kind.cores * self.speed * self.warm_up_fraction(at) * self.efficiency() / self.slowdown
+
+    def efficiency(self) -> float:
+        """Return the fraction of its speed that is left by crowding and open connections."""
+        kind = self.kind
+        crowding = kind.crowd_cost * max(0.0, len(self.tasks) / kind.cores - kind.crowd_at)
+        connection_share = (
+            kind.connection_tax * min(1.0, self.connections / kind.connections) if kind.connections else 0.0
+        )
+        return (1 - connection_share) / (1 + crowding)
 
     def _rate(self) -> float:
-        """Work a slot does in a millisecond when warm."""
+        """Return the work that a slot does in a millisecond when warm."""
         if not self.used:
             return 0.0
-        return self.speed * min(1.0, self.kind.cores / self.used) * self.ease() / self.slow
+        return self.speed * min(1.0, self.kind.cores / self.used) * self.efficiency() / self.slowdown
 
     def _warming(self) -> tuple[float, float, float, bool]:
-        """Say how warm it is, how fast that grows (by time, or by itself), and how long it still takes."""
-        warm = self.warmth(self.at)
+        """Return the warm-up fraction, its growth, the time until it is 1, and whether it grows by work.
+
+        The growth is per ms: absolute by time, relative to the fraction by work.
+        """
+        warm = self.warm_up_fraction(self.now)
         if warm >= 1.0:
             return 1.0, 0.0, 0.0, False
-        per, power = (1 - self.cold_share) / self.kind.cold_for, self.kind.cores * self.speed
-        if self.kind.warm_by_work and self.warm_work / power >= self.at - (self.started or 0.0):
-            growth = per / power * self.used * self._rate()  # warmth grows by so much of itself
+        time_growth = (1 - self.cold_share) / self.kind.cold_for
+        capacity = self.kind.cores * self.speed
+        if self.kind.warm_by_work and self.warm_work / capacity >= self.now - (self.started or 0.0):
+            growth = time_growth / capacity * self.used * self._rate()  # relative growth per ms
             return warm, growth, math.log(1 / warm) / growth if growth else math.inf, True
-        return warm, per, (1 - warm) / per, False
+        return warm, time_growth, (1 - warm) / time_growth, False
 
-    def _done_in(self, span: float) -> float:
-        """Work a slot does in the coming span, with nothing else to do."""
+    def _work_in(self, span: float) -> float:
+        """Return the work that a slot does in the coming span when there is no overhead."""
         rate = self._rate()
         warm, growth, left, by_work = self._warming()
         warming = min(span, left)
@@ -195,8 +209,8 @@
             part = warm * warming + growth * warming * warming / 2 + (span - warming)
         return rate * part
 
-    def _span_of(self, work: float) -> float:
-        """Time in which a slot does so much work: the inverse of ``_done_in``."""
+    def _time_for_work(self, work: float) -> float:
+        """Return the time that a slot takes for an amount of work: the inverse of ``_work_in``."""
         rate = self._rate()
         if work <= 0:
             return 0.0
@@ -214,119 +228,127 @@
             return (math.sqrt(warm * warm + 2 * growth * need) - warm) / growth
         return left + need - whole
 
-    def _burn(self) -> float:
-        """Time that the overhead still takes; it has all cores while there is any."""
-        return self.overhead / self.capacity(self.at) if self.overhead > 0 else 0.0
+    def _overhead_time(self) -> float:
+        """Return the time until the overhead is done; it uses all cores until then."""
+        return self.overhead / self.capacity(self.now) if self.overhead > 0 else 0.0
 
-    def _move(self, to: float) -> None:
-        """Move the clocks on, over a stretch without an end in it."""
-        span, cores, book = to - self.at, self.kind.cores, self.ledger
+    def _advance_clocks(self, to: float) -> None:
+        """Advance the clocks over a span in which no task ends."""
+        span = to - self.now
+        cores = self.kind.cores
+        ledger = self.ledger
         if span <= 0:
             return
         if not self.up or self.paused:
             if self.up:
-                book.paused += cores * span
+                ledger.paused += cores * span
             else:
-                book.down += cores * span
-            self.at = to
+                ledger.down += cores * span
+            self.now = to
             return
         if self.overhead > 0:
-            burn = self._burn()
-            if burn >= span:
-                self.overhead -= span * self.capacity(self.at)
-                book.overhead += cores * span
-                self.at = to
+            overhead_time = self._overhead_time()
+            if overhead_time >= span:
+                self.overhead -= span * self.capacity(self.now)
+                ledger.overhead += cores * span
+                self.now = to
                 return
             self.overhead = 0.0
-            book.overhead += cores * burn
-            self.at += burn
-            span -= burn
+            ledger.overhead += cores * overhead_time
+            self.now += overhead_time
+            span -= overhead_time
         if self.used:
-            done = self._done_in(span)
+            done = self._work_in(span)
             self.done_clock += done
             self.warm_work += done * self.used
             self.core_clock += span * min(1.0, cores / self.used)
-            book.busy += min(cores, self.used) * span
-        book.idle += max(0, cores - self.used) * span
-        self.at = to
+            ledger.busy += min(cores, self.used) * span
+        ledger.idle += max(0, cores - self.used) * span
+        self.now = to
 
     # ---- time ----
 
     def due(self) -> float:
-        """Say when something happens by itself next."""
+        """Return the time of the next event, or infinity."""
         if not self.up or self.paused:
             return math.inf
         when = math.inf
         while self.running and self.running[0][2].over:
             heapq.heappop(self.running)
         if self.running:
-            when = self.at + self._burn() + self._span_of(self.running[0][0] - self.done_clock)
-        while self.noting and self.noting[0][2].over:
-            heapq.heappop(self.noting)
-        if self.noting:
-            when = min(when, max(self.at, self.noting[0][0]))
+            when = (
+                self.now + self._overhead_time() + self._time_for_work(self.running[0][0] - self.done_clock)
+            )
+        while self.progress_due and self.progress_due[0][2].over:
+            heapq.heappop(self.progress_due)
+        if self.progress_due:
+            when = min(when, max(self.now, self.progress_due[0][0]))
         return when
 
     def advance(self, now: float) -> list[WorkerEvent]:
-        """Bring the model up to a time, and give what has happened, in order."""
+        """Advance the model to a time, and return the events up to it, in order."""
         while (when := self.due()) <= now:
-            self._move(when)
-            if self.running and self.running[0][0] <= self.done_clock + NEAR_ENOUGH:
+            self._advance_clocks(when)
+            if self.running and self.running[0][0] <= self.done_clock + WORK_TOLERANCE_MS:
                 self._end(heapq.heappop(self.running)[2])
-            elif self.noting and self.noting[0][0] <= when:
-                self._note(heapq.heappop(self.noting)[2])
+            elif self.progress_due and self.progress_due[0][0] <= when:
+                self._report_progress(heapq.heappop(self.progress_due)[2])
             else:
-                # Rounding left the end a hair away: it is now.
+                # Rounding put the computed end slightly later than ``when``: the task ends now.
                 self.done_clock = self.running[0][0]
-        self._move(now)
-        return self._said()
+        self._advance_clocks(now)
+        return self._take_events()
 
-    def _said(self) -> list[WorkerEvent]:
-        """Give what there is to report; what ends in no time is reported with the next step of time."""
-        out, self.out = self.out, []
+    def _take_events(self) -> list[WorkerEvent]:
+        """Return the pending events and clear them; a task of zero work ends with the next advance."""
+        out = self.pending_events
+        self.pending_events = []
         return out
 
-    def _tell(self, what: WorkerEventKind, task: Task, share: float = 0.0) -> None:
-        self.out.append(WorkerEvent(what, task, self.at, share))
+    def _emit(self, kind: WorkerEventKind, task: Task, share: float = 0.0) -> None:
+        self.pending_events.append(WorkerEvent(kind, task, self.now, share))
 
     def _end(self, task: Task) -> None:
-        """End a running task that is done, or where it fails."""
-        self._leave(task)
-        self._tell(WorkerEventKind.DONE if task.fails_at is None else WorkerEventKind.FAILED, task, 1.0)
-        self._fill()
-
-    def _note(self, task: Task) -> None:
-        """Report a task's progress; while it is paused nothing is reported, and afterwards all at once."""
-        task.news += 1
-        self._tell(WorkerEventKind.PROGRESS, task, self._share(task))
+        """End a running task that is done or fails."""
+        self._remove(task)
+        self._emit(WorkerEventKind.DONE if task.fails_at is None else WorkerEventKind.FAILED, task, 1.0)
+        self._start_waiting()
+
+    def _report_progress(self, task: Task) -> None:
+        """Report a task's progress; reports that fall in a pause are all made when it ends."""
+        task.progress_reports += 1
+        self._emit(WorkerEventKind.PROGRESS, task, self._done_fraction(task))
         self.serial += 1
         assert task.began is not None
-        heapq.heappush(self.noting, (task.began + (task.news + 1) * self.progress_every, self.serial, task))
+        heapq.heappush(
+            self.progress_due,
+            (task.began + (task.progress_reports + 1) * self.progress_every, self.serial, task),
+        )
 
-    def _share(self, task: Task) -> float:
-        """Share of a running task's work that is done."""
+    def _done_fraction(self, task: Task) -> float:
+        """Return the fraction of a running task's work that is done."""
         whole = task.work * (task.fails_at if task.fails_at is not None else 1.0)
-        return min(1.0, max(0.0, 1 - (task.ends - self.done_clock) / whole)) if whole > 0 else 1.0
+        return min(1.0, max(0.0, 1 - (task.end_clock - self.done_clock) / whole)) if whole > 0 else 1.0
 
-    def _leave(self, task: Task) -> None:
-        """Take a task off, and book its core time."""
+    def _remove(self, task: Task) -> None:
+        """Remove a task, and record its core time."""
         del self.tasks[task.key]
         task.over = True
         if task.running:
             task.running = False
             self.used -= task.slots
-            task.core_time = (self.core_clock - task.from_core) * task.slots
+            task.core_time = (self.core_clock - task.core_clock_at_start) * task.slots
 
-    def _fill(self) -> None:
-        """Start waiting tasks in order; the first waits until it fits."""
+    def _start_waiting(self) -> None:
+        """Start waiting tasks in order; the first blocks the others until it fits."""
         while self.waiting:
             task = self.waiting[0]
             if task.over:
                 self.waiting.popleft()
-            elif self.kind.drops_expired and self.at > task.deadline:
+            elif self.kind.drops_expired and self.now > task.deadline:
                 self.waiting.popleft()
-                self._leave(task)
-                self._tell(WorkerEventKind.DROPPED, task)
+                self._remove(task)
+                self._emit(WorkerEventKind.DROPPED, task)
             elif self.used + task.slots <= self.kind.slots:
                 self.waiting.popleft()
                 self._start(task)
@@ -334,169 +356,184 @@
                 return
 
     def _start(self, task: Task) -> None:
-        """Put a task to work."""
+        """Start to run a task."""
         self.used += task.slots
         self.serial += 1
-        task.running, task.began, task.from_core = True, self.at, self.core_clock
+        task.running = True
+        task.began = self.now
+        task.core_clock_at_start = self.core_clock
         share = 1.0 if task.fails_at is None else max(task.fails_at, task.saved)
-        task.ends = self.done_clock + task.work * (share - task.saved)
-        heapq.heappush(self.running, (task.ends, self.serial, task))
+        task.end_clock = self.done_clock + task.work * (share - task.saved)
+        heapq.heappush(self.running, (task.end_clock, self.serial, task))
         if self.progress_every > 0:
-            heapq.heappush(self.noting, (self.at + self.progress_every, self.serial, task))
-        self._tell(WorkerEventKind.STARTED, task)
+            heapq.heappush(self.progress_due, (self.now + self.progress_every, self.serial, task))
+        self._emit(WorkerEventKind.STARTED, task)
 
-    # ---- what is asked of it ----
+    # ---- calls of the worker host ----
 
     def offer(self, now: float, task: Task) -> list[WorkerEvent]:
-        """Take a task, or turn it away; while paused it waits unheard."""
+        """Accept or reject a task; while paused it is kept until the worker resumes."""
         out = self.advance(now)
         if self.paused:
-            self.unheard.append(("offer", task))
+            self.received_while_paused.append(("offer", task))
             return out
-        self._offered(task)
-        return out + self._said()
+        self._accept_or_reject(task)
+        return out + self._take_events()
 
-    def _offered(self, task: Task) -> None:
-        fits = self.used + task.slots <= self.kind.slots and not self._queue()
-        full = (
+    def _accept_or_reject(self, task: Task) -> None:
+        fits = self.used + task.slots <= self.kind.slots and not self._queue_length()
+        rejected = (
             not self.up
             or self.draining
             or task.slots > self.kind.slots
-            or (not fits and self._queue() >= self.kind.queue)
+            or (not fits and self._queue_length() >= self.kind.queue)
         )
-        if self._falls(task):
+        if self._overloads(task):
             return
-        if full:
-            self._tell(WorkerEventKind.FULL, task)
+        if rejected:
+            self._emit(WorkerEventKind.FULL, task)
             return
         self.tasks[task.key] = task
-        self._tell(WorkerEventKind.TAKEN, task)
+        self._emit(WorkerEventKind.TAKEN, task)
         self.waiting.append(task)
-        self._fill()
+        self._start_waiting()
 
-    def _queue(self) -> int:
-        """Tasks that wait; those that were cancelled leave the deque only at its head."""
+    def _queue_length(self) -> int:
+        """Return the number of waiting tasks; cancelled ones leave the deque only at its head."""
         while self.waiting and self.waiting[0].over:
             self.waiting.popleft()
         return sum(not task.over for task in self.waiting) if self.waiting else 0
 
-    def _falls(self, task: Task) -> bool:
-        """Count what a cold worker is sent, refused work too; past its budget for the window it falls over.
+    def _overloads(self, task: Task) -> bool:
+        """Count the work sent to a cold worker, rejected work too; return whether it crashes past its budget.
 
-        The budget is the rule's: its multiple, times the capacity at that moment, times the window.
+        The budget is the limit's multiple, times the present capacity, times the window.
         """
-        if not self.up or self.warmth(self.at) >= 1.0:
-            self.sent.clear()
-            self.pushed = 0.0
+        if not self.up or self.warm_up_fraction(self.now) >= 1.0:
+            self.cold_sends.clear()
+            self.cold_work_sent = 0.0
             return False
-        self.sent.append((self.at, task.size, task.informed))
-        self.pushed += task.size
-        while self.sent[0][0] <= self.at - self.push.window:
-            self.pushed -= self.sent.popleft()[1]
-        if self.pushed <= self.push.multiple * self.capacity(self.at) * self.push.window:
+        self.cold_sends.append((self.now, task.size, task.informed))
+        self.cold_work_sent += task.size
+        while self.cold_sends[0][0] <= self.now - self.cold_load_limit.window:
+            self.cold_work_sent -= self.cold_sends.popleft()[1]
+        if (
+            self.cold_work_sent
+            <= self.cold_load_limit.multiple * self.capacity(self.now) * self.cold_load_limit.window
+        ):
             return False
-        self.blame = sum(work for _, work, informed in self.sent if informed) / self.pushed
-        self.fallen = True
-        self._tell(WorkerEventKind.LOST, task)
+        self.informed_fraction = (
+            sum(work for _, work, informed in self.cold_sends if informed) / self.cold_work_sent
+        )
+        self.overloaded = True
+        self._emit(WorkerEventKind.LOST, task)
         self._die()
         return True
 
     def cancel(self, now: float, key: Hashable) -> list[WorkerEvent]:
-        """Give a task up: what of it stops is the kind's to say."""
+        """Cancel a task; the worker kind decides whether a waiting or running one stops."""
         out = self.advance(now)
         if self.paused:
-            self.unheard.append(("cancel", key))
+            self.received_while_paused.append(("cancel", key))
             return out
-        self._cancelled(key)
-        return out + self._said()
+        self._stop(key)
+        return out + self._take_events()
 
-    def _cancelled(self, key: Hashable) -> None:
+    def _stop(self, key: Hashable) -> None:
         task = self.tasks.get(key)
         if task is None or self.kind.cancel == "none" or (task.running and self.kind.cancel != "all"):
             return
-        self._leave(task)
-        self._tell(WorkerEventKind.STOPPED, task)
-        self._fill()
+        self._remove(task)
+        self._emit(WorkerEventKind.STOPPED, task)
+        self._start_waiting()
 
     def charge(self, now: float, work: float) -> list[WorkerEvent]:
-        """Charge work that is no task: a new connection, or a probe."""
+        """Add overhead work, such as a new connection."""
         out = self.advance(now)
         if self.up:
             self.overhead += work
         return out
 
     def backlog(self) -> float:
-        """Time that charged work still takes, ms."""
-        return self._burn() if self.up else 0.0
+        """Return the time until the overhead work is done, ms."""
+        return self._overhead_time() if self.up else 0.0
 
-    def slowed(self, now: float, factor: float) -> list[WorkerEvent]:
-        """Run so many times slower from now on."""
+    def set_slowdown(self, now: float, factor: float) -> list[WorkerEvent]:
+        """Set the factor by which the worker runs slower."""
         out = self.advance(now)
-        self.slow = factor
+        self.slowdown = factor
         return out
 
     def pause(self, now: float) -> list[WorkerEvent]:
-        """Stand still: nothing runs, is heard or is reported."""
+        """Pause the process: no task runs, no call is handled and no event is reported."""
         out = self.advance(now)
         self.paused = True
         return out
 
     def resume(self, now: float) -> list[WorkerEvent]:
-        """Go on, and hear at once what came meanwhile."""
-        self._move(now)
+        """Resume the process, and handle at once the calls that came during the pause."""
+        self._advance_clocks(now)
         self.paused = False
-        while self.unheard:
-            what, value = self.unheard.popleft()
-            if what == "offer":
+        while self.received_while_paused:
+            call, value = self.received_while_paused.popleft()
+            if call == "offer":
                 assert isinstance(value, Task)
-                self._offered(value)
+                self._accept_or_reject(value)
             else:
                 assert isinstance(value, Hashable)
-                self._cancelled(value)
+                self._stop(value)
         return self.advance(now)
 
     def drain(self, now: float) -> list[WorkerEvent]:
-        """Want nothing new; hand back what has not started, where the kind does that."""
+        """Reject new tasks from now on; return the waiting ones if the worker kind does that."""
         out = self.advance(now)
         self.draining = True
         if self.kind.hands_back:
             for task in [task for task in self.waiting if not task.over]:
-                self._leave(task)
-                self._tell(WorkerEventKind.RETURNED, task)
+                self._remove(task)
+                self._emit(WorkerEventKind.RETURNED, task)
             self.waiting.clear()
-        return out + self._said()
+        return out + self._take_events()
 
     def die(self, now: float) -> list[WorkerEvent]:
-        """Lose the process with all that is in it."""
+        """Crash the process and lose its tasks."""
         out = self.advance(now)
         if self.up:
             self._die()
-        return out + self._said()
+        return out + self._take_events()
 
     def _die(self) -> None:
         for task in list(self.tasks.values()):
             if task.running and task.repeatable and self.checkpoint > 0 and task.began is not None:
-                # Saved at each full interval since it began; work between is taken as even.
-                age = self.at - task.began
+                # Progress is saved at each full interval since the start; it is taken as linear in time.
+                age = self.now - task.began
                 whole = math.floor(age / self.checkpoint) * self.checkpoint
-                done = self._share(task)
+                done = self._done_fraction(task)
                 task.saved += (done - task.saved) * (whole / age if age > 0 else 0.0)
-            self._leave(task)
-            self._tell(WorkerEventKind.LOST, task)
-        for what, value in self.unheard:
-            if what == "offer" and isinstance(value, Task):
-                self._tell(WorkerEventKind.LOST, value)
-        self.unheard.clear()
+            self._remove(task)
+            self._emit(WorkerEventKind.LOST, task)
+        for call, value in self.received_while_paused:
+            if call == "offer" and isinstance(value, Task):
+                self._emit(WorkerEventKind.LOST, value)
+        self.received_while_paused.clear()
         self.waiting.clear()
         self.running.clear()
-        self.noting.clear()
-        self.up, self.paused, self.connections, self.overhead, self.used = False, False, 0, 0.0, 0
+        self.progress_due.clear()
+        self.up = False
+        self.paused = False
+        self.connections = 0
+        self.overhead = 0.0
+        self.used = 0
 
     def start(self, now: float, cold_share: float | None = None) -> None:
         """Start a new, cold process."""
         self.advance(now)
-        self.up, self.draining, self.fallen, self.paused = True, False, False, False
-        self.started, self.warm_work = now, 0.0
+        self.up = True
+        self.draining = False
+        self.overloaded = False
+        self.paused = False
+        self.started = now
+        self.warm_work = 0.0
         self.cold_share = self.kind.cold_share if cold_share is None else cold_share
-        self.sent.clear()
-        self.pushed = 0.0
+        self.cold_sends.clear()
+        self.cold_work_sent = 0.0
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -1,4 +1,4 @@
-"""Worker hosts in the emulated network: they host the model, hear requests and call dispatchers back."""
+"""Simulated worker hosts: they run the worker model, receive jobs and call dispatchers back."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from elderstall.messages import Outcome
 from elderstall.simulation.loop import Call
 from elderstall.simulation.scenario import Kind, Scenario, Worker
-from elderstall.simulation.worker import CardWorker, Push, Task, WorkerEvent, WorkerEventKind
+from elderstall.simulation.worker import CardWorker, ColdLoadLimit, Task, WorkerEvent, WorkerEventKind
 
 if TYPE_CHECKING:
-    from elderstall.simulation.attempt import AttemptCarrier, Link, SimulatedAttempt, UpstreamOwner
+    from elderstall.simulation.attempt import AttemptTransport, Link, SimulatedAttempt, UpstreamOwner
     from elderstall.simulation.draws import Draws
     from elderstall.simulation.loop import VirtualTime
 
-CALL_TRIES = 10  # of a call-back, as the protocol has it
-CALL_AGAIN = 300.0  # ms between them
-LOST_NOTICE = 50.0  # ms until the worker host's agent reports a process that died
+MAX_CALL_BACK_ATTEMPTS = 10  # of a call-back, as in the workers' protocol
+CALL_BACK_INTERVAL_MS = 300.0  # between attempts of a call-back
+PROCESS_DEATH_NOTICE_MS = 50.0  # until the worker host's agent reports a process that died
 ENDINGS = {
     WorkerEventKind.DONE: Ending.SERVED,
     WorkerEventKind.FAILED: Ending.ERROR,
@@ -29,34 +29,34 @@
 
 
 class RunAudit(Protocol):
-    """The auditor, as worker hosts report to it."""
+    """The auditor's methods that worker hosts call."""
 
     def started(self, attempt: SimulatedAttempt) -> None:
-        """Note that an attempt has begun to run."""
+        """Record that an attempt has started to run."""
 
-    def informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
-        """Say whether a dispatcher knew of a worker's present start."""
+    def is_informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
+        """Return whether a dispatcher had been notified of the worker's latest start."""
 
-    def fell(self, worker_host: WorkerHost) -> None:
-        """Note that a cold worker was pushed over."""
+    def cold_worker_overloaded(self, worker_host: WorkerHost) -> None:
+        """Record that a cold worker crashed because it was sent too much work."""
 
 
 class CoreTimeTally(Protocol):
-    """The tally, as worker hosts report to it."""
+    """The tally's methods that worker hosts call."""
 
     def core_time(self, task: Task) -> None:
-        """Book the core time of a task that is over."""
+        """Count the core time of a finished task."""
 
 
 class ListNotices(Protocol):
-    """The list, as worker hosts report to it."""
+    """The endpoint list's methods that worker hosts call."""
 
-    def changed(self, m: WorkerHost, notice: float) -> None:
-        """Learn of a worker host's state a while later."""
+    def changed(self, worker_host: WorkerHost, notice: float) -> None:
+        """Update a worker host's entry after a delay of ``notice`` ms."""
 
 
-class WorkerSurroundings(Protocol):
-    """What a worker host needs of the scenario that it is part of."""
+class WorkerHostContext(Protocol):
+    """The parts of the simulation that a worker host uses."""
 
     scenario: Scenario
     loop: VirtualTime
@@ -74,60 +74,63 @@
     def listing(self) -> ListNotices:
         """The list."""
 
-    def reaches(self, upstream: AttemptCarrier, worker_host: WorkerHost) -> bool:
-        """Say whether anything said between them arrives now."""
+    def reaches(self, upstream: AttemptTransport, worker_host: WorkerHost) -> bool:
+        """Return whether messages between them are delivered at present."""
 
 
 class WorkerHost:
-    """One worker host."""
-
-    def __init__(self, world: WorkerSurroundings, spec: Worker, kind: Kind, speed: float) -> None:
-        self.world, self.spec, self.kind = world, spec, kind
-        rules, reports = world.scenario.rules, world.scenario.reports
+    """One simulated worker host: its model, connections, faults and load reports."""
+
+    def __init__(self, world: WorkerHostContext, spec: Worker, kind: Kind, speed: float) -> None:
+        self.world = world
+        self.spec = spec
+        self.kind = kind
+        rules = world.scenario.rules
+        reports = world.scenario.reports
         self.model = CardWorker(
             kind,
             speed,
             world.loop.now,
-            Push(rules.push_multiple, rules.push_window),
+            ColdLoadLimit(rules.push_multiple, rules.push_window),
             reports.checkpoint,
             reports.progress,
         )
         self.timer: Call | None = None
         self.links: set[Link] = set()
-        self.silent = 0  # faults that keep it from being heard
-        self.pauses = 0
-        self.slows: list[float] = []
-        self.failing: list[tuple[float, float]] = []  # chance, share of the work after which
+        self.silent_faults = 0  # active faults in which it sends and receives nothing
+        self.pause_faults = 0
+        self.slowdown_factors: list[float] = []
+        self.failing: list[tuple[float, float]] = []  # chance, fraction of the work done at the failure
         self.resetting: list[float] = []
-        self.frozen: list[Callable[[], None]] = []  # handshakes that wait for the process to go on
+        self.paused_handshakes: list[Callable[[], None]] = []  # run when the process resumes
         draws = world.draws
         self.noise = {
             c.cls.name: draws.spread(c.noise, "noise", spec.name, c.cls.name) for c in world.scenario.classes
         }
-        self.luck = draws.uniform("luck", spec.name)
-        self.hop = draws.spread(world.scenario.network.jitter, "hops", spec.name)
+        self.uniform_draws = draws.uniform("luck", spec.name)
+        self.delay_factors = draws.spread(world.scenario.network.jitter, "hops", spec.name)
         self.report_noise = draws.spread(reports.noise, "reports", spec.name)
         self.snapshots: deque[tuple[float, tuple[float, ...]]] = deque()
-        self.finished = 0
-        self.busy_seen = 0.0
+        self.finished_since_snapshot = 0
+        self.last_busy = 0.0
         if reports.fields:
-            world.loop.after(next(self.luck) * reports.period, self.snapshot)
+            world.loop.after(next(self.uniform_draws) * reports.period, self.snapshot)
 
     @property
     def name(self) -> str:
-        """Its name on the list."""
+        """Return its name in the endpoint list."""
         return self.spec.name
 
     def delay(self) -> float:
-        """Draw the time of one way to or from it, ms."""
-        return self.world.scenario.network.delay * next(self.hop)
+        """Return a random one-way network delay, ms."""
+        return self.world.scenario.network.delay * next(self.delay_factors)
 
-    # ---- the model in time ----
+    # ---- events of the model ----
 
-    def poke(self, happenings: list[WorkerEvent]) -> None:
-        """Pass on what has happened, and wake when something happens next."""
-        for happening in happenings:
-            self.happened(happening)
+    def process_events(self, events: list[WorkerEvent]) -> None:
+        """Handle the model's events, and set the timer to the model's next event."""
+        for event in events:
+            self.handle_event(event)
         due = self.model.due()
         if self.timer is not None:
             if self.timer.when == due and self.timer.active():
@@ -138,106 +141,113 @@
             self.timer = self.world.loop.at(due, self.wake)
 
     def wake(self) -> None:
-        """Take what happens by itself."""
+        """Advance the model when its next event is due."""
         self.timer = None
-        self.poke(self.model.advance(self.world.loop.now))
+        self.process_events(self.model.advance(self.world.loop.now))
 
-    def happened(self, h: WorkerEvent) -> None:
-        """Pass one happening on to whoever it concerns."""
-        attempt: SimulatedAttempt = h.task.owner  # type: ignore[assignment]
-        world, what = self.world, h.what
-        if what is WorkerEventKind.TAKEN:
+    def handle_event(self, event: WorkerEvent) -> None:
+        """Handle one event of the model: reply, call back or count it."""
+        attempt: SimulatedAttempt = event.task.owner  # type: ignore[assignment]
+        world = self.world
+        kind = event.kind
+        if kind is WorkerEventKind.TAKEN:
             self.reply(attempt, None)
-        elif what is WorkerEventKind.FULL:
+        elif kind is WorkerEventKind.FULL:
             self.reply(attempt, Outcome(Ending.FULL, report=self.report()))
-        elif what is WorkerEventKind.STARTED:
+        elif kind is WorkerEventKind.STARTED:
             world.audit.started(attempt)
             if world.scenario.reports.starts_told:
-                self.call_back(attempt, lambda e: e.upstream.noted(e, 0.0, started=True))
-        elif what is WorkerEventKind.PROGRESS:
-            self.call_back(attempt, lambda e, share=h.share: e.upstream.noted(e, share))  # type: ignore[misc]
+                self.call_back(attempt, lambda a: a.upstream.progress_reported(a, 0.0, started=True))
+        elif kind is WorkerEventKind.PROGRESS:
+            self.call_back(attempt, lambda a, share=event.share: a.upstream.progress_reported(a, share))  # type: ignore[misc]
         else:
-            world.tally.core_time(h.task)
-            if h.task.began is not None and what is not WorkerEventKind.DONE:
-                attempt.job.saved = max(attempt.job.saved, h.task.saved)
-            if what is WorkerEventKind.LOST:
+            world.tally.core_time(event.task)
+            if event.task.began is not None and kind is not WorkerEventKind.DONE:
+                attempt.job.saved = max(attempt.job.saved, event.task.saved)
+            if kind is WorkerEventKind.LOST:
                 self.lost(attempt)
-            elif (ending := ENDINGS.get(what)) is not None:
-                self.finished += 1
-                outcome = Outcome(ending, b"" if what is not WorkerEventKind.DONE else b"done", self.report())
-                self.call_back(attempt, lambda e: e.upstream.called_back(e, outcome))
+            elif (ending := ENDINGS.get(kind)) is not None:
+                self.finished_since_snapshot += 1
+                outcome = Outcome(ending, b"" if kind is not WorkerEventKind.DONE else b"done", self.report())
+                self.call_back(attempt, lambda a: a.upstream.called_back(a, outcome))
 
     def lost(self, attempt: SimulatedAttempt) -> None:
-        """Report a task that died with its process, where the worker host itself lives on."""
-        if not self.silent:
+        """Report a task lost with its process; a silent worker host reports nothing."""
+        if not self.silent_faults:
             outcome = Outcome(Ending.BROKEN)
             self.world.loop.after(
-                LOST_NOTICE, self.call_back, attempt, lambda e: e.upstream.called_back(e, outcome)
+                PROCESS_DEATH_NOTICE_MS, self.call_back, attempt, lambda a: a.upstream.called_back(a, outcome)
             )
 
     def reply(self, attempt: SimulatedAttempt, outcome: Outcome | None) -> None:
-        """Answer on the connection: taken, or not."""
+        """Answer on the connection; ``None`` means that the job was accepted."""
         if self.world.reaches(attempt.upstream, self):
             self.world.loop.after(self.delay(), attempt.answered, outcome)
 
     def call_back(
-        self, attempt: SimulatedAttempt, act: Callable[[SimulatedAttempt], None], tries: int = CALL_TRIES
+        self,
+        attempt: SimulatedAttempt,
+        deliver: Callable[[SimulatedAttempt], None],
+        attempts_left: int = MAX_CALL_BACK_ATTEMPTS,
     ) -> None:
-        """Call the dispatcher until it answers, ten times at most."""
-        self.world.loop.after(self.delay(), self.called, attempt, act, tries)
+        """Call the dispatcher, with up to MAX_CALL_BACK_ATTEMPTS attempts."""
+        self.world.loop.after(self.delay(), self.called, attempt, deliver, attempts_left)
 
-    def called(self, attempt: SimulatedAttempt, act: Callable[[SimulatedAttempt], None], tries: int) -> None:
-        """Deliver a call, or try again later."""
+    def called(
+        self, attempt: SimulatedAttempt, deliver: Callable[[SimulatedAttempt], None], attempts_left: int
+    ) -> None:
+        """Deliver a call-back, or schedule the next attempt."""
         if (
             self.world.reaches(attempt.upstream, self)
             and attempt.upstream.process.dispatcher_host.process is not None
         ):
-            act(attempt)
-        elif tries > 1:
-            self.world.loop.after(CALL_AGAIN, self.call_back, attempt, act, tries - 1)
+            deliver(attempt)
+        elif attempts_left > 1:
+            self.world.loop.after(CALL_BACK_INTERVAL_MS, self.call_back, attempt, deliver, attempts_left - 1)
 
-    # ---- what comes in ----
+    # ---- messages from dispatchers ----
 
     def connect(self, attempt: SimulatedAttempt) -> None:
-        """Take, refuse or not hear a new connection."""
+        """Handle a new connection: accept it, refuse it or leave it unanswered."""
         if not self.world.reaches(attempt.upstream, self):
             return
         if not self.model.up:
             self.world.loop.after(self.delay(), attempt.refused)
             return
         if len(self.links) >= self.kind.connections:
-            return  # it holds all it accepts: the caller waits until its time is up
+            return  # the accept queue is full: the caller waits until its timeout
         if self.model.paused:
-            self.frozen.append(lambda: self.connect(attempt))
+            self.paused_handshakes.append(lambda: self.connect(attempt))
             return
-        link = attempt.upstream.link_to(self)
+        link = attempt.upstream.new_link(self)
         self.links.add(link)
         self.model.connections = len(self.links)
-        self.poke(self.model.charge(self.world.loop.now, self.kind.connection_work))
+        self.process_events(self.model.charge(self.world.loop.now, self.kind.connection_work))
         trips = max(0.0, self.world.scenario.network.handshake_trips - 0.5)
-        self.world.loop.after(self.model.backlog() + 2 * trips * self.delay(), attempt.up, link)
+        self.world.loop.after(self.model.backlog() + 2 * trips * self.delay(), attempt.connected, link)
 
     def receive(self, attempt: SimulatedAttempt, link: Link) -> None:
-        """Hear a job's last byte."""
+        """Handle a job whose last byte has arrived."""
         world = self.world
         if not world.reaches(attempt.upstream, self):
             return
-        if not link.open or link.deaf or not self.model.up:  # nobody reads it
-            world.loop.after(self.delay(), attempt.broke)
+        if not link.open or link.unreachable or not self.model.up:  # no process reads it
+            world.loop.after(self.delay(), attempt.link_lost)
             return
         chance = 1.0
-        for part in self.resetting:
-            chance *= 1 - part
-        if chance < 1.0 and next(self.luck) > chance:
+        for reset_chance in self.resetting:
+            chance *= 1 - reset_chance
+        if chance < 1.0 and next(self.uniform_draws) > chance:
             link.close()
-            world.loop.after(self.delay(), attempt.broke)
-            if next(self.luck) < 0.5:
-                return  # it had not read the job yet; else it runs, and nobody hears of it
+            world.loop.after(self.delay(), attempt.link_lost)
+            if next(self.uniform_draws) < 0.5:
+                return  # the worker had not read the job; otherwise it runs unreported
         job = attempt.job
-        chance, after = self.kind.errors, 0.5
-        for part, share in self.failing:
-            chance, after = max(chance, part), share if part > chance else after
-        fails = after if chance > 0 and next(self.luck) < chance else None
+        chance = self.kind.errors
+        after = 0.5
+        for fail_chance, share in self.failing:
+            chance, after = max(chance, fail_chance), share if fail_chance > chance else after
+        fails_at = after if chance > 0 and next(self.uniform_draws) < chance else None
         work = job.work * next(self.noise[job.load.cls.name])
         task = Task(
             attempt,
@@ -245,38 +255,40 @@
             job.slots,
             attempt.ends,
             job.safe,
-            fails,
+            fails_at,
             min(0.99, job.saved),
-            world.audit.informed(attempt.upstream.process, self),
+            world.audit.is_informed(attempt.upstream.process, self),
             attempt,
         )
         attempt.task = task
-        self.poke(self.model.offer(world.loop.now, task))
-        if self.model.fallen:
-            self.fell()
+        self.process_events(self.model.offer(world.loop.now, task))
+        if self.model.overloaded:
+            self.crash_on_overload()
 
     def cancel(self, attempt: SimulatedAttempt) -> None:
-        """Hear that an attempt is given up."""
+        """Handle the cancellation of an attempt."""
         if self.model.up:
-            self.poke(self.model.cancel(self.world.loop.now, attempt))
+            self.process_events(self.model.cancel(self.world.loop.now, attempt))
 
     # ---- reports ----
 
     def snapshot(self) -> None:
-        """Measure what reports say for the next while."""
-        world, reports = self.world, self.world.scenario.reports
-        book = self.model.ledger
-        self.poke(self.model.advance(world.loop.now))
-        busy = book.busy + book.overhead
-        util = (busy - self.busy_seen) / (self.kind.cores * reports.period)
+        """Record the load report that is sent until the next snapshot."""
+        world = self.world
+        reports = self.world.scenario.reports
+        ledger = self.model.ledger
+        self.process_events(self.model.advance(world.loop.now))
+        busy = ledger.busy + ledger.overhead
+        util = (busy - self.last_busy) / (self.kind.cores * reports.period)
         values = {
-            "qps": self.finished * 1000 / reports.period,
+            "qps": self.finished_since_snapshot * 1000 / reports.period,
             "util": util,
             "x0": float(self.model.free_slots),
             "inflight": float(self.model.held),
             "queue": float(self.model.held - len(self.model.running)),
         }
-        self.finished, self.busy_seen = 0, busy
+        self.finished_since_snapshot = 0
+        self.last_busy = busy
         self.snapshots.append(
             (
                 world.loop.now + reports.delay,
@@ -288,7 +300,7 @@
         world.loop.after(reports.period, self.snapshot)
 
     def report(self) -> tuple[float, ...]:
-        """Give the newest report that is old enough to be sent."""
+        """Return the newest load report whose delay has passed; empty if there is none."""
         now = self.world.loop.now
         while len(self.snapshots) > 1 and self.snapshots[1][0] <= now:
             self.snapshots.popleft()
@@ -297,68 +309,69 @@
     # ---- faults ----
 
     def state(self) -> WorkerState:
-        """Say what the list would show if it were not late."""
+        """Return the present state, which the endpoint list shows after a delay."""
         if not self.model.up:
             return WorkerState.GONE
         return WorkerState.DRAINING if self.model.draining else WorkerState.UP
 
     def drop_links(self) -> None:
-        """Reset every connection, as a process that dies does; a silent worker host resets none."""
+        """Reset every connection; a silent worker host leaves them open and unreachable."""
         for link in sorted(self.links, key=lambda link: link.number):
-            if self.silent:
-                link.deaf = True
+            if self.silent_faults:
+                link.unreachable = True
             else:
                 link.reset()
         self.links.clear()
         self.model.connections = 0
 
     def die(self) -> None:
-        """Lose the process."""
+        """Crash the process."""
         if self.model.up:
-            self.poke(self.model.die(self.world.loop.now))
+            self.process_events(self.model.die(self.world.loop.now))
             self.drop_links()
-            self.frozen.clear()
+            self.paused_handshakes.clear()
 
-    def fell(self) -> None:
-        """Stay down after a fall: the rule's case."""
-        self.model.fallen = False
-        self.world.audit.fell(self)
+    def crash_on_overload(self) -> None:
+        """Stay down after a crash by overload while cold."""
+        self.model.overloaded = False
+        self.world.audit.cold_worker_overloaded(self)
         self.drop_links()
         self.world.listing.changed(self, self.world.scenario.listing.notice)
 
     def start(self, cold_share: float | None = None) -> None:
-        """Start a new process, cold."""
+        """Start a new, cold process."""
         self.model.start(self.world.loop.now, cold_share)
-        self.model.slow = 1.0
-        for factor in self.slows:
-            self.model.slow *= factor
+        self.model.slowdown = 1.0
+        for factor in self.slowdown_factors:
+            self.model.slowdown *= factor
         self.world.listing.changed(self, self.world.scenario.listing.add)
-        self.poke([])
+        self.process_events([])
 
-    def slow_by(self, old: float | None, new: float | None) -> None:
-        """Change one of the factors by which it runs slower."""
+    def change_slowdown(self, old: float | None, new: float | None) -> None:
+        """Replace, add or remove one slowdown factor."""
         if old is not None:
-            self.slows.remove(old)
+            self.slowdown_factors.remove(old)
         if new is not None:
-            self.slows.append(new)
+            self.slowdown_factors.append(new)
         factor = 1.0
-        for part in self.slows:
-            factor *= part
-        self.poke(self.model.slowed(self.world.loop.now, factor))
-
-    def pause(self, on: bool) -> None:
-        """Stand still, or go on; overlapping pauses last until the last ends."""
-        self.pauses += 1 if on else -1
-        if on and self.pauses == 1:
-            self.poke(self.model.pause(self.world.loop.now))
-        elif not on and self.pauses == 0:
-            self.poke(self.model.resume(self.world.loop.now))
-            frozen, self.frozen = self.frozen, []
-            for act in frozen:
-                act()
+        for slowdown in self.slowdown_factors:
+            factor *= slowdown
+        self.process_events(self.model.set_slowdown(self.world.loop.now, factor))
+
+    def pause(self, paused: bool) -> None:
+        """Pause or resume the process; overlapping pauses end with the last of them."""
+        self.pause_faults += 1 if paused else -1
+        if paused and self.pause_faults == 1:
+            self.process_events(self.model.pause(self.world.loop.now))
+        elif not paused and self.pause_faults == 0:
+            self.process_events(self.model.resume(self.world.loop.now))
+            paused_handshakes = self.paused_handshakes
+            self.paused_handshakes = []
+            for handshake in paused_handshakes:
+                handshake()
 
     def drain(self) -> None:
-        """Want nothing new, and say so on the list."""
+        """Drain the process, and show that in the endpoint list."""
         if self.model.up and not self.model.draining:
-            self.poke(self.model.drain(self.world.loop.now))
+            self.process_events(self.model.drain(self.world.loop.now))
             self.world.listing.changed(self, 0.0)
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -1,4 +1,4 @@
-"""One scenario, played: everything that is in it, and the loop that moves it."""
+"""One simulation run of a scenario: its components and its event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from elderstall.simulation.attempt import AttemptCarrier, TargetHost
+from elderstall.simulation.attempt import AttemptTransport, TargetHost
 from elderstall.simulation.audit import Auditor
 from elderstall.simulation.clients import Clients
 from elderstall.simulation.dispatcher_host import CountingLog, DispatcherHost
@@ -21,23 +21,25 @@
 from elderstall.simulation.scenario import EPOCH, Scenario
 from elderstall.simulation.worker_host import WorkerHost
 
-COLLECT = 50_000, 10, 10  # allocations between looks for cycles, by generation
-STEP = 250.0  # ms of the scenario between looks at its progress
+GC_THRESHOLDS = 50_000, 10, 10  # of the garbage collector, by generation
+PROGRESS_STEP_MS = 250.0  # simulated time between calls of ``progress``
 
 
 class World:
-    """The network, and who is on it."""
+    """The simulated network with its workers, dispatchers, clients and endpoint list."""
 
     def __init__(self, scenario: Scenario, seed: int | None = None, explain: int | None = None) -> None:
         self.scenario = scenario
         self.seed = scenario.seed if seed is None else seed
-        self.loop, self.draws, self.log = VirtualTime(), Draws(self.seed), CountingLog()
+        self.loop = VirtualTime()
+        self.draws = Draws(self.seed)
+        self.log = CountingLog()
         self.epoch = EPOCH
         self.tally = Tally(scenario)
         self.audit = Auditor(self.loop, scenario.rules)
-        self.explain = explain  # the number of a request that is kept
+        self.explain = explain  # number of the request to keep for ``explained``
         self.explained: Request | None = None
-        self.cut: Counter[tuple[int, str]] = Counter()  # paths on which nothing arrives, by fault
+        self.cut: Counter[tuple[int, str]] = Counter()  # faults that cut a path, by rank and worker
         self.struck: dict[int, list[str]] = {}
         self.absent: set[str] = set()  # not in service at the start
         kinds = {kind.name: kind for kind in scenario.kinds}
@@ -52,26 +54,26 @@
             DispatcherHost(self, rank, weight) for rank, weight in enumerate(scenario.dispatchers.weights)
         ]
 
-    def reaches(self, upstream: AttemptCarrier, worker_host: TargetHost) -> bool:
-        """Say whether anything said between a dispatcher and a worker host arrives now."""
-        if worker_host.silent:
+    def reaches(self, upstream: AttemptTransport, worker_host: TargetHost) -> bool:
+        """Return whether messages between a dispatcher and a worker host are delivered at present."""
+        if worker_host.silent_faults:
             return False
         return not self.cut or self.cut[upstream.process.dispatcher_host.rank, worker_host.name] <= 0
 
-    # ---- playing ----
+    # ---- running ----
 
     def begin(self) -> None:
-        """Set everything up."""
+        """Start every component of the simulation."""
         Faults(self).begin()
         for name in sorted(self.absent):
             self.worker_hosts[name].model.die(0.0)
         self.listing.begin(list(self.worker_hosts.values()))
         starts = self.draws.uniform("start")
         for dispatcher_host in self.dispatcher_hosts:
-            dispatcher_host.known = self.listing.version, tuple(self.listing.entries.values())
+            dispatcher_host.last_list = self.listing.version, tuple(self.listing.entries.values())
             dispatcher_host.start()
             if not self.scenario.listing.must_ask and dispatcher_host.process is not None:
-                # Notified without a call: after a moment of its own, as processes do not start in step.
+                # Notified without a list call, after a random delay: processes do not start in step.
                 self.loop.after(
                     next(starts) * self.scenario.dispatchers.start_spread,
                     self.listing.follow,
@@ -81,12 +83,12 @@
         self.loop.at(BIN, self.sample, dict.fromkeys(self.worker_hosts, 0.0))
 
     def sample(self, before: dict[str, float]) -> None:
-        """Note each worker's load over the last second."""
+        """Record each worker's load over the last bin."""
         busy = []
         for name, worker_host in self.worker_hosts.items():
-            worker_host.poke(worker_host.model.advance(self.loop.now))
-            book = worker_host.model.ledger
-            used = book.busy + book.overhead
+            worker_host.process_events(worker_host.model.advance(self.loop.now))
+            ledger = worker_host.model.ledger
+            used = ledger.busy + ledger.overhead
             busy.append((used - before[name]) / (worker_host.kind.cores * BIN))
             before[name] = used
         self.tally.sample(busy, self.loop.now)
@@ -94,15 +96,15 @@
             self.loop.at(self.loop.now + BIN, self.sample, before)
 
     def play(self, progress: Callable[[float], None] | None = None) -> dict[str, Any]:
-        """Play to the end, and give the figures; ``progress`` gets the share that is done."""
-        with few_collections():
+        """Run to the end and return the figures; ``progress`` is called with the fraction done."""
+        with infrequent_garbage_collection():
             return self._play(progress)
 
     def _play(self, progress: Callable[[float], None] | None) -> dict[str, Any]:
         self.begin()
         end = self.scenario.length + self.scenario.tail
         while self.loop.now < end:
-            self.loop.run(min(end, self.loop.now + STEP))
+            self.loop.run(min(end, self.loop.now + PROGRESS_STEP_MS))
             if self.loop.now >= self.scenario.length and not self.clients.open:
                 break
             if progress is not None:
@@ -116,12 +118,12 @@
 
 
 @contextmanager
-def few_collections() -> Iterator[None]:
-    """Have Python look for cycles less often: a large fleet is millions of objects that live on."""
+def infrequent_garbage_collection() -> Iterator[None]:
+    """Run the cyclic garbage collector less often; a large fleet has millions of long-lived objects."""
     before = gc.get_threshold()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         yield
     finally:
@@ -130,5 +132,5 @@
 
 
 def play(scenario: Scenario, seed: int | None = None) -> dict[str, Any]:
-    """Play a scenario and give its figures."""
+    """Run a scenario and return its figures."""
     return World(scenario, seed).play()
--- a/tests/test_simulation_loop.py
+++ b/tests/test_simulation_loop.py
@@ -10,7 +10,7 @@
 from zope.interface.verify import verifyObject
 
 from elderstall.deadlines import Deadlines
-from elderstall.simulation.loop import COMPACT_AT, VirtualTime
+from elderstall.simulation.loop import MIN_HEAP_SIZE_TO_COMPACT, VirtualTime
 
 
 def test_it_is_a_reactors_clock() -> None:
@@ -21,7 +21,8 @@
 
 
 def test_calls_can_be_put_off_cancelled_and_asked() -> None:
-    loop, seen = VirtualTime(), list[str]()
+    loop = VirtualTime()
+    seen = list[str]()
     a, b, c = (loop.callLater(1.0, seen.append, name) for name in "abc")
     a.delay(2.0)
     b.cancel()
@@ -40,7 +41,8 @@
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.booleans()), max_size=80))
 def test_calls_come_in_order_of_time_and_then_of_asking(plan: list[tuple[int, bool]]) -> None:
-    loop, seen = VirtualTime(), list[tuple[float, int]]()
+    loop = VirtualTime()
+    seen = list[tuple[float, int]]()
 
     def come(n: int) -> None:
         seen.append((loop.now, n))
@@ -51,18 +53,19 @@
             call.stop()
     loop.run(100.0)
     assert seen == sorted((float(when), n) for n, (when, cancel) in enumerate(plan) if not cancel)
-    assert loop.live == 0
+    assert loop.active_count == 0
 
 
 def test_cancelled_calls_take_no_memory_for_long() -> None:
     loop = VirtualTime()
-    for _ in range(20 * COMPACT_AT):
+    for _ in range(20 * MIN_HEAP_SIZE_TO_COMPACT):
         loop.after(1e6, print).cancel()
-    assert len(loop.heap) <= COMPACT_AT + 1
+    assert len(loop.heap) <= MIN_HEAP_SIZE_TO_COMPACT + 1
 
 
 def test_the_real_deadlines_run_on_it() -> None:
-    loop, seen = VirtualTime(), list[float]()
+    loop = VirtualTime()
+    seen = list[float]()
     deadlines = Deadlines(loop, loop.seconds, 5_000.0)
     for delay in (30.0, 10.0, 20.0):
         deadlines.after(delay, lambda: seen.append(deadlines.now()))
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -22,7 +22,7 @@
 from elderstall.engine.rules import Rules as EngineRules
 from elderstall.interface import Effect, Ending, Endpoint, JobClass
 from elderstall.messages import Outcome, Rejected
-from elderstall.simulation.audit import KEPT, lines_of
+from elderstall.simulation.audit import MAX_KEPT_VIOLATIONS, history_lines
 from elderstall.simulation.reading import find, read
 from elderstall.simulation.requests import Request, Try
 from elderstall.simulation.scenario import (
@@ -52,7 +52,7 @@
     """Every request ends once, every try taken is answered, dropped or left, every core ms is booked."""
     audit = world.audit
     assert sum(figures["endings"].values()) == figures["requests"] == world.clients.count
-    assert not world.clients.open and not audit.watched
+    assert not world.clients.open and not audit.open_tries
     assert audit.taken_count == audit.answered_count + audit.dropped_count + audit.left_count
     for worker_host in world.worker_hosts.values():
         assert worker_host.model.ledger.total == pytest.approx(worker_host.kind.cores * world.loop.now)
@@ -105,7 +105,8 @@
 
 def test_the_same_night_is_the_same_to_the_byte_in_two_processes() -> None:
     where = ROOT / "deploy" / "rehearsals" / "slow-quarter.conf"
-    first, second = text_of("1", "UTC", where), text_of("77", "America/Bogota", where)
+    first = text_of("1", "UTC", where)
+    second = text_of("77", "America/Bogota", where)
     assert first == second and json.loads(first)["requests"] > 300
 
 
@@ -123,7 +124,8 @@
         world.play()
         return seen
 
-    calm, burst = asked(), asked(Fault("burst", 4_000.0, 3_000.0, factor=2.0))
+    calm = asked()
+    burst = asked(Fault("burst", 4_000.0, 3_000.0, factor=2.0))
     assert calm < burst and len(burst - calm) > 40
     assert not calm & asked(seed=2)
 
@@ -166,7 +168,7 @@
         Fault("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",), planned=False),
     )
     conserved(figures, world)
-    assert world.audit.dropped_count > 0 and world.dispatcher_hosts[0].lives == 2
+    assert world.audit.dropped_count > 0 and world.dispatcher_hosts[0].process_count == 2
     assert figures["endings"].get("lost", 0) > 0, "what must not be repeated is not tried again"
     assert figures["rules"]["broken"] == 0
 
@@ -174,7 +176,7 @@
 def test_a_planned_restart_loses_nothing_that_ends_in_its_time() -> None:
     figures, world = played(Fault("dispatcher-restart", 5_000.0, 500.0, dispatchers=("n1",)))
     conserved(figures, world)
-    assert world.dispatcher_hosts[0].lives == 2 and world.audit.dropped_count == 0
+    assert world.dispatcher_hosts[0].process_count == 2 and world.audit.dropped_count == 0
 
 
 def test_a_worker_falls_over_with_unsafe_jobs_in_it() -> None:
@@ -187,15 +189,15 @@
     def push() -> None:
         """Have it sent more than it can take, by nobody who knew."""
         worker_host = world.worker_hosts["w-1"]
-        worker_host.model.sent.append((world.loop.now, 1e6, False))
-        worker_host.model.pushed += 1e6
+        worker_host.model.cold_sends.append((world.loop.now, 1e6, False))
+        worker_host.model.cold_work_sent += 1e6
 
     world.loop.at(4_000.0, drop_idle)
     world.loop.at(4_600.0, push)
     figures = world.play()
     conserved(figures, world)
     model = world.worker_hosts["w-1"].model
-    assert not model.up and model.blame < 0.5
+    assert not model.up and model.informed_fraction < 0.5
     assert figures["rules"]["broken"] == 0, "dispatchers that were not told are not to blame"
     assert figures["endings"].get("failed", 0) > 0
 
@@ -332,7 +334,7 @@
 
 def broken(world: World) -> list[tuple[int, str]]:
     figures = world.play()
-    assert min(figures["rules"]["broken"], KEPT) == len(world.audit.broken) > 0
+    assert min(figures["rules"]["broken"], MAX_KEPT_VIOLATIONS) == len(world.audit.broken) > 0
     assert all(b.history for b in world.audit.broken if b.request is not None)
     return [(b.rule, b.what) for b in world.audit.broken]
 
@@ -412,7 +414,7 @@
     assert any("second copy" in what for what in found) and any(
         "refused, but it may have run" in what for what in found
     )
-    assert any("sent to" in line for line in lines_of(job.request.original.request))  # type: ignore[attr-defined]
+    assert any("sent to" in line for line in history_lines(job.request.original.request))  # type: ignore[attr-defined]
 
 
 def test_playing_twice_in_one_process_gives_the_same() -> None:
--- a/tests/test_simulation_worker.py
+++ b/tests/test_simulation_worker.py
@@ -9,102 +9,108 @@
 from hypothesis import strategies as st
 
 from elderstall.simulation.scenario import Kind
-from elderstall.simulation.worker import CardWorker, Push, Task, WorkerEvent, WorkerEventKind
+from elderstall.simulation.worker import CardWorker, ColdLoadLimit, Task, WorkerEvent, WorkerEventKind
 
 PLAIN = Kind("plain", cores=2, slots=2, queue=2, cold_share=0.5, cold_for=0.0)
 
 
 def ends(
-    happenings: list[WorkerEvent], what: WorkerEventKind = WorkerEventKind.DONE
+    events: list[WorkerEvent], kind: WorkerEventKind = WorkerEventKind.DONE
 ) -> list[tuple[object, object]]:
-    return [(h.task.key, pytest.approx(h.at)) for h in happenings if h.what is what]
+    return [(event.task.key, pytest.approx(event.at)) for event in events if event.kind is kind]
 
 
 def test_slots_over_cores_share_them() -> None:
-    w = CardWorker(Kind("k", cores=2, slots=4, cold_for=0.0), speed=1.0)
+    worker = CardWorker(Kind("k", cores=2, slots=4, cold_for=0.0), speed=1.0)
     for key in "abcd":
-        w.offer(0.0, Task(key, 100.0))
-    assert ends(w.advance(1_000.0)) == [(key, 200.0) for key in "abcd"]  # four on two cores: half speed each
-    assert w.ledger.busy == pytest.approx(400.0) and w.ledger.idle == pytest.approx(1_600.0)
+        worker.offer(0.0, Task(key, 100.0))
+    assert ends(worker.advance(1_000.0)) == [
+        (key, 200.0) for key in "abcd"
+    ]  # four on two cores: half speed each
+    assert worker.ledger.busy == pytest.approx(400.0) and worker.ledger.idle == pytest.approx(1_600.0)
 
 
 def test_speed_and_a_later_arrival() -> None:
-    w = CardWorker(Kind("k", cores=1, slots=2, cold_for=0.0), speed=2.0)
-    w.offer(0.0, Task("a", 100.0))
-    w.offer(25.0, Task("b", 100.0))  # a has done 50; from here each moves at 1.0
-    assert ends(w.advance(1_000.0)) == [("a", 75.0), ("b", 100.0)]
+    worker = CardWorker(Kind("k", cores=1, slots=2, cold_for=0.0), speed=2.0)
+    worker.offer(0.0, Task("a", 100.0))
+    worker.offer(25.0, Task("b", 100.0))  # a has done 50; from here each moves at 1.0
+    assert ends(worker.advance(1_000.0)) == [("a", 75.0), ("b", 100.0)]
 
 
 def test_the_head_of_the_queue_waits_until_it_fits_and_all_behind_it() -> None:
-    w = CardWorker(PLAIN, speed=1.0)
-    w.offer(0.0, Task("long", 100.0))
-    w.offer(0.0, Task("wide", 50.0, slots=2))
-    w.offer(0.0, Task("small", 10.0))  # a slot is free, but the head is before it
-    seen = w.advance(1_000.0)
+    worker = CardWorker(PLAIN, speed=1.0)
+    worker.offer(0.0, Task("long", 100.0))
+    worker.offer(0.0, Task("wide", 50.0, slots=2))
+    worker.offer(0.0, Task("small", 10.0))  # a slot is free, but the head is before it
+    seen = worker.advance(1_000.0)
     assert ends(seen, WorkerEventKind.STARTED) == [("wide", 100.0), ("small", 150.0)]
     assert ends(seen) == [("long", 100.0), ("wide", 150.0), ("small", 160.0)]
 
 
 def test_past_its_waiting_room_it_is_full_and_never_holds_what_cannot_run() -> None:
-    w = CardWorker(PLAIN, speed=1.0)
-    verdicts = [w.offer(0.0, Task(n, 100.0))[0].what for n in range(5)]
+    worker = CardWorker(PLAIN, speed=1.0)
+    verdicts = [worker.offer(0.0, Task(n, 100.0))[0].kind for n in range(5)]
     assert verdicts == [WorkerEventKind.TAKEN] * 4 + [WorkerEventKind.FULL]
-    assert w.offer(0.0, Task("wide", 1.0, slots=3))[0].what is WorkerEventKind.FULL
-    assert w.held == 4
+    assert worker.offer(0.0, Task("wide", 1.0, slots=3))[0].kind is WorkerEventKind.FULL
+    assert worker.held == 4
 
 
 def test_it_warms_by_time() -> None:
-    w = CardWorker(Kind("k", cores=1, slots=1, cold_share=0.5, cold_for=1_000.0), speed=1.0)
-    w.start(0.0)
-    w.offer(0.0, Task("a", 600.0))
-    assert w.warmth(500.0) == 0.75
+    worker = CardWorker(Kind("k", cores=1, slots=1, cold_share=0.5, cold_for=1_000.0), speed=1.0)
+    worker.start(0.0)
+    worker.offer(0.0, Task("a", 600.0))
+    assert worker.warm_up_fraction(500.0) == 0.75
     # 0.5 t + 0.25e-3 t^2 = 600 has its root at 843.9
-    assert ends(w.advance(5_000.0)) == [("a", (-0.5 + math.sqrt(0.25 + 0.6)) / 0.0005)]
-    w.offer(5_000.0, Task("b", 600.0))
-    assert ends(w.advance(9_000.0)) == [("b", 5_600.0)]
+    assert ends(worker.advance(5_000.0)) == [("a", (-0.5 + math.sqrt(0.25 + 0.6)) / 0.0005)]
+    worker.offer(5_000.0, Task("b", 600.0))
+    assert ends(worker.advance(9_000.0)) == [("b", 5_600.0)]
 
 
 def test_it_warms_by_work() -> None:
     kind = Kind("k", cores=1, slots=1, cold_share=0.5, cold_for=1_000.0, warm_by_work=True)
-    w = CardWorker(kind, speed=4.0)
-    w.start(0.0)
-    w.offer(0.0, Task("a", 4_000.0))  # all the work there is to warm by: from 0.5 to 1 as exp(t / 2000)
-    seen = w.advance(5_000.0)
-    assert w.warmth(0.0) == 1.0
+    worker = CardWorker(kind, speed=4.0)
+    worker.start(0.0)
+    worker.offer(0.0, Task("a", 4_000.0))  # all the work there is to warm by: from 0.5 to 1 as exp(t / 2000)
+    seen = worker.advance(5_000.0)
+    assert worker.warm_up_fraction(0.0) == 1.0
     assert ends(seen) == [("a", 2_000.0 * math.log(2))]
 
 
 def test_pushed_past_the_multiple_it_falls_over_and_stays_down() -> None:
     kind = Kind("k", cores=1, slots=1, queue=0, cold_share=0.5, cold_for=10_000.0)
-    w = CardWorker(kind, speed=1.0, push=Push(4.0, 1_000.0))
-    w.start(0.0)
+    worker = CardWorker(kind, speed=1.0, cold_load_limit=ColdLoadLimit(4.0, 1_000.0))
+    worker.start(0.0)
     budget = 4.0 * 0.5 * 1_000.0
-    assert w.offer(0.0, Task("a", budget - 100.0))[0].what is WorkerEventKind.TAKEN
-    assert w.offer(0.0, Task("b", 99.0))[0].what is WorkerEventKind.FULL  # refused work counts as well
-    assert w.up
-    seen = w.offer(0.0, Task("c", 2.0, informed=False))
-    assert [h.what for h in seen] == [WorkerEventKind.LOST, WorkerEventKind.LOST] and w.fallen and not w.up
-    assert w.blame == pytest.approx((budget - 1) / (budget + 1))
+    assert worker.offer(0.0, Task("a", budget - 100.0))[0].kind is WorkerEventKind.TAKEN
+    assert worker.offer(0.0, Task("b", 99.0))[0].kind is WorkerEventKind.FULL  # refused work counts as well
+    assert worker.up
+    seen = worker.offer(0.0, Task("c", 2.0, informed=False))
+    assert (
+        [event.kind for event in seen] == [WorkerEventKind.LOST, WorkerEventKind.LOST]
+        and worker.overloaded
+        and not worker.up
+    )
+    assert worker.informed_fraction == pytest.approx((budget - 1) / (budget + 1))
 
 
 def test_the_window_forgets_and_the_budget_grows_with_warmth() -> None:
     kind = Kind("k", cores=1, slots=1, queue=0, cold_share=0.5, cold_for=10_000.0)
-    w = CardWorker(kind, speed=1.0, push=Push(4.0, 1_000.0))
-    w.start(0.0)
-    w.offer(0.0, Task("a", 1_900.0))
-    w.offer(1_000.5, Task("b", 1_900.0))
-    assert w.up
-    w.offer(1_001.0, Task("c", 600.0))
-    assert w.fallen
+    worker = CardWorker(kind, speed=1.0, cold_load_limit=ColdLoadLimit(4.0, 1_000.0))
+    worker.start(0.0)
+    worker.offer(0.0, Task("a", 1_900.0))
+    worker.offer(1_000.5, Task("b", 1_900.0))
+    assert worker.up
+    worker.offer(1_001.0, Task("c", 600.0))
+    assert worker.overloaded
 
 
 def test_connections_cost_all_cores_first() -> None:
-    w = CardWorker(PLAIN, speed=1.0)
-    w.offer(0.0, Task("a", 100.0))
-    w.charge(0.0, 20.0)  # two cores: 10 ms
-    assert w.backlog() == pytest.approx(10.0)
-    assert ends(w.advance(500.0)) == [("a", 110.0)]
-    assert w.ledger.overhead == pytest.approx(20.0)
+    worker = CardWorker(PLAIN, speed=1.0)
+    worker.offer(0.0, Task("a", 100.0))
+    worker.charge(0.0, 20.0)  # two cores: 10 ms
+    assert worker.backlog() == pytest.approx(10.0)
+    assert ends(worker.advance(500.0)) == [("a", 110.0)]
+    assert worker.ledger.overhead == pytest.approx(20.0)
 
 
 def test_open_connections_and_crowding_take_their_part() -> None:
@@ -119,67 +125,73 @@
         crowd_at=2,
         crowd_cost=0.5,
     )
-    w = CardWorker(kind, speed=1.0)
-    w.connections = 50
-    assert w.ease() == pytest.approx(0.9)
+    worker = CardWorker(kind, speed=1.0)
+    worker.connections = 50
+    assert worker.efficiency() == pytest.approx(0.9)
     for n in range(4):
-        w.offer(0.0, Task(n, 100.0))
-    assert w.ease() == pytest.approx(0.9 / 2)
+        worker.offer(0.0, Task(n, 100.0))
+    assert worker.efficiency() == pytest.approx(0.9 / 2)
 
 
 def test_a_pause_holds_everything_and_then_all_comes_at_once() -> None:
-    w = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0), speed=1.0, progress_every=100.0)
-    w.offer(0.0, Task("a", 450.0))
-    assert [h.at for h in w.advance(150.0)] == [100.0]
-    w.pause(150.0)
-    assert w.offer(200.0, Task("b", 10.0)) == [] and w.advance(3_000.0) == [] and w.due() == math.inf
-    seen = w.resume(3_150.0)
-    assert {h.at for h in seen} == {3_150.0}
-    assert [h.what for h in seen if h.what is not WorkerEventKind.PROGRESS] == [WorkerEventKind.TAKEN]
-    assert ends(w.advance(9_000.0)) == [("a", 3_450.0), ("b", 3_460.0)]
-    assert w.ledger.paused == pytest.approx(3_000.0)
+    worker = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0), speed=1.0, progress_every=100.0)
+    worker.offer(0.0, Task("a", 450.0))
+    assert [event.at for event in worker.advance(150.0)] == [100.0]
+    worker.pause(150.0)
+    assert (
+        worker.offer(200.0, Task("b", 10.0)) == []
+        and worker.advance(3_000.0) == []
+        and worker.due() == math.inf
+    )
+    seen = worker.resume(3_150.0)
+    assert {event.at for event in seen} == {3_150.0}
+    assert [event.kind for event in seen if event.kind is not WorkerEventKind.PROGRESS] == [
+        WorkerEventKind.TAKEN
+    ]
+    assert ends(worker.advance(9_000.0)) == [("a", 3_450.0), ("b", 3_460.0)]
+    assert worker.ledger.paused == pytest.approx(3_000.0)
 
 
 def test_a_drain_hands_back_what_has_not_started() -> None:
-    w = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0), speed=1.0)
+    worker = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0), speed=1.0)
     for n in range(3):
-        w.offer(0.0, Task(n, 100.0))
-    assert [(h.what, h.task.key) for h in w.drain(10.0)] == [
+        worker.offer(0.0, Task(n, 100.0))
+    assert [(event.kind, event.task.key) for event in worker.drain(10.0)] == [
         (WorkerEventKind.RETURNED, 1),
         (WorkerEventKind.RETURNED, 2),
     ]
-    assert w.offer(20.0, Task("new", 1.0))[0].what is WorkerEventKind.FULL
-    assert ends(w.advance(500.0)) == [(0, 100.0)]
+    assert worker.offer(20.0, Task("new", 1.0))[0].kind is WorkerEventKind.FULL
+    assert ends(worker.advance(500.0)) == [(0, 100.0)]
 
 
 @pytest.mark.parametrize(("cancel", "stopped"), [("none", []), ("waiting", ["b"]), ("all", ["a", "b"])])
 def test_what_stops_at_a_cancel_is_the_kinds_to_say(cancel: str, stopped: list[str]) -> None:
-    w = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0, cancel=cancel), speed=1.0)
-    w.offer(0.0, Task("a", 100.0))
-    w.offer(0.0, Task("b", 100.0))
-    seen = w.cancel(50.0, "b") + w.cancel(50.0, "a") + w.advance(1_000.0)
-    assert [h.task.key for h in seen if h.what is WorkerEventKind.STOPPED] == stopped[::-1]
+    worker = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0, cancel=cancel), speed=1.0)
+    worker.offer(0.0, Task("a", 100.0))
+    worker.offer(0.0, Task("b", 100.0))
+    seen = worker.cancel(50.0, "b") + worker.cancel(50.0, "a") + worker.advance(1_000.0)
+    assert [event.task.key for event in seen if event.kind is WorkerEventKind.STOPPED] == stopped[::-1]
     assert len(ends(seen)) == 2 - len(stopped)
 
 
 def test_a_safe_job_goes_on_from_its_last_saved_second() -> None:
-    w = CardWorker(Kind("k", cores=1, slots=2, cold_for=0.0), speed=1.0, checkpoint=1_000.0)
-    w.offer(0.0, Task("safe", 4_000.0, repeatable=True))
-    lost = {h.task.key: h.task for h in w.die(2_500.0)}
+    worker = CardWorker(Kind("k", cores=1, slots=2, cold_for=0.0), speed=1.0, checkpoint=1_000.0)
+    worker.offer(0.0, Task("safe", 4_000.0, repeatable=True))
+    lost = {event.task.key: event.task for event in worker.die(2_500.0)}
     assert lost["safe"].saved == pytest.approx(0.5 * 0.5 * 2.0)  # 2 of the 2.5 s, of 4 s
-    w.start(3_000.0)
-    w.cold_share = 1.0
+    worker.start(3_000.0)
+    worker.cold_share = 1.0
     task = Task("again", 4_000.0, repeatable=True, saved=lost["safe"].saved)
-    w.offer(3_000.0, task)
-    assert ends(w.advance(9_000.0)) == [("again", 5_000.0)]
+    worker.offer(3_000.0, task)
+    assert ends(worker.advance(9_000.0)) == [("again", 5_000.0)]
 
 
 def test_expired_work_is_dropped_when_its_turn_comes() -> None:
-    w = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0, drops_expired=True), speed=1.0)
-    w.offer(0.0, Task("a", 100.0))
-    w.offer(0.0, Task("b", 100.0, deadline=90.0))
-    w.offer(0.0, Task("c", 10.0))
-    seen = w.advance(500.0)
+    worker = CardWorker(Kind("k", cores=1, slots=1, queue=5, cold_for=0.0, drops_expired=True), speed=1.0)
+    worker.offer(0.0, Task("a", 100.0))
+    worker.offer(0.0, Task("b", 100.0, deadline=90.0))
+    worker.offer(0.0, Task("c", 10.0))
+    seen = worker.advance(500.0)
     assert ends(seen, WorkerEventKind.DROPPED) == [("b", 100.0)] and ends(seen) == [
         ("a", 100.0),
         ("c", 110.0),
@@ -187,9 +199,9 @@
 
 
 def test_a_failing_job_ends_at_its_share() -> None:
-    w = CardWorker(PLAIN, speed=1.0)
-    w.offer(0.0, Task("a", 100.0, fails_at=0.3))
-    assert ends(w.advance(500.0), WorkerEventKind.FAILED) == [("a", 30.0)]
+    worker = CardWorker(PLAIN, speed=1.0)
+    worker.offer(0.0, Task("a", 100.0, fails_at=0.3))
+    assert ends(worker.advance(500.0), WorkerEventKind.FAILED) == [("a", 30.0)]
 
 
 ACTS = ["offer", "wide", "cancel", "charge", "slow", "pause", "resume", "drain", "die", "start"]
@@ -203,13 +215,15 @@
     kind = Kind(
         "k", cores, slots, queue=4, cold_for=700.0, warm_by_work=by_work, cancel=cancel, drops_expired=by_work
     )
-    w = CardWorker(kind, speed=1.3, push=Push(50.0, 500.0), progress_every=70.0)
-    now, seen, offered = 0.0, list[WorkerEvent](), 0
+    worker = CardWorker(kind, speed=1.3, cold_load_limit=ColdLoadLimit(50.0, 500.0), progress_every=70.0)
+    now = 0.0
+    seen = list[WorkerEvent]()
+    offered = 0
     for act, gap, n in script:
         now += gap
         if act in ("offer", "wide"):
             offered += 1
-            seen += w.offer(
+            seen += worker.offer(
                 now,
                 Task(
                     offered,
@@ -220,30 +234,30 @@
                 ),
             )
         elif act == "cancel":
-            seen += w.cancel(now, n)
+            seen += worker.cancel(now, n)
         elif act == "charge":
-            seen += w.charge(now, float(n))
+            seen += worker.charge(now, float(n))
         elif act == "slow":
-            seen += w.slowed(now, 1.0 + n / 10)
-        elif act == "pause" and w.up and not w.paused:
-            seen += w.pause(now)
-        elif act == "resume" and w.paused:
-            seen += w.resume(now)
-        elif act == "drain" and w.up and not w.paused:
-            seen += w.drain(now)
+            seen += worker.set_slowdown(now, 1.0 + n / 10)
+        elif act == "pause" and worker.up and not worker.paused:
+            seen += worker.pause(now)
+        elif act == "resume" and worker.paused:
+            seen += worker.resume(now)
+        elif act == "drain" and worker.up and not worker.paused:
+            seen += worker.drain(now)
         elif act == "die":
-            seen += w.die(now)
-        elif act == "start" and not w.up:
-            w.start(now)
-    if w.paused:
-        seen += w.resume(now)
+            seen += worker.die(now)
+        elif act == "start" and not worker.up:
+            worker.start(now)
+    if worker.paused:
+        seen += worker.resume(now)
     now += 1e6
-    seen += w.advance(now)
-    assert w.ledger.total == pytest.approx(cores * now)
+    seen += worker.advance(now)
+    assert worker.ledger.total == pytest.approx(cores * now)
     over = [
-        h.task.key
-        for h in seen
-        if h.what
+        event.task.key
+        for event in seen
+        if event.kind
         in (
             WorkerEventKind.DONE,
             WorkerEventKind.FAILED,
@@ -256,5 +270,5 @@
     ]
     assert sorted(over, key=repr) == sorted(range(1, offered + 1), key=repr)
     assert all(a.at <= b.at + 1e-6 for a, b in zip(seen, seen[1:], strict=False))
-    tasks = {h.task.key: h.task for h in seen}.values()
-    assert sum(t.core_time for t in tasks) == pytest.approx(w.ledger.busy, abs=1e-3)
+    tasks = {event.task.key: event.task for event in seen}.values()
+    assert sum(t.core_time for t in tasks) == pytest.approx(worker.ledger.busy, abs=1e-3)
