--- a/tests/test_simulation_loop.py
+++ b/tests/test_simulation_loop.py
@@ -1,4 +1,4 @@
-"""Virtual time keeps IReactorTime's contract, in order, and forgets what is cancelled."""
+"""Virtual time fulfils IReactorTime, makes calls in order and releases cancelled ones."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from elderstall.simulation.loop import MIN_HEAP_SIZE_TO_COMPACT, VirtualTime
 
 
-def test_it_is_a_reactors_clock() -> None:
+def test_it_implements_ireactortime_and_rejects_negative_delays() -> None:
     loop = VirtualTime()
     assert verifyObject(IReactorTime, loop)
     with pytest.raises(ValueError):
         loop.callLater(-1.0, lambda: None)
 
 
-def test_calls_can_be_put_off_cancelled_and_asked() -> None:
+def test_calls_can_be_delayed_reset_and_cancelled() -> None:
     loop = VirtualTime()
     seen = list[str]()
     a, b, c = (loop.callLater(1.0, seen.append, name) for name in "abc")
@@ -40,14 +40,14 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.booleans()), max_size=80))
-def test_calls_come_in_order_of_time_and_then_of_asking(plan: list[tuple[int, bool]]) -> None:
+def test_calls_are_made_in_order_of_time_and_then_of_scheduling(plan: list[tuple[int, bool]]) -> None:
     loop = VirtualTime()
     seen = list[tuple[float, int]]()
 
-    def come(n: int) -> None:
+    def record(n: int) -> None:
         seen.append((loop.now, n))
 
-    calls = [loop.after(float(when), come, n) for n, (when, _) in enumerate(plan)]
+    calls = [loop.after(float(when), record, n) for n, (when, _) in enumerate(plan)]
     for call, (_, cancel) in zip(calls, plan, strict=True):
         if cancel:
             call.stop()
@@ -56,14 +56,14 @@
     assert loop.active_count == 0
 
 
-def test_cancelled_calls_take_no_memory_for_long() -> None:
+def test_the_heap_is_compacted_when_calls_are_cancelled() -> None:
     loop = VirtualTime()
     for _ in range(20 * MIN_HEAP_SIZE_TO_COMPACT):
         loop.after(1e6, print).cancel()
     assert len(loop.heap) <= MIN_HEAP_SIZE_TO_COMPACT + 1
 
 
-def test_the_real_deadlines_run_on_it() -> None:
+def test_deadlines_run_on_virtual_time() -> None:
     loop = VirtualTime()
     seen = list[float]()
     deadlines = Deadlines(loop, loop.seconds, 5_000.0)
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -1,4 +1,4 @@
-"""Whole scenarios: nothing is lost, the same scenario is the same to the byte, the hard cases are met."""
+"""Whole simulation runs: no request is lost, runs are reproducible byte for byte, faults break no rule."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import pytest
 from hypothesis import Phase, given
-from hypothesis import settings as trials
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from elderstall.engine import Engine
@@ -43,13 +43,13 @@
 SHIPPED = sorted(path.stem for path in (ROOT / "deploy" / "rehearsals").glob("*.conf"))
 
 
-def played(*faults: Fault, seed: int = 1, **changes: Any) -> tuple[dict[str, Any], World]:
+def run_simulation(*faults: Fault, seed: int = 1, **changes: Any) -> tuple[dict[str, Any], World]:
     world = World(scenario(*faults, **changes), seed)
     return world.play(), world
 
 
-def conserved(figures: dict[str, Any], world: World) -> None:
-    """Every request ends once, every try taken is answered, dropped or left, every core ms is booked."""
+def check_conservation(figures: dict[str, Any], world: World) -> None:
+    """Check that every request ends once, every try is closed, and all core time is accounted for."""
     audit = world.audit
     assert sum(figures["endings"].values()) == figures["requests"] == world.clients.count
     assert not world.clients.open and not audit.open_tries
@@ -62,15 +62,15 @@
         assert len(worker_host.links) == worker_host.model.connections
 
 
-def test_a_calm_night_serves_nearly_all() -> None:
-    figures, world = played()
-    conserved(figures, world)
+def test_a_run_without_faults_serves_nearly_all() -> None:
+    figures, world = run_simulation()
+    check_conservation(figures, world)
     assert figures["service"]["whole"] > 0.97 and figures["rules"]["broken"] == 0
     assert 500 < figures["requests"] < 800
 
 
-def text_of(hash_seed: str, zone: str, where: Path) -> bytes:
-    """Play in a process of its own, under another hash seed and time zone, and give the JSON."""
+def figures_json(hash_seed: str, zone: str, where: Path) -> bytes:
+    """Run a scenario in a new process with this hash seed and time zone, and return its JSON output."""
     env = {**os.environ, "PYTHONHASHSEED": hash_seed, "TZ": zone}
     done = subprocess.run(
         [
@@ -103,125 +103,125 @@
     return done.stdout
 
 
-def test_the_same_night_is_the_same_to_the_byte_in_two_processes() -> None:
+def test_two_processes_give_the_same_figures_byte_for_byte() -> None:
     where = ROOT / "deploy" / "rehearsals" / "slow-quarter.conf"
-    first = text_of("1", "UTC", where)
-    second = text_of("77", "America/Bogota", where)
+    first = figures_json("1", "UTC", where)
+    second = figures_json("77", "America/Bogota", where)
     assert first == second and json.loads(first)["requests"] > 300
 
 
-def test_another_seed_is_another_night_and_a_burst_leaves_the_other_requests_as_they_were() -> None:
-    def asked(*faults: Fault, seed: int = 1) -> set[tuple[float, float, str]]:
+def test_another_seed_changes_the_requests_and_a_burst_only_adds_to_them() -> None:
+    def requests_of(*faults: Fault, seed: int = 1) -> set[tuple[float, float, str]]:
         world = World(scenario(*faults), seed)
         seen: set[tuple[float, float, str]] = set()
         count = world.tally.count_request
 
-        def note(request: Request) -> None:
+        def record(request: Request) -> None:
             seen.add((request.arrived_at, request.work, request.load.cls.name))
             count(request)
 
-        world.tally.count_request = note  # type: ignore[method-assign]
+        world.tally.count_request = record  # type: ignore[method-assign]
         world.play()
         return seen
 
-    calm = asked()
-    burst = asked(Fault("burst", 4_000.0, 3_000.0, factor=2.0))
+    calm = requests_of()
+    burst = requests_of(Fault("burst", 4_000.0, 3_000.0, factor=2.0))
     assert calm < burst and len(burst - calm) > 40
-    assert not calm & asked(seed=2)
+    assert not calm & requests_of(seed=2)
 
 
 def test_a_quarter_of_the_workers_slow_while_traffic_doubles() -> None:
-    calm, _ = played()
-    hard, world = played(
+    calm, _ = run_simulation()
+    hard, world = run_simulation(
         Fault("slow", 3_000.0, 6_000.0, share=0.25, factor=6.0),
         Fault("burst", 3_000.0, 6_000.0, factor=2.0),
     )
-    conserved(hard, world)
+    check_conservation(hard, world)
     assert hard["rules"]["broken"] == 0
     assert hard["service"]["worst_10_s"] < calm["service"]["worst_10_s"]
     assert len(hard["troubles"][0]["struck"]) == 2
 
 
-def test_a_worker_that_pauses_says_nothing_and_then_all_at_once() -> None:
+def test_a_paused_worker_makes_its_reports_when_the_pause_ends() -> None:
     world = World(
         scenario(Fault("pause", 4_000.0, 3_000.0, workers=("w-1",)), reports=Reports(progress=500.0)), 3
     )
-    heard: list[float] = []
+    calls_at: list[float] = []
     worker_host = world.worker_hosts["w-1"]
     call = worker_host.call_back
 
-    def note(*args: Any) -> None:
-        heard.append(world.loop.now)
+    def record(*args: Any) -> None:
+        calls_at.append(world.loop.now)
         call(*args)
 
-    worker_host.call_back = note  # type: ignore[method-assign, assignment]
+    worker_host.call_back = record  # type: ignore[method-assign, assignment]
     figures = world.play()
-    conserved(figures, world)
-    assert not [at for at in heard if 4_000.0 < at < 7_000.0]
-    assert len([at for at in heard if at == 7_000.0]) >= 2
+    check_conservation(figures, world)
+    assert not [at for at in calls_at if 4_000.0 < at < 7_000.0]
+    assert len([at for at in calls_at if at == 7_000.0]) >= 2
     assert figures["core_time"]["paused"] > 0 and figures["rules"]["broken"] == 0
 
 
-def test_a_dispatcher_dies_with_jobs_out() -> None:
-    figures, world = played(
+def test_a_killed_dispatcher_loses_its_jobs_and_breaks_no_rule() -> None:
+    figures, world = run_simulation(
         Fault("slow", 3_000.0, 6_000.0, factor=3.0),
         Fault("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",), planned=False),
     )
-    conserved(figures, world)
+    check_conservation(figures, world)
     assert world.audit.dropped_count > 0 and world.dispatcher_hosts[0].process_count == 2
-    assert figures["endings"].get("lost", 0) > 0, "what must not be repeated is not tried again"
+    assert figures["endings"].get("lost", 0) > 0, "a request that is not idempotent is not retried"
     assert figures["rules"]["broken"] == 0
 
 
-def test_a_planned_restart_loses_nothing_that_ends_in_its_time() -> None:
-    figures, world = played(Fault("dispatcher-restart", 5_000.0, 500.0, dispatchers=("n1",)))
-    conserved(figures, world)
+def test_a_planned_restart_answers_all_accepted_jobs() -> None:
+    figures, world = run_simulation(Fault("dispatcher-restart", 5_000.0, 500.0, dispatchers=("n1",)))
+    check_conservation(figures, world)
     assert world.dispatcher_hosts[0].process_count == 2 and world.audit.dropped_count == 0
 
 
-def test_a_worker_falls_over_with_unsafe_jobs_in_it() -> None:
+def test_a_cold_worker_is_overloaded_while_it_runs_jobs_that_are_not_idempotent() -> None:
     world = World(scenario(), 1)
 
-    def drop_idle() -> None:
+    def restart() -> None:
         world.worker_hosts["w-1"].die()
         world.worker_hosts["w-1"].start()
 
-    def push() -> None:
-        """Have it sent more than it can take, by nobody who knew."""
+    def overload() -> None:
+        """Add work over the cold limit from senders that did not know of the start."""
         worker_host = world.worker_hosts["w-1"]
         worker_host.model.cold_sends.append((world.loop.now, 1e6, False))
         worker_host.model.cold_work_sent += 1e6
 
-    world.loop.at(4_000.0, drop_idle)
-    world.loop.at(4_600.0, push)
+    world.loop.at(4_000.0, restart)
+    world.loop.at(4_600.0, overload)
     figures = world.play()
-    conserved(figures, world)
+    check_conservation(figures, world)
     model = world.worker_hosts["w-1"].model
     assert not model.up and model.informed_fraction < 0.5
-    assert figures["rules"]["broken"] == 0, "dispatchers that were not told are not to blame"
+    assert figures["rules"]["broken"] == 0, "dispatchers that were not notified of the start break no rule"
     assert figures["endings"].get("failed", 0) > 0
 
 
 @pytest.mark.parametrize("name", SHIPPED)
-def test_the_shipped_nights_can_be_played(name: str) -> None:
+def test_the_shipped_scenarios_run_without_broken_rules(name: str) -> None:
     base, warnings = read(find(name))
     assert not warnings
     world = World(shorter(base, 15_000.0), 2)
     figures = world.play()
-    conserved(figures, world)
+    check_conservation(figures, world)
     assert figures["rules"]["broken"] == 0
 
 
-def test_an_outage_is_survived_and_the_fleet_comes_back() -> None:
-    figures, world = played(Fault("restart", 3_000.0, 3_000.0, apart=50.0))
-    conserved(figures, world)
+def test_service_recovers_after_all_workers_restart() -> None:
+    figures, world = run_simulation(Fault("restart", 3_000.0, 3_000.0, apart=50.0))
+    check_conservation(figures, world)
     assert figures["windows"][-1]["service"] > 0.9 and figures["core_time"]["down"] > 0.1
 
 
-def test_lost_safe_work_goes_on_from_what_was_saved() -> None:
-    """A long safe job whose worker dies late ends sooner than its work would take anew."""
+def test_a_retry_of_a_lost_idempotent_job_continues_from_its_checkpoint() -> None:
+    """A long idempotent job whose worker crashes late ends sooner than a run from the start would."""
     long = ClassLoad(JobClass("long", 1.0, 9_000.0, 20_000.0), 1.0, 4_000.0)
-    figures, world = played(
+    figures, world = run_simulation(
         Fault("restart", 3_000.0, 500.0, workers=("w-0",)),
         classes=(long,),
         tenants=(),
@@ -233,26 +233,26 @@
         dispatchers=Dispatchers((1.0,)),
         seed=7,
     )
-    conserved(figures, world)
+    check_conservation(figures, world)
     assert figures["requests"] == figures["endings"]["served"] == 1
-    # It began within the first second and had saved two: two are left at 3.5 s, where anew it would be four.
+    # It starts in the first second and has saved 2 s of work at the crash: 2 s are left at 3.5 s, not 4 s.
     assert 4_400.0 < figures["classes"]["long"]["latency_ms"]["p50"] < 6_400.0 and figures["attempts"] == 2
 
 
-def test_clients_that_follow_the_library_keep_its_budget_in_an_outage() -> None:
+def test_clients_with_the_librarys_policy_keep_its_retry_budget_in_an_outage() -> None:
     fault = Fault("restart", 3_000.0, 4_000.0, apart=50.0)
-    naive, _ = played(fault, clients=Clients(retries=3, honour=0.0, impatient=0.0))
-    library, world = played(fault, clients=Clients(policy="library", max_tries=4, impatient=0.0))
-    conserved(library, world)
+    naive, _ = run_simulation(fault, clients=Clients(retries=3, honour=0.0, impatient=0.0))
+    library, world = run_simulation(fault, clients=Clients(policy="library", max_tries=4, impatient=0.0))
+    check_conservation(library, world)
     assert library["rules"]["broken"] == 0 and not world.clients.library.calls  # type: ignore[union-attr]
     assert library["retries"] < naive["retries"] / 2
     for budget in world.clients.library.budgets:  # type: ignore[union-attr]
         assert budget.retries <= budget.reserve + budget.share * budget.calls + budget.trickle * 20
 
 
-def test_clients_come_back_over_time_to_a_dispatcher_that_was_away() -> None:
+def test_clients_reconnect_gradually_to_a_restarted_dispatcher() -> None:
     def early(spread: float) -> int:
-        """Tries that reached it in the first 400 ms of its second life."""
+        """Return the number of tries in the first 400 ms after the restart."""
         killed = Fault("dispatcher-restart", 4_000.0, 1_500.0, dispatchers=("n1",), planned=False)
         world = World(
             scenario(killed, clients=Clients(retries=4, backoff=400.0, reconnect=spread, impatient=0.0)), 1
@@ -260,21 +260,21 @@
         seen: list[float] = []
         taken = world.audit.taken
 
-        def note(tried: Try) -> None:
+        def record(tried: Try) -> None:
             if tried.request.dispatcher_host is world.dispatcher_hosts[0] and world.loop.now > 5_500.0:
                 seen.append(world.loop.now)
             taken(tried)
 
-        world.audit.taken = note  # type: ignore[method-assign]
+        world.audit.taken = record  # type: ignore[method-assign]
         figures = world.play()
-        conserved(figures, world)
+        check_conservation(figures, world)
         assert figures["rules"]["broken"] == 0
         return sum(at < 5_900.0 for at in seen)
 
     assert early(2_000.0) < early(0.0) / 2
 
 
-KINDS_OF_TROUBLE = st.sampled_from(
+FAULT_KINDS = st.sampled_from(
     [
         "slow",
         "pause",
@@ -293,7 +293,7 @@
 )
 faults = st.builds(
     Fault,
-    KINDS_OF_TROUBLE,
+    FAULT_KINDS,
     at=st.floats(0.0, 4_500.0),
     length=st.floats(200.0, 3_000.0),
     apart=st.sampled_from([0.0, 300.0]),
@@ -305,65 +305,65 @@
 )
 
 
-@trials(max_examples=25, deadline=None, derandomize=True, phases=[Phase.generate])
+@hypothesis_settings(max_examples=25, deadline=None, derandomize=True, phases=[Phase.generate])
 @given(
     st.lists(faults, max_size=4),
     st.integers(0, 1_000),
     st.booleans(),
     st.sampled_from(["plain", "library"]),
 )
-def test_whatever_goes_wrong_nothing_is_lost_and_no_rule_is_broken(
-    script: list[Fault], seed: int, must_ask: bool, policy: str
+def test_random_faults_lose_no_request_and_break_no_rule(
+    planned: list[Fault], seed: int, must_ask: bool, policy: str
 ) -> None:
     listing = replace(QUICK_LIST, must_ask=must_ask)
-    figures, world = played(
-        *sorted(script, key=lambda t: t.at),
+    figures, world = run_simulation(
+        *sorted(planned, key=lambda fault: fault.at),
         seed=seed,
         length=5_000.0,
         listing=listing,
         clients=Clients(policy=policy, reconnect=300.0),
     )
-    conserved(figures, world)
-    # A worker that is slow as well as cold can do less than anybody is told: rule 4 can't be kept there.
-    unknown = any(t.kind == "slow" for t in script)
-    assert not [b for b in world.audit.broken if b.rule != 4 or not unknown]
+    check_conservation(figures, world)
+    # A cold worker that is also slow can do less than dispatchers are notified of, so rule 4 can't be kept.
+    has_slow_fault = any(fault.kind == "slow" for fault in planned)
+    assert not [b for b in world.audit.broken if b.rule != 4 or not has_slow_fault]
 
 
-# ---- the auditor, with faults planted ----
+# ---- the auditor, with defects planted in the dispatcher ----
 
 
-def broken(world: World) -> list[tuple[int, str]]:
+def violations(world: World) -> list[tuple[int, str]]:
     figures = world.play()
     assert min(figures["rules"]["broken"], MAX_KEPT_VIOLATIONS) == len(world.audit.broken) > 0
     assert all(b.history for b in world.audit.broken if b.request is not None)
     return [(b.rule, b.what) for b in world.audit.broken]
 
 
-def test_the_auditor_sees_a_double_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A core that lets what may have run go again."""
+def test_the_auditor_finds_a_job_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The planted defect: jobs that may have run are repeated."""
     monkeypatch.setattr(EngineRules, "forbids", lambda self, job, send: None)
     ended = Attempts._ended
 
-    def forgetful(self: Attempts, a: Any, outcome: Outcome) -> None:
-        """Take a failure for proof that the job never ran."""
-        ended(self, a, Outcome(Ending.FULL) if outcome.ending is Ending.ERROR else outcome)
+    def ended_as_full(self: Attempts, attempt: Any, outcome: Outcome) -> None:
+        """Treat an error as proof that the job never ran."""
+        ended(self, attempt, Outcome(Ending.FULL) if outcome.ending is Ending.ERROR else outcome)
 
-    monkeypatch.setattr(Attempts, "_ended", forgetful)
-    found = broken(World(scenario(Fault("fail", 2_000.0, 6_000.0, chance=0.5)), 1))
+    monkeypatch.setattr(Attempts, "_ended", ended_as_full)
+    found = violations(World(scenario(Fault("fail", 2_000.0, 6_000.0, chance=0.5)), 1))
     assert any(rule == 2 and "may have run" in what for rule, what in found)
     assert any(rule == 2 and "has run 2 times" in what for rule, what in found)
 
 
-def test_the_auditor_sees_a_late_answer_and_one_that_never_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_auditor_finds_answers_past_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Answers, "_overdue", lambda self, job: None)
     monkeypatch.setattr(Attempts, "timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
-    found = broken(World(scenario(Fault("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
+    found = violations(World(scenario(Fault("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
     assert any(rule == 1 and "past its deadline" in what for rule, what in found)
 
 
-def test_the_auditor_sees_a_send_to_a_drained_worker(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A core whose list never learns of drains, while the auditor does."""
+def test_the_auditor_finds_an_attempt_sent_to_a_drained_worker(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The planted defect: the engine ignores list updates, while the auditor receives them."""
     monkeypatch.setattr(EndpointFeed, "take", lambda self, scope, entries=(): None)
     listed = Engine.start
 
@@ -376,12 +376,12 @@
     world = World(
         scenario(Fault("drain", 2_000.0, 9_000.0, workers=("w-1",)), dispatchers=Dispatchers((1.0,))), 1
     )
-    found = broken(world)
+    found = violations(world)
     assert any(rule == 3 and "told draining or gone" in what for rule, what in found)
 
 
-def test_the_auditor_sees_a_cold_worker_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A module that knows no cold workers."""
+def test_the_auditor_finds_a_cold_worker_that_was_overloaded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The planted defect: the decisions ignore that a worker is cold."""
     monkeypatch.setattr("elderstall.decisions.slow_start.SlowStart.admits", lambda self, w, job: True)
     monkeypatch.setattr(
         "elderstall.decisions.in_flight.InFlight.is_saturated", lambda self, late=False: False
@@ -392,11 +392,11 @@
         scenario(Fault("restart", 3_000.0, 500.0), Fault("burst", 3_000.0, 6_000.0, factor=4.0), rules=rules),
         1,
     )
-    found = broken(world)
+    found = violations(world)
     assert any(rule == 4 and "pushed over" in what for rule, what in found)
 
 
-def test_the_auditor_sees_second_copies_and_refusals_of_what_may_have_run() -> None:
+def test_the_auditor_finds_duplicate_attempts_and_rejections_of_jobs_that_may_have_run() -> None:
     world = World(scenario(), 1)
     world.begin()
     world.loop.run(3_000.0)
@@ -417,20 +417,20 @@
     assert any("sent to" in line for line in history_lines(job.request.original.request))  # type: ignore[attr-defined]
 
 
-def test_playing_twice_in_one_process_gives_the_same() -> None:
+def test_two_runs_in_one_process_give_the_same_figures() -> None:
     assert play(scenario(), 4) == play(scenario(), 4)
 
 
-def test_many_thin_dispatchers_ask_workers_and_nothing_is_lost() -> None:
-    """With a worker that falls silent and one that dies amid questions."""
+def test_many_dispatchers_that_poll_workers_lose_no_request() -> None:
+    """One worker pauses and one vanishes while they are polled."""
     faults = (
         Fault("pause", at=3_000.0, length=2_000.0, workers=("w-1",)),
         Fault("vanish", at=5_000.0, length=1_500.0, workers=("w-2",)),
     )
-    thin = Dispatchers((1.0,) * 24)
-    figures, world = played(*faults, dispatchers=thin, reports=Reports(asked=True))
-    conserved(figures, world)
+    many_dispatchers = Dispatchers((1.0,) * 24)
+    figures, world = run_simulation(*faults, dispatchers=many_dispatchers, reports=Reports(asked=True))
+    check_conservation(figures, world)
     assert world.tally.probes > figures["requests"]
-    unasked, other = played(*faults, dispatchers=thin)
-    conserved(unasked, other)
-    assert other.tally.probes == 0
+    unpolled, unpolled_world = run_simulation(*faults, dispatchers=many_dispatchers)
+    check_conservation(unpolled, unpolled_world)
+    assert unpolled_world.tally.probes == 0
