--- a/elderstall/simulation/attempt.py
+++ b/elderstall/simulation/attempt.py
@@ -179,7 +179,7 @@
         self.attempt: SimulatedAttempt | None = None
 
     def close(self) -> None:
-        """Close the connection; the worker host is not notified."""
+        """Close the connection at both ends at once."""
         if self.open:
             self.open = False
             self.upstream.count -= 1
@@ -222,14 +222,14 @@
         self.task: Task | None = None
 
     @property
-    def tried(self) -> Try:
+    def client_try(self) -> Try:
         """Return the client's try that this attempt belongs to."""
         return self.job_request.original  # type: ignore[return-value]
 
     @property
     def job(self) -> Request:
         """Return the client's request that this attempt belongs to."""
-        return self.tried.request
+        return self.client_try.request
 
     def finish(self, outcome: Outcome | None) -> None:
         """Report the outcome to the engine; later calls do nothing."""
--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -144,30 +144,30 @@
 
     # ---- a try ----
 
-    def taken(self, tried: Try) -> None:
+    def taken(self, client_try: Try) -> None:
         """Record that a dispatcher has accepted a try."""
         self.taken_count += 1
-        self.open_tries[tried.request_id] = TryRecord(tried.deadline, tried.request)
-        dispatcher_host = tried.process.dispatcher_host.name if tried.process is not None else "?"
-        load = tried.request.load
+        self.open_tries[client_try.request_id] = TryRecord(client_try.deadline, client_try.request)
+        dispatcher_host = client_try.process.dispatcher_host.name if client_try.process is not None else "?"
+        load = client_try.request.load
         self.note(
-            tried.request,
-            f"try {tried.number} of {load.cls.name} at {dispatcher_host}, "
-            f"{tried.deadline - self.loop.now:.0f} ms left",
+            client_try.request,
+            f"try {client_try.number} of {load.cls.name} at {dispatcher_host}, "
+            f"{client_try.deadline - self.loop.now:.0f} ms left",
         )
 
     def sent(self, attempt: SimulatedAttempt) -> None:
         """Check that the rules permit this attempt."""
-        tried = attempt.tried
+        client_try = attempt.client_try
         request = attempt.job
         worker = attempt.worker_host.name
         self.note(request, f"attempt {attempt.number} sent to {worker}")
-        try_record = self.open_tries.get(tried.request_id)
+        try_record = self.open_tries.get(client_try.request_id)
         if try_record is None:
-            self.record_violation(1, f"attempt for {tried.request_id}, which is answered", request)
+            self.record_violation(1, f"attempt for {client_try.request_id}, which is answered", request)
             return
         if any(record.outstanding for record in try_record.sent):
-            self.record_violation(2, f"second copy of {tried.request_id} at {worker}", request)
+            self.record_violation(2, f"second copy of {client_try.request_id} at {worker}", request)
         cls = request.load.cls
         now = self.loop.now
         for earlier in try_record.sent:
@@ -176,7 +176,7 @@
             if cls.effect is Effect.NOT_IDEMPOTENT:
                 self.record_violation(
                     2,
-                    f"{tried.request_id} of {cls.name} sent to {worker}, "
+                    f"{client_try.request_id} of {cls.name} sent to {worker}, "
                     f"but it may have run at {earlier.worker}",
                     request,
                 )
@@ -185,16 +185,19 @@
             ):
                 self.record_violation(
                     2,
-                    f"{tried.request_id} of {cls.name} sent to {worker}, where a repeat is not dropped",
+                    f"{client_try.request_id} of {cls.name} sent to {worker}, where a repeat is not dropped",
                     request,
                 )
         if len(try_record.sent) >= self.rules.max_attempts:
-            self.record_violation(2, f"attempt {len(try_record.sent) + 1} of {tried.request_id}", request)
+            self.record_violation(
+                2, f"attempt {len(try_record.sent) + 1} of {client_try.request_id}", request
+            )
         up, since = self.states.get(id(attempt.upstream.process), {}).get(worker, (False, -1e18))
         if not up and now - since > self.rules.drain_grace:
             self.record_violation(
                 3,
-                f"{tried.request_id} sent to {worker}, told draining or gone {now - since:.0f} ms before",
+                f"{client_try.request_id} sent to {worker}, "
+                f"told draining or gone {now - since:.0f} ms before",
                 request,
             )
         spec = attempt.worker_host.spec
@@ -216,7 +219,7 @@
         request.runs += 1
         self.note(
             request,
-            f"attempt {attempt.number} of try {attempt.tried.number} runs at {attempt.worker_host.name}",
+            f"attempt {attempt.number} of try {attempt.client_try.number} runs at {attempt.worker_host.name}",
         )
         if request.runs > 1 and request.load.cls.effect is Effect.NOT_IDEMPOTENT:
             self.record_violation(
@@ -243,26 +246,28 @@
 
     def find(self, attempt: SimulatedAttempt) -> AttemptRecord | None:
         """Return the record of an attempt, or None once its try is answered."""
-        try_record = self.open_tries.get(attempt.tried.request_id)
+        try_record = self.open_tries.get(attempt.client_try.request_id)
         if try_record is None:
             return None
         return next((record for record in try_record.sent if record.number == attempt.number), None)
 
-    def answered(self, tried: Try, answer: Answer) -> None:
+    def answered(self, client_try: Try, answer: Answer) -> None:
         """Check a final answer against the rules."""
-        request = tried.request
+        request = client_try.request
         now = self.loop.now
         kind = type(answer).__name__.lower()
         advice = f", come back in {answer.retry_after:.0f} ms" if isinstance(answer, Rejected) else ""
-        self.note(request, f"try {tried.number} {kind}{advice}")
-        try_record = self.open_tries.pop(tried.request_id, None)
+        self.note(request, f"try {client_try.number} {kind}{advice}")
+        try_record = self.open_tries.pop(client_try.request_id, None)
         if try_record is None:
-            if not tried.over:
-                self.record_violation(1, f"second answer to {tried.request_id}", request)
+            if not client_try.over:
+                self.record_violation(1, f"second answer to {client_try.request_id}", request)
             return
         self.answered_count += 1
-        if (late := now - tried.deadline) > self.rules.slack:
-            self.record_violation(1, f"{tried.request_id} answered {late:.0f} ms past its deadline", request)
+        if (late := now - client_try.deadline) > self.rules.slack:
+            self.record_violation(
+                1, f"{client_try.request_id} answered {late:.0f} ms past its deadline", request
+            )
         if isinstance(answer, Rejected) and request.load.cls.effect is not Effect.IDEMPOTENT:
             possibly_run = [r.worker for r in try_record.sent if r.outstanding or not r.proven_unrun]
             if possibly_run and not (
@@ -271,24 +276,24 @@
             ):
                 self.record_violation(
                     2,
-                    f"{tried.request_id} of {request.load.cls.name} refused, but it may have run at "
+                    f"{client_try.request_id} of {request.load.cls.name} refused, but it may have run at "
                     f"{', '.join(possibly_run)}",
                     request,
                 )
-        if isinstance(answer, Served) and tried.served_by is None:
-            self.record_violation(1, f"{tried.request_id} served with what no worker made", request)
+        if isinstance(answer, Served) and client_try.served_by is None:
+            self.record_violation(1, f"{client_try.request_id} served with what no worker made", request)
 
-    def left(self, tried: Try) -> None:
+    def left(self, client_try: Try) -> None:
         """Record that a client has left; its try needs no answer."""
         self.left_count += 1
-        self.note(tried.request, f"try {tried.number}: the client has left")
-        self.open_tries.pop(tried.request_id, None)
+        self.note(client_try.request, f"try {client_try.number}: the client has left")
+        self.open_tries.pop(client_try.request_id, None)
 
-    def dropped(self, tried: Try) -> None:
+    def dropped(self, client_try: Try) -> None:
         """Record that a dispatcher ended before it answered a try; rule 1 no longer applies."""
         self.dropped_count += 1
-        self.note(tried.request, f"try {tried.number}: the dispatcher is gone")
-        self.open_tries.pop(tried.request_id, None)
+        self.note(client_try.request, f"try {client_try.number}: the dispatcher is gone")
+        self.open_tries.pop(client_try.request_id, None)
 
     def close(self) -> None:
         """Check at the end of the simulation run that no try past its deadline is unanswered."""
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -21,10 +21,10 @@
 class ClientAudit(TryAudit, Protocol):
     """The auditor's methods that clients call."""
 
-    def taken(self, tried: Try) -> None:
+    def taken(self, client_try: Try) -> None:
         """Record that a dispatcher has accepted a try."""
 
-    def left(self, tried: Try) -> None:
+    def left(self, client_try: Try) -> None:
         """Record that a client has left."""
 
 
@@ -81,7 +81,7 @@
         self.waits = draws.uniform("client", "waits")
         self.reconnect_delays = draws.uniform("client", "joins")
         self.library = Library(self) if self.spec.policy == "library" else None
-        self.delay_factors = draws.spread(self.scenario.network.jitter, "client", "hops")
+        self.delay_factors = draws.lognormal_factors(self.scenario.network.jitter, "client", "hops")
 
     def begin(self, dispatcher_hosts: Sequence[ServingHost]) -> None:
         """Start the arrivals at every dispatcher, in proportion to the weights."""
@@ -169,43 +169,43 @@
     def send(self, request: Request) -> None:
         """Send the request's next try after the network delay."""
         request.tries += 1
-        tried = Try(self.world, request, request.tries)
-        request.current = tried
+        client_try = Try(self.world, request, request.tries)
+        request.current = client_try
         delay = self.delay()
         if delay > 0:
-            self.world.loop.after(delay, self.reach, tried)
+            self.world.loop.after(delay, self.reach, client_try)
         else:
-            self.reach(tried)
+            self.reach(client_try)
 
-    def reach(self, tried: Try) -> None:
+    def reach(self, client_try: Try) -> None:
         """Deliver a try to its dispatcher, if one accepts jobs."""
-        request = tried.request
-        dispatcher_host = tried.request.dispatcher_host
+        request = client_try.request
+        dispatcher_host = client_try.request.dispatcher_host
         world = self.world
         if request.ended is not None:
             return
         assert dispatcher_host is not None
         process = dispatcher_host.process
-        if process is not None and dispatcher_host.process_count > 1 and not tried.rejoined:
+        if process is not None and dispatcher_host.process_count > 1 and not client_try.rejoined:
             # After a restart each client reconnects at a random time.
-            tried.rejoined = True
+            client_try.rejoined = True
             back = dispatcher_host.process_started_at + self.spec.reconnect * next(self.reconnect_delays)
             if back > world.loop.now:
-                world.loop.at(min(back, request.deadline), self.reach, tried)
+                world.loop.at(min(back, request.deadline), self.reach, client_try)
                 return
         if process is None or process.leaving or world.loop.now >= request.deadline:
-            tried.over = True
-            self.unreachable(tried, taken=False)
+            client_try.over = True
+            self.unreachable(client_try, taken=False)
             return
-        tried.process = process
+        client_try.process = process
         world.tally.tries += 1
-        world.audit.taken(tried)
-        if not process.accept(tried, max(0.0, request.deadline - world.loop.now)):
-            tried.answered(Rejected())
+        world.audit.taken(client_try)
+        if not process.accept(client_try, max(0.0, request.deadline - world.loop.now)):
+            client_try.answered(Rejected())
 
-    def heard(self, tried: Try, answer: Answer) -> None:
+    def heard(self, client_try: Try, answer: Answer) -> None:
         """Handle the answer: close the request or schedule a retry."""
-        request = tried.request
+        request = client_try.request
         now = self.world.loop.now + self.delay()
         if request.ended is not None:
             return
@@ -213,8 +213,8 @@
             self.library.answered(request, answer, now)
         elif isinstance(answer, Served):
             in_time = now <= request.latency_objective_at
-            if tried.served_by is not None:
-                self.world.tally.useful(tried.served_by)
+            if client_try.served_by is not None:
+                self.world.tally.useful(client_try.served_by)
             self.close(request, "served" if in_time else "late", now)
         elif isinstance(answer, Rejected):
             self.retry(request, now, answer.retry_after, "refused")
@@ -223,9 +223,9 @@
         else:
             self.close(request, "timed out" if answer.timed_out else "failed", now)
 
-    def unreachable(self, tried: Try, *, taken: bool) -> None:
+    def unreachable(self, client_try: Try, *, taken: bool) -> None:
         """Handle a dispatcher that is absent or has ended; a try that it had accepted may have run."""
-        request = tried.request
+        request = client_try.request
         if request.ended is not None:
             return
         if self.library is not None:
@@ -255,12 +255,17 @@
         """Disconnect before the answer, and notify the dispatcher."""
         if request.ended is None:
             self.close(request, "left", self.world.loop.now)
-            tried = request.current
-            if tried is not None and not tried.over and tried.process is not None and tried.process.alive:
-                tried.over = True
-                self.world.audit.left(tried)
-                tried.process.engine.client_left(tried.job)
-                tried.process.answered.append(tried.request_id)
+            client_try = request.current
+            if (
+                client_try is not None
+                and not client_try.over
+                and client_try.process is not None
+                and client_try.process.alive
+            ):
+                client_try.over = True
+                self.world.audit.left(client_try)
+                client_try.process.engine.client_left(client_try.job)
+                client_try.process.answered.append(client_try.request_id)
 
     def close(self, request: Request, ending: str, at: float) -> None:
         """Close a request and count its ending."""
@@ -363,7 +368,8 @@
             draws.work(c.distribution, c.work, c.spread, "work", c.cls.name, *words) for c in scenario.classes
         ]
         self.hints = [
-            draws.spread(c.hint_spread or 0.0, "hints", c.cls.name, *words) for c in scenario.classes
+            draws.lognormal_factors(c.hint_spread or 0.0, "hints", c.cls.name, *words)
+            for c in scenario.classes
         ]
         self.slots = [Choice(c.slots, draws.uniform("slots", c.cls.name, *words)) for c in scenario.classes]
         self.tail = draws.uniform("tail", *words)
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -115,30 +115,30 @@
             self.upstream.listed(entries, whole=scope is ListScope.WHOLE)
         self.engine.endpoints.take(scope, entries)
 
-    def accept(self, tried: Try, budget: float) -> bool:
+    def accept(self, client_try: Try, budget: float) -> bool:
         """Accept a client's try; return False if there are too many jobs."""
         while self.answered:
             request_id = self.answered.popleft()
             self.upstream.ended(request_id)
             self.tries.pop(request_id, None)
-        request = tried.request
+        request = client_try.request
         load = request.load
         job_request = JobRequest(
-            tried.request_id,
+            client_try.request_id,
             load.cls.name,
             budget,
-            tried,
+            client_try,
             request.tenant,
             None,
             request.hint,
             request.slots,
             request.safe,
         )
-        self.tries[tried.request_id] = tried
+        self.tries[client_try.request_id] = client_try
         try:
-            tried.job = self.engine.accept(job_request, tried)
+            client_try.job = self.engine.accept(job_request, client_try)
         except TooManyJobsError:
-            self.tries.pop(tried.request_id, None)
+            self.tries.pop(client_try.request_id, None)
             return False
         return True
 
@@ -162,8 +162,8 @@
             self.deadlines.reactor_call.stop()
         for request_id in set(self.answered):
             self.tries.pop(request_id, None)
-        for tried in list(self.tries.values()):
-            tried.lost()
+        for client_try in list(self.tries.values()):
+            client_try.lost()
 
 
 class DispatcherHost:
--- a/elderstall/simulation/draws.py
+++ b/elderstall/simulation/draws.py
@@ -52,7 +52,7 @@
         """Return intervals of a Poisson process, of mean 1."""
         return self.stream(lambda generator, size: generator.exponential(size=size), *purpose)
 
-    def spread(self, cv: float, *purpose: str) -> Iterator[float]:
+    def lognormal_factors(self, cv: float, *purpose: str) -> Iterator[float]:
         """Return log-normal factors of mean 1 and a coefficient of variation; all 1 where that is 0."""
         if cv <= 0:
             return iter(lambda: 1.0, None)
@@ -77,7 +77,7 @@
                 lambda generator, size: minimum * (1 + generator.pareto(index, size)), *purpose
             )
         if shape == "lognormal":
-            return (mean * factor for factor in self.spread(cv, *purpose))
+            return (mean * factor for factor in self.lognormal_factors(cv, *purpose))
         raise ValueError(f"unknown distribution {shape!r}")
 
 
--- a/elderstall/simulation/faults.py
+++ b/elderstall/simulation/faults.py
@@ -42,7 +42,7 @@
     def __init__(self, world: FaultContext) -> None:
         self.world = world
         self.loop = world.loop
-        self.acts: dict[str, Callable[[Fault, int], None]] = {
+        self.handlers: dict[str, Callable[[Fault, int], None]] = {
             "slow": self.slow,
             "pause": self.pause,
             "fail": self.fail,
@@ -61,7 +61,7 @@
     def begin(self) -> None:
         """Schedule all faults."""
         for number, fault in enumerate(self.world.scenario.faults):
-            self.acts[fault.kind](fault, number)
+            self.handlers[fault.kind](fault, number)
 
     # ---- whom it strikes ----
 
--- a/elderstall/simulation/requests.py
+++ b/elderstall/simulation/requests.py
@@ -26,7 +26,7 @@
     def dispatcher_host(self) -> ServingHost:
         """Return the host that it runs on."""
 
-    def accept(self, tried: Try, budget: float) -> bool:
+    def accept(self, client_try: Try, budget: float) -> bool:
         """Accept a client's try; return False if there are too many jobs."""
 
 
@@ -53,20 +53,20 @@
 class TryAudit(Protocol):
     """The auditor's methods that a try calls."""
 
-    def answered(self, tried: Try, answer: Answer) -> None:
+    def answered(self, client_try: Try, answer: Answer) -> None:
         """Check a final answer against the rules."""
 
-    def dropped(self, tried: Try) -> None:
+    def dropped(self, client_try: Try) -> None:
         """Record that a dispatcher ended before it answered a try."""
 
 
 class TryOwner(Protocol):
     """The clients' methods that a try calls."""
 
-    def heard(self, tried: Try, answer: Answer) -> None:
+    def heard(self, client_try: Try, answer: Answer) -> None:
         """Handle the answer: close the request or schedule a retry."""
 
-    def unreachable(self, tried: Try, *, taken: bool) -> None:
+    def unreachable(self, client_try: Try, *, taken: bool) -> None:
         """Handle a dispatcher that is absent, or that ended with the try (``taken``)."""
 
 
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -148,7 +148,7 @@
         self.worker_hosts: dict[str, SocketWorkerHost] = {}
         for spec in scenario.workers:
             kind = kinds[spec.kind]
-            drawn = next(self.draws.spread(kind.speed_spread, "speed", spec.name)) * kind.speed
+            drawn = next(self.draws.lognormal_factors(kind.speed_spread, "speed", spec.name)) * kind.speed
             self.worker_hosts[spec.name] = SocketWorkerHost(self, spec, kind, spec.speed or drawn)
         self.listing = ListService(cast(Any, self), scenario.listing, self.draws.uniform("list"))
         self.lists: dict[Caller, Any] = {}
@@ -159,7 +159,7 @@
         faults = Faults(cast(Any, self))
         for n, fault in enumerate(self.scenario.faults):
             if fault.kind not in ELSEWHERE:
-                faults.acts[fault.kind](fault, n)
+                faults.handlers[fault.kind](fault, n)
         for name, worker_host in self.worker_hosts.items():
             if name in self.absent:
                 worker_host.listen()  # its ports are known from the first
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -57,11 +57,13 @@
     ) -> Deferred[Outcome | None]:
         """Start an attempt; ``forbidden_by`` is not called here."""
         pool = self.pools.get(worker)
-        tried: Try = job_request.original  # type: ignore[assignment]
+        client_try: Try = job_request.original  # type: ignore[assignment]
         worker_host = self.world.worker_hosts[worker]
         left = ends - self.process.deadlines.now()
-        attempt = SimulatedAttempt(self, worker_host, job_request, tried.attempts, self.loop.now + left, note)
-        tried.attempts += 1
+        attempt = SimulatedAttempt(
+            self, worker_host, job_request, client_try.attempts, self.loop.now + left, note
+        )
+        client_try.attempts += 1
         self.attempts[job_request.request_id] = attempt
         self.world.audit.sent(attempt)
         if pool is None:
@@ -225,7 +227,7 @@
         if live is not None:
             self.process.audit_ended(attempt, outcome.ending)
             if outcome.ending is Ending.SERVED:
-                attempt.tried.served_by = attempt
+                attempt.client_try.served_by = attempt
             engine.attempts.worker_ended(live, outcome)
 
     def progress_reported(self, attempt: SimulatedAttempt, share: float, started: bool = False) -> None:
--- a/elderstall/simulation/worker.py
+++ b/elderstall/simulation/worker.py
@@ -301,9 +301,9 @@
 
     def _take_events(self) -> list[WorkerEvent]:
         """Return the pending events and clear them; a task of zero work ends with the next advance."""
-        out = self.pending_events
+        events = self.pending_events
         self.pending_events = []
-        return out
+        return events
 
     def _emit(self, kind: WorkerEventKind, task: Task, share: float = 0.0) -> None:
         self.pending_events.append(WorkerEvent(kind, task, self.now, share))
@@ -373,12 +373,12 @@
 
     def offer(self, now: float, task: Task) -> list[WorkerEvent]:
         """Accept or reject a task; while paused it is kept until the worker resumes."""
-        out = self.advance(now)
+        events = self.advance(now)
         if self.paused:
             self.received_while_paused.append(("offer", task))
-            return out
+            return events
         self._accept_or_reject(task)
-        return out + self._take_events()
+        return events + self._take_events()
 
     def _accept_or_reject(self, task: Task) -> None:
         fits = self.used + task.slots <= self.kind.slots and not self._queue_length()
@@ -432,12 +432,12 @@
 
     def cancel(self, now: float, key: Hashable) -> list[WorkerEvent]:
         """Cancel a task; the worker kind decides whether a waiting or running one stops."""
-        out = self.advance(now)
+        events = self.advance(now)
         if self.paused:
             self.received_while_paused.append(("cancel", key))
-            return out
+            return events
         self._stop(key)
-        return out + self._take_events()
+        return events + self._take_events()
 
     def _stop(self, key: Hashable) -> None:
         task = self.tasks.get(key)
@@ -449,10 +449,10 @@
 
     def charge(self, now: float, work: float) -> list[WorkerEvent]:
         """Add overhead work, such as a new connection."""
-        out = self.advance(now)
+        events = self.advance(now)
         if self.up:
             self.overhead += work
-        return out
+        return events
 
     def backlog(self) -> float:
         """Return the time until the overhead work is done, ms."""
@@ -460,15 +460,15 @@
 
     def set_slowdown(self, now: float, factor: float) -> list[WorkerEvent]:
         """Set the factor by which the worker runs slower."""
-        out = self.advance(now)
+        events = self.advance(now)
         self.slowdown = factor
-        return out
+        return events
 
     def pause(self, now: float) -> list[WorkerEvent]:
         """Pause the process: no task runs, no call is handled and no event is reported."""
-        out = self.advance(now)
+        events = self.advance(now)
         self.paused = True
-        return out
+        return events
 
     def resume(self, now: float) -> list[WorkerEvent]:
         """Resume the process, and handle at once the calls that came during the pause."""
@@ -486,21 +486,21 @@
 
     def drain(self, now: float) -> list[WorkerEvent]:
         """Reject new tasks from now on; return the waiting ones if the worker kind does that."""
-        out = self.advance(now)
+        events = self.advance(now)
         self.draining = True
         if self.kind.hands_back:
             for task in [task for task in self.waiting if not task.over]:
                 self._remove(task)
                 self._emit(WorkerEventKind.RETURNED, task)
             self.waiting.clear()
-        return out + self._take_events()
+        return events + self._take_events()
 
     def die(self, now: float) -> list[WorkerEvent]:
         """Crash the process and lose its tasks."""
-        out = self.advance(now)
+        events = self.advance(now)
         if self.up:
             self._die()
-        return out + self._take_events()
+        return events + self._take_events()
 
     def _die(self) -> None:
         for task in list(self.tasks.values()):
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -105,11 +105,12 @@
         self.paused_handshakes: list[Callable[[], None]] = []  # run when the process resumes
         draws = world.draws
         self.noise = {
-            c.cls.name: draws.spread(c.noise, "noise", spec.name, c.cls.name) for c in world.scenario.classes
+            c.cls.name: draws.lognormal_factors(c.noise, "noise", spec.name, c.cls.name)
+            for c in world.scenario.classes
         }
         self.uniform_draws = draws.uniform("luck", spec.name)
-        self.delay_factors = draws.spread(world.scenario.network.jitter, "hops", spec.name)
-        self.report_noise = draws.spread(reports.noise, "reports", spec.name)
+        self.delay_factors = draws.lognormal_factors(world.scenario.network.jitter, "hops", spec.name)
+        self.report_noise = draws.lognormal_factors(reports.noise, "reports", spec.name)
         self.snapshots: deque[tuple[float, tuple[float, ...]]] = deque()
         self.finished_since_snapshot = 0
         self.last_busy = 0.0
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -46,7 +46,7 @@
         self.worker_hosts: dict[str, WorkerHost] = {}
         for spec in scenario.workers:
             kind = kinds[spec.kind]
-            drawn = next(self.draws.spread(kind.speed_spread, "speed", spec.name)) * kind.speed
+            drawn = next(self.draws.lognormal_factors(kind.speed_spread, "speed", spec.name)) * kind.speed
             self.worker_hosts[spec.name] = WorkerHost(self, spec, kind, spec.speed or drawn)
         self.listing = ListService(self, scenario.listing, self.draws.uniform("list"))
         self.clients = Clients(self)
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -260,10 +260,10 @@
         seen: list[float] = []
         taken = world.audit.taken
 
-        def record(tried: Try) -> None:
-            if tried.request.dispatcher_host is world.dispatcher_hosts[0] and world.loop.now > 5_500.0:
+        def record(client_try: Try) -> None:
+            if client_try.request.dispatcher_host is world.dispatcher_hosts[0] and world.loop.now > 5_500.0:
                 seen.append(world.loop.now)
-            taken(tried)
+            taken(client_try)
 
         world.audit.taken = record  # type: ignore[method-assign]
         figures = world.play()
