--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -49,11 +49,11 @@
         if not attempt.job.safe:
             self.unsafe.add(attempt.request_id)
 
-    def informed(self, process: object, worker_host: object) -> bool:
+    def is_informed(self, process: object, worker_host: object) -> bool:
         """Who knew of a start is not known here."""
         return True
 
-    def fell(self, worker_host: WorkerHost) -> None:
+    def cold_worker_overloaded(self, worker_host: WorkerHost) -> None:
         """Note a worker that was pushed over."""
         self.fallen.append(worker_host.name)
 
@@ -91,12 +91,12 @@
         """Lose the process."""
         super().die()
         self.attempts.clear()
-        if not self.silent:
+        if not self.silent_faults:
             self.hush()
 
-    def fell(self) -> None:
+    def crash_on_overload(self) -> None:
         """Stay down after a fall."""
-        super().fell()
+        super().crash_on_overload()
         self.hush()
 
     def start(self, cold_share: float | None = None) -> None:
@@ -148,7 +148,7 @@
         self.worker_hosts: dict[str, SocketWorkerHost] = {}
         for spec in scenario.workers:
             kind = kinds[spec.kind]
-            drawn = next(self.draws.spread(kind.speed_spread, "speed", spec.name)) * kind.speed
+            drawn = next(self.draws.lognormal_factors(kind.speed_spread, "speed", spec.name)) * kind.speed
             self.worker_hosts[spec.name] = SocketWorkerHost(self, spec, kind, spec.speed or drawn)
         self.listing = ListService(cast(Any, self), scenario.listing, self.draws.uniform("list"))
         self.lists: dict[Caller, Any] = {}
@@ -159,7 +159,7 @@
         faults = Faults(cast(Any, self))
         for n, fault in enumerate(self.scenario.faults):
             if fault.kind not in ELSEWHERE:
-                faults.acts[fault.kind](fault, n)
+                faults.handlers[fault.kind](fault, n)
         for name, worker_host in self.worker_hosts.items():
             if name in self.absent:
                 worker_host.listen()  # its ports are known from the first
@@ -188,7 +188,7 @@
 
     def reaches(self, caller: Caller, worker_host: WorkerHost) -> bool:
         """Say whether anything said between a dispatcher and a worker host arrives."""
-        return not worker_host.silent and self.cut[caller.rank, worker_host.name] <= 0
+        return not worker_host.silent_faults and self.cut[caller.rank, worker_host.name] <= 0
 
     def count(self) -> int:
         """Give a new connection its number."""
