--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -341,7 +341,7 @@
 
 def test_the_auditor_finds_a_job_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     """The planted defect: jobs that may have run are repeated."""
-    monkeypatch.setattr(EngineRules, "forbids", lambda self, job, send: None)
+    monkeypatch.setattr(EngineRules, "find_violation", lambda self, job, send: None)
     ended = Attempts._ended
 
     def ended_as_full(self: Attempts, attempt: Any, outcome: Outcome) -> None:
