--- a/elderstall/net/accepting.py
+++ b/elderstall/net/accepting.py
@@ -2,8 +2,8 @@
 
 Twisted's own loop raises unknown errors, retries in the next reactor iteration whatever the cause (a
 level-triggered poll would spin), and closes waiting clients when descriptors run out. Here an error of a
-single connection is skipped, and a lack of resources pauses accepting: waiting clients stay in the listener's
-queue and are accepted later.
+single connection is skipped, and a lack of resources pauses accepting: clients that wait in the listener's
+queue stay there and are accepted later.
 """
 
 from __future__ import annotations
@@ -22,13 +22,14 @@
     errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT,
     errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT,
     errno.EINTR})  # fmt: skip
-# Temporary lack of descriptors, memory, or room for one more descriptor in a poll.
+# Temporary lack of descriptors, memory, or room for one more descriptor in a poll. Other modules retry after
+# these errors; here every error outside CONNECTION_ERRORS pauses accepting.
 RESOURCE_ERRORS = frozenset({
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC, errno.EINTR})  # fmt: skip
 MAX_CONSECUTIVE_ERRORS = 8  # errors of single connections after which accepting pauses nevertheless
-MIN_PAUSE_MS = 5.0  # the first pause; each further consecutive one is twice as long
+MIN_PAUSE_MS = 5.0  # the first pause; doubled for each further one until a connection is accepted
 MAX_PAUSE_MS = 100.0
-MAX_PAUSE_DOUBLINGS = 5  # enough to exceed the longest pause
+MAX_PAUSE_DOUBLINGS = 5  # MIN_PAUSE_MS * 2**5 exceeds MAX_PAUSE_MS; keeps the power of two small
 
 
 def error_name(error: OSError) -> str:
@@ -106,13 +107,16 @@
         self.consecutive_pauses = 0
 
     def failed(self, error: OSError) -> bool:
-        """Count an error; return whether the next connection may be accepted at once."""
+        """Count an error; return whether the next connection may be accepted at once.
+
+        The connection that an error concerns may be lost; the clients behind it stay in the queue.
+        """
         name = error_name(error)
         self.errors[name] += 1
         self.consecutive_errors += 1
         self.log.write_rate_limited(
             "accept",
-            f"failed with {name} ({self.errors[name]} times since the start); waiting clients stay queued",
+            f"failed with {name} ({self.errors[name]} times since the start); other clients stay queued",
         )
         if error.errno in CONNECTION_ERRORS and self.consecutive_errors < MAX_CONSECUTIVE_ERRORS:
             return True
--- a/elderstall/net/console.py
+++ b/elderstall/net/console.py
@@ -1,4 +1,4 @@
-"""The operators' console on the second address: one call per connection, and the figures."""
+"""The operators' console on the admin address: one call per connection, and the figures."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from elderstall.slots import Slots
 
 MAX_CONSOLE_CONNECTIONS = 16  # a few fetch figures or make calls, others may be idle
-CALL_TIMEOUT_MS = 5_000.0  # to receive a whole call: slow scripts of operators need up to 4 s
+CALL_TIMEOUT_MS = 5_000.0  # from connecting to the answer: slow scripts need up to 4 s to send a call
 LINGER_MS = 1_000.0  # reading continues after the answer, so that a reset does not discard it
-FIGURE_PREFIX = "edge_relay"
+FIGURE_PREFIX = "edge_relay"  # this and the figures' names are read by operators' tools
 
 Call = Callable[[str], "bool | Deferred[bool]"]  # from the id in the query to whether the worker is known
 
@@ -71,8 +71,8 @@
         self.parser = http.Parser()
         self.message: http.Message | None = None
         self.number = 0
-        self.called = False  # the call is complete, nothing more is read
-        self.ended = False  # the connection is being aborted
+        self.is_call_complete = False  # nothing more is read
+        self.is_aborted = False  # the connection is being aborted
         self.began_at = 0.0
         self.reason = "peer-closed"
         self.timer: Deadline | None = None
@@ -84,15 +84,15 @@
         self.console.enforce_limit()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
-        if self.called:
+        if self.is_call_complete:
             return
         self.parser.feed(data)
         try:
-            while not self.called and (event := self.parser.next()) is not None:
+            while not self.is_call_complete and (event := self.parser.next()) is not None:
                 if isinstance(event, http.Head):
                     self.message = event.message
                 elif isinstance(event, http.End) and self.message is not None:
-                    self.called = True
+                    self.is_call_complete = True
                     self.console.handle_call(self, self.message)
         except http.MessageError as error:
             self.answer(error.status, f"{error}\n".encode())
@@ -103,7 +103,7 @@
 
     def answer(self, status: int, body: bytes, headers: tuple[tuple[str, str], ...] = ()) -> None:
         """Send the answer and close the sending direction."""
-        self.called = True
+        self.is_call_complete = True
         self.reason = "answered"
         self.parser.buffer.clear()
         self.transport.write(http.response(status, body, headers, close=True))
@@ -119,13 +119,13 @@
     def end(self, reason: str) -> None:
         """Abort the connection."""
         self.reason = reason
-        self.ended = True
+        self.is_aborted = True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         if self.timer is not None:
             self.timer.cancel()
-        self.called = True
+        self.is_call_complete = True
         self.console.callers.remove(self.number)
         if self.reason != "answered":  # scripts call frequently, so answered calls are not logged
             self.console.log.ended("console", self.number, self.reason)
@@ -157,20 +157,20 @@
     @property
     def answering(self) -> bool:
         """Whether an answer is still being sent or read."""
-        return any(connection.called and not connection.ended for connection in self.callers)
+        return any(connection.is_call_complete and not connection.is_aborted for connection in self.callers)
 
     def enforce_limit(self) -> None:
         """End a connection over the limit: answered ones first, then incomplete calls, each oldest first.
 
         Idle connections and incomplete calls would otherwise block new calls.
         """
-        connections = [connection for connection in self.callers if not connection.ended]
+        connections = [connection for connection in self.callers if not connection.is_aborted]
         if len(connections) > MAX_CONSOLE_CONNECTIONS:
             first_to_end = min(
                 connections,
                 key=lambda connection: (
                     connection.reason != "answered",
-                    connection.called,
+                    connection.is_call_complete,
                     connection.began_at,
                 ),
             )
--- a/elderstall/net/discovery.py
+++ b/elderstall/net/discovery.py
@@ -45,8 +45,8 @@
 class AddressRegistry(TypingProtocol):
     """Receiver of the addresses of listed workers."""
 
-    def update_endpoint(self, name: str, address: str, started: float | None) -> None:
-        """Set a worker's address and its listed start."""
+    def update_endpoint(self, name: str, address: str, since_ms: float | None) -> None:
+        """Set a worker's address and its listed start in Unix ms."""
 
     def remove_endpoint(self, name: str) -> None:
         """Remove a worker's address."""
@@ -57,7 +57,10 @@
 
 
 def parse_entry(raw: Any, live: bool) -> tuple[Endpoint, str]:
-    """Return the endpoint and the address from one entry of a list. Raises ListError."""
+    """Return the endpoint and the address from one entry of a list. Raises ListError.
+
+    The listed weight is used only if ``live`` is set; otherwise, and for a weight of 0, it is 1.
+    """
     try:
         name = raw["name"]
         address = raw["address"]
@@ -87,7 +90,7 @@
 
 
 def parse_list(value: Any, live: bool) -> tuple[int, ListScope, list[tuple[Endpoint, str]]]:
-    """Return version, scope and entries of a list in discovery's format. Raises ListError."""
+    """Return version, scope and entries of a list; ``live`` as for `parse_entry`. Raises ListError."""
     if not isinstance(value, dict) or not isinstance(value.get("endpoints"), list):
         raise ListError("the answer has no list of endpoints")
     if not isinstance(value.get("index"), int):
@@ -96,7 +99,7 @@
     return value["index"], scope, [parse_entry(entry, live) for entry in value["endpoints"]]
 
 
-def encode_list(index: int, entries: Iterable[Endpoint], addresses: Mapping[str, str]) -> dict[str, Any]:
+def encode_list(version: int, entries: Iterable[Endpoint], addresses: Mapping[str, str]) -> dict[str, Any]:
     """Return a whole list in discovery's format."""
     states = {state: name for name, state in STATES.items()}
 
@@ -104,7 +107,7 @@
         return (entry.started if entry.since_ms is None else entry.since_ms) or 0
 
     return {
-        "index": index,
+        "index": version,
         "snapshot": True,
         "endpoints": [
             {
@@ -132,9 +135,9 @@
         self.watch = watch
         self.parser = http.Parser(responses=True, max_body=0)
         self.values = JsonLines(MAX_LIST_BYTES)
-        self.accepted = False  # discovery has answered with status 200
-        self.index: int | None = None  # version of the latest list received here
-        self.received_bytes = 0  # since the timeout was last restarted
+        self.accepted = False  # discovery has answered with status 200; not read
+        self.version: int | None = None  # of the latest list received here
+        self.received_bytes = 0  # since progress was last reported
         self.reason = "discovery-closed"
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -144,7 +147,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
         self.parser.feed(data)
         try:
-            while self.watch.listens_to(self) and (event := self.parser.next()) is not None:
+            while self.watch.is_listening_to(self) and (event := self.parser.next()) is not None:
                 if isinstance(event, http.Head):
                     if event.message.status != 200:
                         raise ListError(f"discovery answered with status {event.message.status}")
@@ -207,7 +210,7 @@
 
 
 class Discovery(Factory):
-    """Keeps the list, and a watch on it once the decisions have requested one.
+    """Keeps the list's version, addresses and start times, and a watch on it once requested.
 
     A second call is made beside one that is not answered in time; the first to be answered becomes the watch.
     """
@@ -219,7 +222,7 @@
         deadlines: Deadlines,
         log: Log,
         connect: Connect,
-        pools: AddressRegistry,
+        address_registry: AddressRegistry,
         on_update: ListUpdateHandler,
         address: str = "",
         live: bool = False,
@@ -227,17 +230,18 @@
         self.deadlines = deadlines
         self.log = log
         self.connect = connect
-        self.pools = pools
+        self.address_registry = address_registry
         self.on_update = on_update
         self.address = address
-        self.live = live
-        self.index = 0
+        self.live = live  # whether the listed weights are used
+        self.index = 0  # version of the list; 0: none
         self.addresses: dict[str, str] = {}
         self.starts = StartTimes(deadlines)
         self.listed_at = -math.inf  # when the list was last confirmed to be current
         self.calls: list[ListCall] = []  # the watch, or at most two unanswered calls
-        self.former: ListCall | None = None  # the watch at the previous address, until the new one answers
-        self.wanted = False  # the decisions have requested a watch
+        # The watch at the previous address, until the new one answers.
+        self.previous_call: ListCall | None = None
+        self.watch_requested = False  # the decisions have requested a watch
         self.fell_silent = False  # the last watch or call timed out, and none has answered since
         self.timer: Deadline | None = None  # timeout of the next line
         self.hedge_timer: Deadline | None = None  # delay of the second call
@@ -257,24 +261,25 @@
         """Merge a list unless a newer one is held; return its scope and entries for the decisions, or None.
 
         Addresses are updated first, as the decisions may send at once. A whole list at the beginning of a
-        watch is always accepted: discovery may have restarted its version numbers.
+        watch is always accepted: discovery may have restarted its version numbers. Version 0 counts as none.
         """
-        index, scope, pairs = parse_list(value, self.live)
+        version, scope, pairs = parse_list(value, self.live)
         if source is not None:
-            is_first = source.index is None
+            is_first = source.version is None
             is_current = self.call_of(source) is not None
-            min_index = source.index or (self.index if is_current else 0)
-            if index < min_index and not (is_first and scope is ListScope.WHOLE):
+            min_version = source.version or (self.index if is_current else 0)
+            if version < min_version and not (is_first and scope is ListScope.WHOLE):
                 self.log.write(
-                    "watch", f"ignored version {index} of the list, which is older than version {min_index}"
+                    "watch",
+                    f"ignored version {version} of the list, which is older than version {min_version}",
                 )
                 return None
-            source.index = index
+            source.version = version
         if not self.fits(scope, len(pairs)):
             return None
         names = {listed.worker for listed, _ in pairs}
         self.starts.check_wall_clock()
-        oldest = math.inf if source is None else self.deadlines.now() - self.listed_at
+        max_age_ms = math.inf if source is None else self.deadlines.now() - self.listed_at
         if scope is ListScope.WHOLE:
             for name in [name for name in self.addresses if name not in names]:
                 self.drop(name)
@@ -284,29 +289,29 @@
                 self.drop(listed.worker)
             else:
                 self.addresses[listed.worker] = address
-                self.pools.update_endpoint(listed.worker, address, listed.since_ms)
-                started = self.starts.reading(listed.worker, listed.since_ms, oldest)
+                self.address_registry.update_endpoint(listed.worker, address, listed.since_ms)
+                started = self.starts.reading(listed.worker, listed.since_ms, max_age_ms)
                 if started != listed.started:
                     entries.append(replace(listed, started=started))
                     continue
             entries.append(listed)
-        self.index = index
+        self.index = version
         return scope, tuple(entries)
 
     def drop(self, name: str) -> None:
         """Remove a worker's address."""
         self.addresses.pop(name, None)
         self.starts.drop(name)
-        self.pools.remove_endpoint(name)
+        self.address_registry.remove_endpoint(name)
 
     def on_list_value(self, value: Any, connection: WatchConnection) -> None:
         """Handle a value or keep-alive of the watch; the first call to be answered becomes the watch."""
         call = self.call_of(connection)
         if call is None:
-            self.on_former_list_value(value, connection)
+            self.on_previous_list_value(value, connection)
             return
         self.restart_timeout(SILENCE_TIMEOUT_MS)
-        self.close_former()
+        self.end_previous_call()
         self.keep_only(call)
         is_first_answer = self.awaiting_answer
         self.awaiting_answer = False
@@ -329,13 +334,13 @@
         if self.call_of(connection) is not None:
             self.restart_timeout(SILENCE_TIMEOUT_MS)
 
-    def on_former_list_value(self, value: Any, connection: WatchConnection) -> None:
+    def on_previous_list_value(self, value: Any, connection: WatchConnection) -> None:
         """Handle a value of the watch at the previous address: changes sent there count as received."""
         if value is None:
             return
-        index = self.index
+        version = self.index
         update = self.merge(value, connection)
-        self.index = index  # the new address has its own version numbers
+        self.index = version  # the new address has its own version numbers
         if update is not None:
             self.on_update(*update)
 
@@ -343,26 +348,26 @@
 
     def follow(self) -> None:
         """Request a watch, unless one is open or being opened."""
-        self.wanted = True
+        self.watch_requested = True
         if self.calls:
             return
         self.awaiting_answer = True
         self.restart_timeout(ANSWER_TIMEOUT_MS)
         hedge_delay = HEDGE_DELAY_AFTER_SILENCE_MS if self.fell_silent else HEDGE_DELAY_MS
-        self.hedge_timer = self.deadlines.after(hedge_delay, self.hedge)
-        self.call()
+        self.hedge_timer = self.deadlines.after(hedge_delay, self.start_hedge_call)
+        self.start_call()
 
-    def call(self) -> None:
+    def start_call(self) -> None:
         """Start a list call."""
         call = ListCall(self)
         self.calls.append(call)
         call.begin()
 
-    def hedge(self) -> None:
+    def start_hedge_call(self) -> None:
         """Start a second list call beside the unanswered one."""
         self.hedge_timer = None
         self.log.write("watch", "discovery has not answered the list call yet; starting a second one")
-        self.call()
+        self.start_call()
 
     def keep_only(self, call: ListCall) -> None:
         """End the other call, or cancel its timer."""
@@ -397,34 +402,34 @@
         self.index = 0
         self.listed_at = -math.inf
         # A call that is still unanswered is dropped; the watch of an earlier address is kept.
-        if self.former is None or not self.awaiting_answer:
-            self.close_former()
-            self.former = next((call for call in self.calls if call.connection is not None), None)
-            self.calls = [call for call in self.calls if call is not self.former]
+        if self.previous_call is None or not self.awaiting_answer:
+            self.end_previous_call()
+            self.previous_call = next((call for call in self.calls if call.connection is not None), None)
+            self.calls = [call for call in self.calls if call is not self.previous_call]
         self.end_calls("moved")
-        if self.wanted:
+        if self.watch_requested:
             self.follow()
 
-    def close_former(self) -> None:
+    def end_previous_call(self) -> None:
         """Close the watch at the previous address."""
-        former = self.former
-        self.former = None
-        if former is not None:
-            former.end("moved")
+        previous_call = self.previous_call
+        self.previous_call = None
+        if previous_call is not None:
+            previous_call.end("moved")
 
     def call_of(self, connection: WatchConnection) -> ListCall | None:
         """Return the call to the current address that a connection belongs to, if any."""
         return next((call for call in self.calls if call.connection is connection), None)
 
-    def listens_to(self, connection: WatchConnection) -> bool:
+    def is_listening_to(self, connection: WatchConnection) -> bool:
         """Return whether data from a connection is still used."""
-        is_former = self.former is not None and self.former.connection is connection
-        return is_former or self.call_of(connection) is not None
+        is_previous = self.previous_call is not None and self.previous_call.connection is connection
+        return is_previous or self.call_of(connection) is not None
 
     def on_connection_ended(self, connection: WatchConnection, reason: str, detail: str) -> None:
         """Handle the end of a watch or an unreadable list; the end of the previous watch is no failure."""
-        if self.former is not None and self.former.connection is connection:
-            self.close_former()
+        if self.previous_call is not None and self.previous_call.connection is connection:
+            self.end_previous_call()
         elif (call := self.call_of(connection)) is not None:
             self.on_call_failed(call, reason, detail)
 
@@ -458,5 +463,5 @@
 
     def close(self) -> None:
         """Close all connections to discovery permanently."""
-        self.close_former()
+        self.end_previous_call()
         self.end_calls("exit")
--- a/elderstall/net/event_stream.py
+++ b/elderstall/net/event_stream.py
@@ -11,7 +11,7 @@
 from elderstall.net import http
 
 MEDIA_TYPE = "text/event-stream"
-MAX_EVENT_CHARACTERS = http.MAX_BODY  # of one event, as of one body
+MAX_EVENT_CHARACTERS = http.MAX_BODY  # of one event, the same number as the bytes of a body
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.decoder = codecs.getincrementaldecoder("utf-8")(errors="replace")
-        self.line: list[str] = []
+        self.line_pieces: list[str] = []
         self.after_cr = False
         self.begun = False
         self.event = ""
@@ -56,13 +56,13 @@
             ends = [n for n in (text.find("\r", start), text.find("\n", start)) if n >= 0]
             end = min(ends, default=len(text))
             self.add_size(end - start)
-            self.line.append(text[start:end])
+            self.line_pieces.append(text[start:end])
             if not ends:
                 break
             self.after_cr = text[end] == "\r"
             start = end + 1
-            line = "".join(self.line)
-            self.line.clear()
+            line = "".join(self.line_pieces)
+            self.line_pieces.clear()
             if line:
                 self.field(line)
             elif (event := self.dispatch()) is not None:
--- a/elderstall/net/http.py
+++ b/elderstall/net/http.py
@@ -9,7 +9,7 @@
 
 from elderstall.net.buffer import Buffer
 
-MAX_LINE = 8192  # bytes of a trailer line
+MAX_TRAILER_LINE = 8192  # bytes
 MAX_HEAD = 16 * 1024  # bytes, also of all trailers together
 MAX_HEADERS = 100
 MAX_BODY = 64 * 1024  # bytes
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Head:
-    """Parser event: a message has begun."""
+    """Parser event: the head of a message is complete."""
 
     message: Message
 
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class Parser:
-    """Incremental parser of requests or responses; it buffers at most one head or chunk line.
+    """Incremental parser of requests or responses; it buffers the bytes fed and not yet returned.
 
     ``max_body`` 0 sets no limit, for bodies that are passed on while they arrive.
     """
@@ -143,7 +143,7 @@
     responses: bool = False
     max_body: int = MAX_BODY
     buffer: Buffer = field(default_factory=Buffer)
-    state: str = "head"  # head, length, chunk, chunk-end, trailer, rest (to the connection's end)
+    state: str = "head"  # or length, chunk-size, chunk, chunk-end, trailer, rest (to the end)
     left: int = 0  # bytes of the body or chunk still to come
     size: int = 0  # bytes of the body
     extra: int = 0  # bytes of trailers, or of empty lines before a head
@@ -221,7 +221,7 @@
                     raise MessageError(400, "chunk without its end")
                 self.state = "chunk-size"
             elif self.state == "chunk-size":
-                if (text := self.take_line(1024)) is None:
+                if (text := self.take_line(1024)) is None:  # bytes of a size with extensions
                     return None
                 size = text.split(b";", 1)[0].rstrip(b" \t")
                 if not HEX.match(size):
@@ -230,7 +230,7 @@
                 self.add_body_size(self.left)
                 self.state = "chunk" if self.left else "trailer"
             else:
-                if (text := self.take_line(MAX_LINE)) is None:
+                if (text := self.take_line(MAX_TRAILER_LINE)) is None:
                     return None
                 self.extra += len(text)
                 if self.extra > MAX_HEAD:
@@ -243,7 +243,7 @@
         while self.buffer.peek(2) == b"\r\n":  # skips a few empty lines before a message
             self.buffer.take(2)
             self.extra += 2
-            if self.extra > 16:
+            if self.extra > 16:  # bytes: eight empty lines
                 raise MessageError(400, "empty lines")
         length = self.buffer.find(b"\r\n\r\n")
         if length > MAX_HEAD or (length < 0 and len(self.buffer) > MAX_HEAD):
@@ -299,7 +299,7 @@
         return Message(self.parse_version(words[0]), Headers(), status=int(words[1]))
 
     def set_framing(self, message: Message) -> None:
-        """Determine how the body ends; a length with chunked coding is refused: request smuggling."""
+        """Determine how the body ends; a length with chunked coding is refused, to prevent smuggling."""
         coding = message.headers.tokens("Transfer-Encoding")
         lengths = {length for value in message.headers.all("Content-Length") for length in value.split(",")}
         lengths = {length.strip() for length in lengths}
--- a/elderstall/net/jsonlines.py
+++ b/elderstall/net/jsonlines.py
@@ -18,9 +18,9 @@
         self.max_bytes = max_bytes  # bytes of one value
         self.text = bytearray()  # complete lines of an incomplete value
         self.rest = bytearray()  # the incomplete last line
-        self.depth = (
-            0  # open braces in the text, including those in strings: avoids parsing attempts that must fail
-        )
+        # Open braces in the text, including those in strings. After its first line, a value is parsed only at
+        # a depth of 0 or less; an indented value with an unbalanced "{" in a string is never parsed.
+        self.depth = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
         """Yield each complete value, and None for each empty line. Raises ValueError for anything else."""
--- a/elderstall/net/peer.py
+++ b/elderstall/net/peer.py
@@ -47,6 +47,6 @@
 
 
 def unwritten(transport: Any) -> bool:
-    """Return whether the transport holds bytes not yet written to the socket; False if it is in memory."""
+    """Return whether the transport holds bytes not yet written to the socket; False for one in memory."""
     queued: int = getattr(transport, "_tempDataLen", 0)
     return queued > 0 or len(getattr(transport, "dataBuffer", b"")) > getattr(transport, "offset", 0)
--- a/elderstall/routing/subset.py
+++ b/elderstall/routing/subset.py
@@ -1,12 +1,16 @@
 """Deterministic subsetting: the workers of a large fleet that one dispatcher uses, without coordination.
 
 Every worker has a fixed position on a ring, from the hash of its name, and every dispatcher a fixed point,
-from its rank. A dispatcher uses the next `subset_size` workers after its point. The points of all ranks are
-evenly spaced (multiples of an irrational number), so every worker is in nearly the same number of subsets.
+from its rank. A dispatcher uses about `subset_size` workers, those that follow its point. The points of all
+ranks are evenly spaced (multiples of an irrational number), so every worker is in nearly the same number of
+subsets.
 Adding or removing a worker changes one entry at each dispatcher whose arc contains it, and none elsewhere;
 adding or removing a dispatcher moves no other dispatcher's point. Each kind of worker has its own ring, so
 that no kind is missing from a subset; where crossing zones has a price, workers are also taken from a ring
-of the home zone.
+of the home zone. Minimums of a kind and of the home zone may make a subset larger than `subset_size`.
+
+Where workers are polled, a dispatcher owns the workers at the beginning of its arcs: it is the first to use
+them.
 
 Alternatives are compared in docs/design/bounded-view.md. No I/O, no clock, no randomness.
 """
@@ -21,20 +25,23 @@
 
 from elderstall.hashing import stable_hash
 
-MIN_SUBSET_SIZE = 1_024  # workers: a dispatcher knows all workers of a fleet up to this size
-MIN_DISPATCHERS_PER_WORKER = 8  # evens out unequal traffic of the dispatchers that share a worker
+MIN_SUBSET_SIZE = 1_024  # workers; a fleet of up to this size is never divided into subsets
+MIN_DISPATCHERS_PER_WORKER = 8  # on average; evens out unequal traffic of dispatchers that share a worker
 SIZE_TOLERANCE_FRACTION = 1 / 8  # smaller deviations change no size and remove no members: no flapping
 MIN_LARGE_FLEET = MIN_SUBSET_SIZE * (1 + SIZE_TOLERANCE_FRACTION)  # workers, above which a fleet is large
-MIN_WORKERS_PER_KIND = 64  # also of the home zone where that counts: enough for each tier's pool
-KIND_MINIMUMS_DIVISOR = 4  # at most 1/4 of a subset is reserved for the minimum of each kind
-LAST_PREFERENCE_POSITION = 0.999  # preference position, of 1
+MIN_WORKERS_PER_KIND = 64  # from each kind's ring, and from the home zone's where crossing zones has a price
+KIND_MINIMUMS_DIVISOR = 4  # resizing reserves at most 1/4 of a subset for the minimums of all kinds together
+LAST_PREFERENCE_POSITION = 0.999  # just below 1: the last preference position on an arc
 MAX_WIDENING_FACTOR = 2.0  # of an arc's length, while workers in it are unreachable
 RING_POSITIONS = 2**32
 POINT_STEP = math.sqrt(2) - 1  # of the ring, between the points of consecutive ranks: evenly spaced
 
 
 def subset_size(workers: int, dispatchers: int) -> int:
-    """Return the subset size that puts each worker in at least `MIN_DISPATCHERS_PER_WORKER` subsets."""
+    """Return the subset size.
+
+    Each worker is then in at least `MIN_DISPATCHERS_PER_WORKER` subsets on average.
+    """
     return max(MIN_SUBSET_SIZE, math.ceil(MIN_DISPATCHERS_PER_WORKER * workers / dispatchers))
 
 
@@ -117,7 +124,7 @@
         self.last_distance = 0  # from the start to the last member
         self.extra_members = 0  # members beyond the length, added for unreachable ones
 
-    def covers(self, name: str) -> bool:
+    def is_affected_by(self, name: str) -> bool:
         """Return whether adding or removing a worker can change the members."""
         is_short = len(self.members) < self.length
         return (
@@ -179,7 +186,7 @@
 
     @property
     def widened(self) -> int:
-        """Number of additional workers used in kind_and_zone of unreachable ones."""
+        """Number of additional workers used in place of unreachable ones."""
         return sum(arc.extra_members for arc in self.arcs())
 
     def arcs(self) -> list[RingArc]:
@@ -238,7 +245,10 @@
         return arcs
 
     def add(self, name: str, kind: str, zone: str | None) -> bool:
-        """Add a worker that is up; return whether members may have changed."""
+        """Add a worker that is up; return whether members may have changed.
+
+        A new kind's arc may hold up to `MIN_WORKERS_PER_KIND` workers until the next resize.
+        """
         if kind not in self.arcs_by_kind:
             self.arcs_by_kind[kind] = RingArc(Ring(), self.start, MIN_WORKERS_PER_KIND)
         arcs = self._arcs_of(self._record_kind_and_zone(name, kind, zone))
@@ -254,7 +264,7 @@
         if abs(len(self.kinds_and_zones) - self.sized_for) > SIZE_TOLERANCE_FRACTION * self.sized_for:
             self.resize()
             return True
-        affected = [arc for arc in arcs if arc.covers(name)]
+        affected = [arc for arc in arcs if arc.is_affected_by(name)]
         self.recompute(affected)
         return bool(affected)
 
@@ -272,7 +282,7 @@
         """Return this dispatcher's preference position for a worker: its distance along the arc, 0 to 1.
 
         The workers that a dispatcher owns, at the beginning of its arc, are therefore as evenly distributed
-        as all members.
+        among the dispatchers as all members.
         """
         arc = self.arcs_by_kind[self.kinds_and_zones[name].kind]
         span = RING_POSITIONS * max(1, arc.length) / max(1, len(arc.ring))
--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -4,9 +4,11 @@
 worker has been draining or gone. ``FleetView`` combines these. It holds one compact entry per listed worker
 and passes on to the decisions:
 
-* In fleets of up to `subset.MIN_SUBSET_SIZE` workers, the whole list and every change, as discovery sends it.
-* In larger fleets, a subset (`routing/subset.py`) and the changes within it. A change outside the subset is
-  only a dictionary update.
+* In fleets of up to `subset.subset_size` workers, the whole list and every change, with bans applied. The
+  change to a subset is made only above that size by `subset.SIZE_TOLERANCE_FRACTION`. Entries of more than
+  `subset.MIN_LARGE_FLEET` workers also have preference positions.
+* In larger fleets, a subset (`routing/subset.py`) and the changes within it, with bans applied and preference
+  positions. A change outside the subset is only a dictionary update.
 
 Gone workers are forgotten once the drain rule no longer needs them, because nothing may be sent to an unknown
 worker. The state is therefore bounded by the size of the current list, not by its history.
@@ -40,7 +42,7 @@
 )
 
 GONE_RETENTION_MS = 300_000.0  # a gone worker is retained this long, as it may come back
-MIN_GONE_RETAINED = 64  # in small fleets; otherwise one per GONE_RETAINED_DIVISOR listed workers
+MIN_GONE_LIMIT = 64  # names; the limit is one per GONE_RETAINED_DIVISOR listed workers, but at least this
 GONE_RETAINED_DIVISOR = 4
 ENTER_FRACTION = 1 / 8  # of the subset size, admitted per interval: spreads the opening of connections
 ENTER_INTERVAL_MS = 1_000.0  # between admissions of waiting workers
@@ -48,7 +50,11 @@
 
 
 class ExpiringNames:
-    """Names with the time at which each was added, oldest first; bounded in number and age."""
+    """Names in the order in which they were added, each with a time; ``expire`` bounds their number and age.
+
+    A time may be earlier than those of names added before, as a gone worker has the time at which it began to
+    drain. Such a name expires only after the names before it.
+    """
 
     def __init__(self) -> None:
         self.since: OrderedDict[str, float] = OrderedDict()
@@ -65,7 +71,7 @@
         return self.since.pop(name, None)
 
     def expire(self, now: float, max_names: int) -> list[str]:
-        """Remove and return the names that are too old or exceed the maximum."""
+        """Remove and return names, first added first, while the first is too old or there are too many."""
         expired = []
         while self.since:
             name, since = next(iter(self.since.items()))
@@ -107,7 +113,7 @@
         self.counts = ViewCounts()
         self.subset: Subset | None = None  # None: the decisions know the whole list
         self.members: dict[str, None] = {}  # of the subset, as passed to the decisions
-        self.closed = ExpiringNames()  # workers that the decisions hold as gone or draining
+        self.gone_for_decisions = ExpiringNames()  # to be forgotten there: gone, or outside the subset
         self.waiting: dict[str, None] = {}  # workers to be admitted to the subset
         self.entered_at = 0.0  # when workers were last admitted
         self.reach = ZoneReach()
@@ -141,7 +147,7 @@
         if worker in self.ended_bans:
             since, until = self.ended_bans[worker]
             if (entry.started or 0.0) < since:
-                # Rule 4: the worker was restarted while banned, and discovery reports the new start late.
+                # Slow start: the worker was restarted while banned, and discovery reports the new start late.
                 entry = replace(entry, started=until)
         return entry
 
@@ -162,7 +168,7 @@
         return since is not None
 
     def refresh(self, worker: str, now: float) -> list[Event]:
-        """Reapply a worker's entry as it counts now; return the events for the decisions."""
+        """Reapply a worker's entry with the present bans; return the events for the decisions."""
         entry = self.entries.get(worker)
         return [] if entry is None else self.update(now, ListScope.CHANGES, (entry,))
 
@@ -174,7 +180,7 @@
             return [EndpointListUpdate(scope)]
         if not self.fits(scope, len(entries)):
             return []  # the last good view stays in force
-        self.count_odd(entries)
+        self.count_irregular_entries(entries)
         effective_entries = tuple(self.effective_entry(entry) for entry in entries)
         missing = self.missing_from(entries) if scope is ListScope.WHOLE else []
         for worker in missing:
@@ -188,7 +194,11 @@
         return events + self.forget(now)
 
     def fits(self, scope: ListScope, count: int) -> bool:
-        """Return whether a list of ``count`` entries fits into memory; a list that does not is refused."""
+        """Return whether a list of ``count`` entries fits into memory; log and count one that does not.
+
+        Changes may be new workers, or entries of workers already listed, so the entries held and the changes
+        together may be twice the maximum.
+        """
         total = count + (0 if scope is ListScope.WHOLE else len(self.entries))
         if count <= self.max_list_entries and total <= 2 * self.max_list_entries:
             return True
@@ -199,18 +209,18 @@
         )
         return False
 
-    def count_odd(self, entries: tuple[Endpoint, ...]) -> None:
+    def count_irregular_entries(self, entries: tuple[Endpoint, ...]) -> None:
         """Count and log entries that lack a zone or kind that others have, or whose name is duplicated."""
-        odd = Counter({"doubled name": len(entries) - len({e.worker for e in entries})})
+        irregular = Counter({"duplicate name": len(entries) - len({e.worker for e in entries})})
         if any(e.zone for e in entries):
-            odd["no zone"] = sum(not e.zone for e in entries)
+            irregular["no zone"] = sum(not e.zone for e in entries)
         if any(e.kind for e in entries):
-            odd["no kind"] = sum(not e.kind for e in entries)
-        if odd := +odd:
-            self.counts.odd_entries += odd
+            irregular["no kind"] = sum(not e.kind for e in entries)
+        if irregular := +irregular:
+            self.counts.odd_entries += irregular
             self.log(
                 "list",
-                "accepted, but " + ", ".join(f"{n} with {defect}" for defect, n in sorted(odd.items())),
+                "accepted, but " + ", ".join(f"{n} with {defect}" for defect, n in sorted(irregular.items())),
             )
 
     def missing_from(self, entries: Iterable[Endpoint]) -> list[str]:
@@ -271,7 +281,7 @@
         size = subset_size(self.up, self.settings.dispatchers)
         if self.subset is None and self.up <= size * (1 + SIZE_TOLERANCE_FRACTION):
             for worker in changed:
-                self.record_closed(worker, now)
+                self.record_gone_for_decisions(worker, now)
             return [
                 EndpointListUpdate(
                     scope,
@@ -284,12 +294,12 @@
             return [self.replace_view(now, size)]
         return self.subset_events(now, changed)
 
-    def record_closed(self, worker: str, now: float) -> None:
-        """Record whether the decisions hold a worker as gone."""
+    def record_gone_for_decisions(self, worker: str, now: float) -> None:
+        """Record whether a worker is gone, so that the decisions forget it later."""
         if worker in self.entries:
-            self.closed.discard(worker)
+            self.gone_for_decisions.discard(worker)
         else:
-            self.closed.add(worker, now)
+            self.gone_for_decisions.add(worker, now)
 
     def replace_view(self, now: float, size: int) -> Event:
         """Switch from the whole list to a subset, or back; return the complete list for the decisions."""
@@ -315,14 +325,17 @@
                 f"{self.subset_dispatchers_per_worker:.1f} dispatchers per worker",
             )
         for worker in effective_entries:
-            self.closed.add(worker, now)
+            self.gone_for_decisions.add(worker, now)
         for entry in known_entries:
-            self.closed.discard(entry.worker)
+            self.gone_for_decisions.discard(entry.worker)
         self.entered_at = now
         return EndpointListUpdate(ListScope.WHOLE, tuple(known_entries))
 
     def build_subset(self) -> Subset:
-        """Build the subset from all workers that are up."""
+        """Build the subset from all workers that are up.
+
+        It has no unreachable zones, and so no replacements for their workers, until the reach next changes.
+        """
         settings = self.settings
         home_zone = settings.zone if settings.cross_zone_price > 0 else None
         subset = Subset(settings.rank, settings.dispatchers, home_zone)
@@ -340,7 +353,7 @@
                 changes.append(self.entry_of(worker))
                 if self.state(worker) is not WorkerState.UP:
                     del self.members[worker]
-                    self.closed.add(worker, now)
+                    self.gone_for_decisions.add(worker, now)
         if members_changed:
             changes += self.update_membership(now)
         changes += self.admit(now)
@@ -387,7 +400,7 @@
         leaving = surplus[:excess]
         for worker in leaving:
             del self.members[worker]
-            self.closed.add(worker, now)
+            self.gone_for_decisions.add(worker, now)
         self.counts.left += len(leaving)
         return [replace(self.entry_of(worker), state=WorkerState.GONE) for worker in leaving]
 
@@ -402,7 +415,7 @@
         for worker in entering:
             del self.waiting[worker]
             self.members[worker] = None
-            self.closed.discard(worker)
+            self.gone_for_decisions.discard(worker)
         if entering:
             self.entered_at = now
         self.counts.entered += len(entering)
@@ -436,15 +449,15 @@
 
     def forget(self, now: float) -> list[Event]:
         """Drop expired gone workers; return the event that drops them in the decisions."""
-        max_gone = max(MIN_GONE_RETAINED, len(self.entries) // GONE_RETAINED_DIVISOR)
+        max_gone = max(MIN_GONE_LIMIT, len(self.entries) // GONE_RETAINED_DIVISOR)
         forgotten = self.gone.expire(now, max_gone)
         self.counts.forgotten += len(forgotten)
         for worker in forgotten:
             if worker not in self.banned:
                 self.ended_bans.pop(worker, None)
         known = len(self.entries) if self.subset is None else len(self.members)
-        closed = self.closed.expire(now, max(MIN_GONE_RETAINED, known // GONE_RETAINED_DIVISOR))
-        return [WorkersForgotten(tuple(closed))] if closed else []
+        expired = self.gone_for_decisions.expire(now, max(MIN_GONE_LIMIT, known // GONE_RETAINED_DIVISOR))
+        return [WorkersForgotten(tuple(expired))] if expired else []
 
     # ---- reach ----
 
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -57,7 +57,7 @@
         self.turn()
 
     def open_calls(self) -> int:
-        return len(self.app.discovery.calls) + (self.app.discovery.former is not None)
+        return len(self.app.discovery.calls) + (self.app.discovery.previous_call is not None)
 
 
 class InOneTurn(Reloading):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
 from elderstall.decisions.records import Worker
 from elderstall.interface import Actions, EndpointListUpdate, Event, ListScope, WorkerState
 from elderstall.routing.subset import MIN_SUBSET_SIZE, SIZE_TOLERANCE_FRACTION
-from elderstall.routing.view import GONE_RETAINED_DIVISOR, MIN_GONE_RETAINED
+from elderstall.routing.view import GONE_RETAINED_DIVISOR, MIN_GONE_LIMIT
 
 WORKERS = 3_000
 
@@ -53,7 +53,7 @@
         uncovered = [
             worker
             for worker in self.dispatcher.outside()
-            if not any(arc.covers(worker) for arc in subset.arcs())
+            if not any(arc.is_affected_by(worker) for arc in subset.arcs())
         ]
         for name in uncovered[:30]:
             self.dispatcher.change(entry(self.number_of(name), WorkerState.DRAINING))
@@ -151,7 +151,7 @@
         return Counter(
             listed=len(view.entries),
             gone=len(view.gone),
-            closed=len(view.closed),
+            closed=len(view.gone_for_decisions),
             unavailable=len(view.unavailable),
             members=len(view.members),
             decisions=len(dispatcher.engine.decisions.endpoints.workers),
@@ -165,8 +165,8 @@
             )
             self.assertEqual(workers, later["listed"])
             known = later["members"] or workers
-            closed = max(MIN_GONE_RETAINED, known // GONE_RETAINED_DIVISOR)
-            self.assertLessEqual(later["gone"], max(MIN_GONE_RETAINED, workers // GONE_RETAINED_DIVISOR))
+            closed = max(MIN_GONE_LIMIT, known // GONE_RETAINED_DIVISOR)
+            self.assertLessEqual(later["gone"], max(MIN_GONE_LIMIT, workers // GONE_RETAINED_DIVISOR))
             self.assertLessEqual(later["decisions"], (1 + SIZE_TOLERANCE_FRACTION) * known + closed + 8)
             self.assertLessEqual(later.total(), 1.25 * first.total())
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -40,7 +40,7 @@
 
 
 class Sizes(unittest.TestCase):
-    def test_up_to_1024_it_is_the_whole_fleet(self) -> None:
+    def test_subset_is_the_whole_fleet_up_to_1024_workers(self) -> None:
         for dispatchers in (1, 8, 40, 23_000):
             self.assertGreaterEqual(subset_size(MIN_SUBSET_SIZE, dispatchers), MIN_SUBSET_SIZE)
         self.assertEqual(MIN_SUBSET_SIZE, subset_size(100, 40))
@@ -174,7 +174,7 @@
         self.assertEqual(usual, subset.wanted())
         self.assertEqual(0, subset.widened)
 
-    def test_it_is_bounded_and_covers_the_reachable_workers_when_regions_are_partitioned(self) -> None:
+    def test_subset_is_bounded_and_covers_the_reachable_workers_when_regions_are_partitioned(self) -> None:
         workers = fleet(6_000, kinds=1)
         subset = subset_of(workers, dispatchers=600)
         usual = len(subset.wanted())
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -35,7 +35,7 @@
     ENTER_FRACTION,
     ENTER_INTERVAL_MS,
     GONE_RETENTION_MS,
-    MIN_GONE_RETAINED,
+    MIN_GONE_LIMIT,
     FleetView,
 )
 from tests.test_core import CLASSES as CORE_CLASSES
@@ -144,7 +144,7 @@
             len(view.entries),
             len(view.unavailable),
             len(view.gone),
-            len(view.closed),
+            len(view.gone_for_decisions),
             len(view.members),
             len(view.waiting),
             len(subset),
@@ -159,11 +159,11 @@
             self.replace_workers(2_000, count)
             listed, unavailable, gone, closed, members, waiting, on_rings = self.container_sizes()
             self.assertEqual([listed, unavailable, gone, on_rings], [*first[:3], first[6]])
-            self.assertLessEqual(closed, max(MIN_GONE_RETAINED, (members or listed) // 4))
+            self.assertLessEqual(closed, max(MIN_GONE_LIMIT, (members or listed) // 4))
             self.assertLessEqual(members, (1 + SIZE_TOLERANCE_FRACTION) * MIN_SUBSET_SIZE + 4)
             self.assertLessEqual(waiting, 16)
-            self.assertLessEqual(len(self.view.gone), max(MIN_GONE_RETAINED, count // 4))
-            self.assertLessEqual(len(self.view.closed), max(MIN_GONE_RETAINED, count // 4))
+            self.assertLessEqual(len(self.view.gone), max(MIN_GONE_LIMIT, count // 4))
+            self.assertLessEqual(len(self.view.gone_for_decisions), max(MIN_GONE_LIMIT, count // 4))
             self.assertGreater(self.view.counts.forgotten, 1_500)
 
     def test_gone_workers_expire_also_in_small_fleets(self) -> None:
@@ -207,8 +207,8 @@
     def test_missing_zones_or_kinds_and_duplicate_names_are_counted(self) -> None:
         odd = (Endpoint("a", "k", None), Endpoint("b", "", "z"), Endpoint("b", "k", "z"))
         self.whole(entries(3) + odd)
-        self.assertEqual({"no zone": 1, "no kind": 1, "doubled name": 1}, self.view.counts.odd_entries)
-        self.assertIn("list accepted, but 1 with doubled name, 1 with no kind, 1 with no zone", self.lines)
+        self.assertEqual({"no zone": 1, "no kind": 1, "duplicate name": 1}, self.view.counts.odd_entries)
+        self.assertIn("list accepted, but 1 with duplicate name, 1 with no kind, 1 with no zone", self.lines)
         self.assertEqual(5, len(self.view.entries))
 
     def test_a_list_without_any_zones_is_regular(self) -> None:
@@ -245,7 +245,7 @@
 
     def is_covered(self, name: str) -> bool:
         assert self.view.subset is not None
-        return any(arc.covers(name) for arc in self.view.subset.arcs())
+        return any(arc.is_affected_by(name) for arc in self.view.subset.arcs())
 
     def test_a_change_inside_passes_on_that_worker_and_its_replacement(self) -> None:
         name = self.inside[5]
