--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -134,7 +134,7 @@
         self.rng = random.Random(seed)
         self.carrier = HollowCarrier(self.deadlines, self.rng)
         self.engine = Engine(settings, seed, self.deadlines, self.carrier, QuietLog())
-        self.engine.endpoints.follow = lambda: self.engine.endpoints.take(ListScope.CHANGES)
+        self.engine.endpoints.request_changes = lambda: self.engine.endpoints.take(ListScope.CHANGES)
         self.jobs = 0
         self.engine.start(listed)
 
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -81,7 +81,10 @@
             config.discovery,
             config.live_weights,
         )
-        self.engine.endpoints.follow, self.discovery.fits = self.discovery.follow, self.engine.view.fits
+        self.engine.endpoints.request_changes, self.discovery.fits = (
+            self.discovery.follow,
+            self.engine.view.fits,
+        )
         self.workers.on_written = self.engine.count_written
         self.server = listener(
             self.engine,
@@ -120,7 +123,7 @@
     @property
     def ready(self) -> bool:
         """Whether this process serves: it listens, and no end is planned."""
-        return self.port is not None and not self.shutdown.begun
+        return self.port is not None and not self.shutdown.has_begun
 
     def connect_worker(self, address: str, factory: Factory) -> Deferred[WorkerConnection]:
         """Open a connection to a worker within the settings' time."""
@@ -166,7 +169,7 @@
         self, open_port: Callable[[], Any], opened: Callable[[Any], None], tries: int = LISTEN_TRIES
     ) -> None:
         """Open a listener, and go on with it; a lack of resources is waited for."""
-        if self.shutdown.begun:
+        if self.shutdown.has_begun:
             # Guards the process that runs: told that another serves, it would leave it its clients.
             self.release_inherited()
             return
@@ -203,7 +206,7 @@
         """Take the known list, then listen: from the first ``/up`` on clients may come."""
         if offer is not None:
             self.inherited = offer.listener
-        if self.shutdown.begun:
+        if self.shutdown.has_begun:
             self.release_inherited()
             return
         if offer is None:
--- a/elderstall/atomic_file.py
+++ b/elderstall/atomic_file.py
@@ -1,8 +1,10 @@
 """Atomic writes of the tools' files: a file has either its previous content or the new one.
 
-The data is written to a temporary file in the same directory, synced, and renamed over the target. After any
-failure the previous file is unchanged and the temporary one removed; a process that is killed meanwhile may
-leave a hidden ``.tmp`` file. The dispatcher itself stores nothing on disk and does not use this module.
+The data is written to a temporary file in the same directory, synced, and renamed over the target; then the
+directory is synced. After a failure before the rename the previous file is unchanged and the temporary one
+removed. If the sync of the directory fails, OSError is raised although the new content is in place. A process
+that is killed meanwhile may leave a hidden ``.tmp`` file. The dispatcher itself stores nothing on disk and
+does not use this module.
 """
 
 from __future__ import annotations
--- a/elderstall/clocks.py
+++ b/elderstall/clocks.py
@@ -36,24 +36,24 @@
 class SharedClock:
     """Codec of clock readings that are exchanged with the peer process of an upgrade.
 
-    Both processes read the same monotonic clock and each adds its own offset. A reading is sent as the
-    monotonic clock plus ``offset_ms``, the sender's offset, which is sent too. A process of an earlier
-    version ignores the offset and takes the readings for its own. Therefore the current offset of the wall
-    clock is sent, which such a process has measured at its start.
+    Both processes read the same monotonic clock, and each adds an offset that it measured at its start.
+    Readings are sent as the monotonic clock plus ``wire_offset_ms``, the wall clock's offset when the message
+    is sent, which the message has too; the receiver shifts them to its own offset. A receiver of an earlier
+    version ignores the offset in the message. It has just started, and so has measured the same one.
     """
 
-    offset_ms: float | None  # None: the sender is of an earlier version, which sends none
-    local_offset_ms: float  # added by this process
+    wire_offset_ms: float | None  # None: the sender is of an earlier version, which sends none
+    local_offset_ms: float  # added to the monotonic clock by this process
 
     @property
     def has_sender_offset(self) -> bool:
-        """Whether the sender's offset is known, so that its readings are valid here."""
-        return self.offset_ms is not None
+        """Whether the offset of the received readings is known, so that they can be converted."""
+        return self.wire_offset_ms is not None
 
     @property
     def shift(self) -> float:
         """Difference in ms between readings as sent and this process's own."""
-        return 0.0 if self.offset_ms is None else self.offset_ms - self.local_offset_ms
+        return 0.0 if self.wire_offset_ms is None else self.wire_offset_ms - self.local_offset_ms
 
     def encode_reading(self, reading: float) -> float:
         """Convert a reading of this process's clock to the form that is sent."""
@@ -65,7 +65,7 @@
 
     def encode(self) -> dict[str, float]:
         """Return the offset as part of a message."""
-        return {"version": SHARED_CLOCK_VERSION, "offset_ms": self.offset_ms or 0.0}
+        return {"version": SHARED_CLOCK_VERSION, "offset_ms": self.wire_offset_ms or 0.0}
 
     @classmethod
     def of_message(cls, message: dict[str, Any], local_offset_ms: float) -> SharedClock:
--- a/elderstall/deadlines.py
+++ b/elderstall/deadlines.py
@@ -30,20 +30,22 @@
     def cancel(self) -> None:
         """Cancel the call and drop the references it holds."""
         if self.call is not None:
-            self.call, self.args = None, ()
+            self.call = None
+            self.args = ()
             self.owner.active_count -= 1
 
 
 class Deadlines:
     """Deadlines and their clock: Unix ms at the start of the process plus monotonic time.
 
-    Steps of the wall clock do not move either.
+    Steps of the wall clock change neither the deadlines nor the clock.
     """
 
     def __init__(
         self, reactor: Any, seconds: Callable[[], float] = time.monotonic, unix_ms: float | None = None
     ) -> None:
-        self.reactor, self.seconds = reactor, seconds  # IReactorTime, whose clock may be set back
+        self.reactor = reactor  # IReactorTime, whose clock may be set back
+        self.seconds = seconds
         self.unix: Callable[[], float] = unix_now  # the wall clock, ms
         self.offset = wall_offset(seconds, unix_now, 0.0) if unix_ms is None else unix_ms - seconds() * 1000
         if unix_ms is not None:
@@ -59,13 +61,13 @@
         """Return the reading of the clock, ms."""
         return self.seconds() * 1000 + self.offset
 
-    def wall_offset(self, known: float | None = None) -> float:
-        """Return the offset that would make readings Unix time now, or ``known`` if it still does."""
+    def current_wall_offset(self, known: float | None = None) -> float:
+        """Return the wall clock's current offset, or ``known`` (the offset of readings) if still accurate."""
         return wall_offset(self.seconds, self.unix, self.offset if known is None else known)
 
     def shared(self) -> SharedClock:
         """Return the form in which readings are sent to the other process of an upgrade."""
-        return SharedClock(self.wall_offset(), self.offset)
+        return SharedClock(self.current_wall_offset(), self.offset)
 
     def after(self, delay: float, call: Callable[..., object], *args: Any) -> Deadline:
         """Schedule a call after ``delay`` milliseconds."""
@@ -85,7 +87,7 @@
         return deadline
 
     def reschedule(self) -> None:
-        """Move the reactor call to the earliest deadline that is not cancelled."""
+        """Schedule the reactor call for the earliest live deadline; a call that is due sooner stays."""
         while self.heap and self.heap[0][2].call is None:
             heapq.heappop(self.heap)
         if self.running or not self.heap:
@@ -100,8 +102,10 @@
 
     def run(self) -> None:
         """Run the calls that are due; deadlines set by them wait for the next run."""
-        self.reactor_call, self.running = None, True
-        now, last = self.now() + 0.001, self.last_number  # a reactor may wake slightly early
+        self.reactor_call = None
+        self.running = True
+        now = self.now() + 0.001  # ms; a reactor may wake slightly early
+        last = self.last_number
         later: list[tuple[float, int, Deadline]] = []
         try:
             while self.heap and self.heap[0][0] <= now:
--- a/elderstall/engine/answers.py
+++ b/elderstall/engine/answers.py
@@ -36,7 +36,8 @@
         self.log = log
         self.abort_attempt = abort_attempt
         self.answer_slack_ms = 0.0  # ms after the deadline within which an answer still counts
-        self.on_idle: Callable[[], None] = lambda: None  # called when the last job is closed
+        # Called when the last job is closed, but not when it leaves through ``Engine.export_job``.
+        self.on_idle: Callable[[], None] = lambda: None
 
     def start_deadline_guard(self, job: Job) -> None:
         """Schedule a final answer, independent of the decisions, at half the slack after the deadline."""
@@ -44,14 +45,14 @@
 
     def _overdue(self, job: Job) -> None:
         """Answer a job that the decisions have left unanswered past its deadline."""
-        if job.closed:
+        if job.is_closed:
             return
         name = job.request.job_class
         self.log.write(
             "guard", f"job {job.request.request_id} of {name} unanswered at its deadline; answering it now"
         )
         self.decisions.feed(JobReleased(job.number))
-        if not job.closed:
+        if not job.is_closed:
             retry_safe = self.rules.is_retry_safe(job)
             self.close(job, Rejected() if retry_safe else Failed(timed_out=True))
 
@@ -71,8 +72,9 @@
     def answer_unconfirmed_cancel(self, job: Job) -> None:
         """Answer a job that a worker may still run, as that worker has not confirmed its cancel."""
         self.decisions.feed(JobReleased(job.number))
-        if not job.closed:
+        if not job.is_closed:
             retry_safe = self.rules.is_retry_safe(job)
+            # The reason in the figures stands for: the cancel was not confirmed.
             self.close(job, Rejected() if retry_safe else Failed(), "not to be given up")
 
     def client_disconnected(self, number: int) -> None:
@@ -84,7 +86,7 @@
 
     def close(self, job: Job, answer: Answer | None, why: str = "") -> None:
         """Close a job, send its answer unless that is None, and cancel its attempt in flight."""
-        if job.closed:
+        if job.is_closed:
             return
         job.advance(JobEvent.CLOSED)
         deferred = job.deferred_send
--- a/elderstall/engine/attempts.py
+++ b/elderstall/engine/attempts.py
@@ -1,4 +1,7 @@
-"""Starts, tracks and cancels attempts; a job has at most one attempt with workers at a time."""
+"""Starts, tracks and cancels attempts; a job has at most one attempt in flight here.
+
+A worker may still run an earlier attempt, if its cancel was not confirmed.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,11 @@
     # ---- starting ----
 
     def send(self, action: SendAttempt) -> None:
-        """Start an attempt once every earlier one of the job is known to be cancelled."""
+        """Start an attempt once no cancel of an earlier one is pending.
+
+        An attempt that was not seen to be accepted is cancelled first; the send then continues even if the
+        worker does not confirm that cancel.
+        """
         job = self.jobs.get(action.job)
         if job is None:
             return
@@ -73,7 +80,7 @@
         )
         if violation is Violation.CLIENT_DISCONNECTED:
             self.answers.client_disconnected(job.number)
-        self.decisions.feed(AttemptEnded(job.number, number, worker, Ending.NEVER_SENT, job.closed))
+        self.decisions.feed(AttemptEnded(job.number, number, worker, Ending.NEVER_SENT, job.is_closed))
 
     def _start(self, job: Job, number: int, action: SendAttempt) -> None:
         """Create an attempt and pass it to the transport."""
@@ -128,8 +135,8 @@
             self.log.failure("carrier", failure.value)
             self._ended(attempt, Outcome(Ending.BROKEN))
 
-    def worker_started(self, attempt: Attempt, share: float, *, started: bool) -> None:
-        """Handle a worker's call-back about a start or progress."""
+    def worker_reported(self, attempt: Attempt, share: float, *, started: bool) -> None:
+        """Handle a worker's call-back about a start (``started``) or about progress."""
         attempt.advance(AttemptEvent.CONFIRMED)
         self.progressed(attempt, share, started=started)
 
@@ -140,15 +147,15 @@
             return
         attempt.advance(AttemptEvent.ACCEPTED)
         self.decisions.feed(AttemptProgressed(job.number, attempt.number, attempt.worker, share, started))
-        if not job.closed and not started:
+        if not job.is_closed and not started:
             job.client.progressed(share, text)
 
     def worker_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Handle a worker's call-back about the end of an attempt."""
         job = attempt.job
         attempt.advance(AttemptEvent.ACCEPTED)  # the call-back may arrive before the 202, and may be repeated
-        earlier = attempt.worker in job.may_call_back or attempt.worker in job.returned_by
-        if outcome.ending is not Ending.SERVED and earlier:
+        has_earlier_attempt = attempt.worker in job.may_call_back or attempt.worker in job.returned_by
+        if outcome.ending is not Ending.SERVED and has_earlier_attempt:
             # This may be the late call-back of an earlier attempt at the same worker. The live attempt is
             # cancelled before it counts as ended, and counts as one that may have run; otherwise a retry
             # could be a duplicate execution.
@@ -174,10 +181,10 @@
         job.end_attempt(attempt, ending)
         if attempt.sending is not None:
             attempt.sending.cancel()  # may reveal that the worker had accepted it
-        if attempt.accepted:
+        if attempt.is_accepted:
             self._cancel_on_worker(job, attempt.worker, confirmation_required=True)
         attempt.advance(AttemptEvent.ENDED)
-        self.decisions.feed(AttemptEnded(job.number, attempt.number, attempt.worker, ending, job.closed))
+        self.decisions.feed(AttemptEnded(job.number, attempt.number, attempt.worker, ending, job.is_closed))
 
     def _ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Handle the end of an attempt; the first result becomes the job's answer."""
@@ -186,12 +193,12 @@
             return
         job.end_attempt(attempt, outcome.ending)
         attempt.advance(AttemptEvent.ENDED)
-        self.endpoints.learn_reach(attempt.worker, outcome)
+        self.endpoints.record_reachability(attempt.worker, outcome)
         if outcome.ending is Ending.SERVED:
             self.answers.close(job, Served(outcome.result))
         self.decisions.feed(
             AttemptEnded(
-                job.number, attempt.number, attempt.worker, outcome.ending, job.closed, outcome.report
+                job.number, attempt.number, attempt.worker, outcome.ending, job.is_closed, outcome.report
             )
         )
 
@@ -215,13 +222,13 @@
             )
 
     def _cancel_finished(self, confirmed: object, job: Job, *, confirmation_required: bool) -> None:
-        """Continue a send that was deferred until the worker confirmed a cancel.
+        """Handle the end of a cancel, and continue a send that was deferred until all cancels ended.
 
         If the confirmation is required and missing, the job is answered instead: the worker may still run
         it, and another attempt could be a duplicate execution.
         """
         job.pending_cancels -= 1
-        if job.closed:
+        if job.is_closed:
             return
         if confirmation_required and confirmed is not True:
             self.answers.answer_unconfirmed_cancel(job)
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -12,7 +12,7 @@
 from elderstall.messages import Outcome
 from elderstall.routing.view import FleetView
 
-DISPATCHERS_PER_WORKER_TOLERANCE = 1 / 8  # relative change below which the decisions are not updated
+DISPATCHERS_PER_WORKER_TOLERANCE = 1 / 8  # relative change up to which the decisions are not updated
 
 
 class EndpointFeed:
@@ -33,7 +33,8 @@
         self.decisions = decisions
         self.figures = figures
         self.drop_idle = drop_idle
-        self.follow: Callable[[], None] = lambda: None  # opens a watch, or calls discovery for changes
+        # Opens a watch, or calls discovery for changes.
+        self.request_changes: Callable[[], None] = lambda: None
         self.started = False  # the list known at the start has been applied
         self.budget_fraction = 1.0  # this process's fraction of the slow-start budget
         self._dispatchers_per_worker = 0.0  # as last sent to the decisions; 0: each has all workers
@@ -44,7 +45,7 @@
         """Call discovery for changes to the list, and count the call."""
         self.figures.list_calls += 1
         self._call_pending = True
-        self.follow()
+        self.request_changes()
 
     def take(self, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> None:
         """Handle a list update, or the failure of a call or a watch."""
@@ -61,7 +62,7 @@
         self.notify(events)
 
     def notify(self, events: Sequence[Event]) -> None:
-        """Feed events to the decisions, after a changed number of dispatchers per worker."""
+        """Feed events to the decisions; if the number of dispatchers per worker changed, send that first."""
         if not events:
             return
         old = self._dispatchers_per_worker
@@ -118,7 +119,7 @@
             self.notify(self.view.refresh(worker, now))
         return True
 
-    def learn_reach(self, worker: str, outcome: Outcome) -> None:
+    def record_reachability(self, worker: str, outcome: Outcome) -> None:
         """Update the reachability of a worker's zone from an outcome."""
         now = self.deadlines.now()
         self.notify(self.view.record_ending(worker, outcome.ending, outcome.worker_unreachable, now))
--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -43,7 +43,7 @@
 from elderstall.messages import AttemptTransport, Client, Failed, JobRequest, Outcome, Rejected
 from elderstall.routing.view import MAX_LIST_ENTRIES, FleetView
 
-NO_CAPACITY = "no room"  # reason of a listener's rejections in the figures
+NO_CAPACITY = "no room"  # reason in the figures: the job or memory limit is reached
 
 
 class Engine:
@@ -224,8 +224,11 @@
 
     @staticmethod
     def _is_transferable(attempt: Attempt) -> bool:
-        """Return whether a worker has accepted an attempt and its exchange here has finished."""
-        return attempt.accepted and attempt.sending is not None and attempt.sending.called
+        """Return whether a worker has accepted an attempt and its exchange here has finished.
+
+        An imported attempt has no exchange here, so its job cannot be exported again while it is in flight.
+        """
+        return attempt.is_accepted and attempt.sending is not None and attempt.sending.called
 
     def import_job(self, transfer: JobTransfer, original: object, client: Client) -> int:
         """Take over a job that the peer process has released; return its number."""
@@ -289,7 +292,7 @@
 
     def _polled(self, outcome: Outcome, worker: str) -> None:
         """Handle the outcome of a poll."""
-        self.endpoints.learn_reach(worker, outcome)
+        self.endpoints.record_reachability(worker, outcome)
         self.feed.feed(LoadPolled(worker, outcome.ending, outcome.report))
 
     def _not_polled(self, failure: Failure, worker: str) -> None:
--- a/elderstall/engine/job_transfer.py
+++ b/elderstall/engine/job_transfer.py
@@ -15,7 +15,8 @@
 from elderstall.messages import Client, JobRequest
 
 CLOCK_TOLERANCE_MS = 500.0  # a larger difference of an earlier version's readings is a clock step
-UNKNOWN_DEADLINE_BUDGET_MS = 400.0  # below the 500 ms after which a job with an unknown deadline is lost
+# With the answer slack, below the 500 ms (CLOCK_TOLERANCE_MS) after which a job of unknown deadline is lost.
+UNKNOWN_DEADLINE_BUDGET_MS = 400.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -113,7 +114,12 @@
         return Attempt(job, self.attempts - 1, self.attempt.worker, sent_at, ends_at)
 
     def encode(self, clock: SharedClock) -> dict[str, Any]:
-        """Return the state as plain data for a message."""
+        """Return the state as plain data for a message.
+
+        Keys that differ from the fields: ``cid`` is ``request_id``, ``hint`` is ``work_hint``, ``sent`` is
+        ``attempts``, ``ran`` is ``may_have_run``, ``unsure`` is ``may_call_back``, ``back`` is
+        ``returned_by``, and ``to_tell`` is ``cancel_before_send``.
+        """
         attempt = self.attempt
         return {
             "cid": self.request_id,
--- a/elderstall/engine/jobs.py
+++ b/elderstall/engine/jobs.py
@@ -23,7 +23,9 @@
 from elderstall.messages import Client, JobRequest, Outcome
 from elderstall.slots import SLOT_MASK, Slots
 
-MAX_RECENT_IDS = 4_096  # ids of answered jobs: minutes' worth at usual rates
+# Ids of answered jobs, and of jobs of the peer process; a repeat of an evicted id is accepted as a new job.
+# At 100 jobs/s an answered job's id is kept for 41 s.
+MAX_RECENT_IDS = 4_096
 
 
 class TooManyJobsError(Exception):
@@ -52,7 +54,7 @@
         self.state = next_state(ATTEMPT_TRANSITIONS, self.state, event)
 
     @property
-    def accepted(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether the worker has accepted the job, by its answer or by a call-back."""
         return self.state in (AttemptState.ACCEPTED, AttemptState.CONFIRMED)
 
@@ -72,7 +74,7 @@
     attempt: Attempt | None = None  # in flight
     deferred_send: SendAttempt | None = None  # decided, but waits for pending cancels
     pending_cancels: int = 0  # cancels that workers have not yet confirmed
-    cancel_before_send: str | None = None  # silent worker to cancel on before the next attempt
+    cancel_before_send: str | None = None  # worker that may have accepted a failed attempt: cancel first
     may_have_run: bool = False
     ran_at: float = math.inf  # when the first attempt that may have run was sent
     may_call_back: set[str] = field(default_factory=set)  # workers of earlier attempts that may have run
@@ -81,14 +83,14 @@
     )  # workers that returned it unstarted, and may repeat that call-back
     deadline_guard: Deadline | None = None
     last_ending_detail: str = "never sent"  # how and where the latest attempt ended, for the log
-    last_ending: str = "no time"  # reason in the figures; "no time" if no attempt was made
+    last_ending: str = "no time"  # reason in the figures; "no time": no attempt has ended
 
     def advance(self, event: JobEvent) -> None:
         """Apply an event to the state; raises IllegalTransitionError."""
         self.state = next_state(JOB_TRANSITIONS, self.state, event)
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the job is finished here."""
         return self.state is JobState.CLOSED
 
@@ -109,7 +111,7 @@
             self.may_have_run = True
             self.ran_at = min(self.ran_at, attempt.sent_at)
             self.may_call_back.add(attempt.worker)
-        elif attempt.accepted:
+        elif attempt.is_accepted:
             self.returned_by.add(attempt.worker)  # it repeats the call-back until it is acknowledged
 
 
@@ -118,7 +120,8 @@
 
     def __init__(self, max_ids: int = MAX_RECENT_IDS) -> None:
         self.max_ids = max_ids
-        self._ids: OrderedDict[str, None] = OrderedDict()  # newest last
+        # Newest last; an id that is added again keeps its place.
+        self._ids: OrderedDict[str, None] = OrderedDict()
 
     def __contains__(self, request_id: str) -> bool:
         return request_id in self._ids
@@ -162,16 +165,16 @@
         """Return the live job of a number, or None."""
         return self.live.get(number)
 
-    def knows(self, request_id: str) -> bool:
+    def is_known(self, request_id: str) -> bool:
         """Return whether this process has accepted an id."""
         return request_id in self.by_request_id or request_id in self.answered
 
     def check_new(self, request_id: str) -> None:
         """Raise RepeatedIdError or TooManyJobsError if a new job cannot be accepted."""
-        if self.knows(request_id) or request_id in self.taken_by_other_process:
+        if self.is_known(request_id) or request_id in self.taken_by_other_process:
             # Every request, even a retry, has an id of its own; a repeated id could run a job twice.
             raise RepeatedIdError(request_id)
-        if self.live.full:
+        if self.live.is_full:
             raise TooManyJobsError
 
     def add(self, job: Job) -> None:
--- a/elderstall/engine/learned_transfer.py
+++ b/elderstall/engine/learned_transfer.py
@@ -23,7 +23,7 @@
         if entry is not None and started == entry.started:
             worker["started"] = entry.since_ms
         elif started is not None:
-            worker["started"] = clock.encode_reading(started)  # the end of its ban
+            worker["started"] = clock.encode_reading(started)  # the end of a ban, which counts as a start
         worker["skip_until"] = clock.encode_reading(worker["skip_until"])
         worker["pushed"] = [(clock.encode_reading(at), work) for at, work in worker["pushed"]]
     return data
@@ -38,8 +38,8 @@
 ) -> None:
     """Decode learned state in place: starts become those of the view's effective entries.
 
-    ``bans_ended`` holds the times of ended bans as sent. State learned from another process of the same
-    worker gets the start NaN, which matches no worker.
+    ``bans_ended`` holds the begin and the end of each worker's last ended ban, as sent; the end counts as a
+    start. State learned from an earlier process of a worker gets the start NaN, which matches no worker.
     """
     workers = data["workers"]
     for entry in entries:
--- a/elderstall/engine/rules.py
+++ b/elderstall/engine/rules.py
@@ -9,8 +9,8 @@
 from elderstall.interface import DeduplicationScope, Effect, SendAttempt, Settings
 from elderstall.routing.view import FleetView
 
-DRAIN_SEND_FRACTION = 0.75  # of the time allowed by the rule on draining workers
-MAX_PROCESS_PAUSE_MS = 150.0  # between reading the clock and writing to a socket
+DRAIN_SEND_FRACTION = 0.75  # of the time in which sending to a draining worker has to stop
+MAX_PROCESS_PAUSE_MS = 150.0  # assumed between reading the clock and writing to a socket; not enforced
 
 
 class Violation(Enum):
@@ -27,7 +27,7 @@
 
 
 class Rules:
-    """Checks attempts and rejections against the rules."""
+    """Checks attempts against the rules of ``Violation``, and whether a rejection is safe."""
 
     def __init__(self, settings: Settings, deadlines: Deadlines, view: FleetView) -> None:
         self.settings = settings
--- a/elderstall/figures.py
+++ b/elderstall/figures.py
@@ -23,14 +23,16 @@
     polls: int = 0  # polls of workers for load reports
     settings_loads: int = 0  # settings files applied at SIGHUP
     settings_load_errors: int = 0  # settings files rejected
-    jobs: int = 0
-    workers_listed: int = 0
-    workers_skipped: int = 0
+    jobs: int = 0  # live jobs
+    workers_listed: int = 0  # workers in the endpoint list
+    workers_skipped: int = 0  # of them, those that get no new jobs now, or only those of their probation
     workers_in_view: int = 0  # workers known to the decisions: all listed ones, or a subset
     workers_widened: int = 0  # of them, replacements for unreachable workers
     zones_out_of_reach: int = 0  # unreachable zones, according to attempts
     lists_refused: int = 0  # lists rejected for more entries than the memory limit allows
-    odd_entries: int = 0  # entries that lack a zone or kind that others have, or repeat a name
+    odd_entries: int = (
+        0  # malformed entries: those that lack a zone or kind that others have, or repeat a name
+    )
     workers_forgotten: int = 0  # workers that were gone and whose state was dropped
     list_calls: int = 0  # list calls to discovery
     list_calls_failed: int = 0  # failed list calls and watches
--- a/elderstall/interface.py
+++ b/elderstall/interface.py
@@ -43,7 +43,8 @@
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
-    STALE_CONNECTION = "cut"  # a reused connection was closed: not its worker's fault; the job may have run
+    # A reused connection was closed: not its worker's fault; the job may have run. An outward value.
+    STALE_CONNECTION = "cut"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
 
@@ -60,16 +61,12 @@
 
 
 class ListScope(Enum):
-    """Contents of a list update: the changed entries, all entries, or none because a call failed.
+    """Contents of a list update."""
 
-    An update is also empty when a watch or a call went silent, which is weaker evidence of a discovery outage
-    than a failed call.
-    """
-
-    CHANGES = "changes"
-    WHOLE = "whole"
-    FAILED = "failed"
-    SILENT = "silent"
+    CHANGES = "changes"  # the changed entries; may be empty
+    WHOLE = "whole"  # all entries
+    FAILED = "failed"  # none: a call or a watch failed
+    SILENT = "silent"  # none: a call or a watch went silent, weaker evidence of a discovery outage
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +85,7 @@
     scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0  # ms for which workers drop repeats
     stretch: float = 0.0
-    late_share: float = 0.0  # fraction of its weight that a late answer earns
+    late_share: float = 0.0  # fraction of its priority weight that a job answered late counts with
     kind: str | None = None  # kind of worker that it is limited to
     streamed: bool = False
 
@@ -101,7 +98,10 @@
     quota_per_s: float
 
 
-# Validated fields, with the configuration key that error messages name.
+# Validated fields, with their names in error messages. For some, elderstall.settings reads another key:
+# points for worth, overload_for for push_window, fall_multiple for push_multiple,
+# stop_sending_within for drain_within, cold for cold_for, cross_zone for crossing_price, origin for
+# fetch_price.
 CLASS_NOT_NEGATIVE = {
     "priority_weight": "worth",
     "latency_objective": "aim",
@@ -125,25 +125,26 @@
     "cross_zone_price": "crossing_price",
     "fetch_price": "fetch_price",
 }
-MIN_OWNERS = 2.0  # dispatchers that own each worker, where dispatchers hold subsets of the fleet
+MIN_OWNERS = 2.0  # dispatchers that own a worker, on average, where dispatchers hold subsets of the fleet
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of a dispatcher."""
+    """Settings of a dispatcher. Times are in ms."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
     dispatchers: int = 1
-    rank: int = 0
+    rank: int = 0  # index of this dispatcher, from 0
     zone: str | None = None
-    over_quota_weight: float = 1.0
-    weight_by_work: bool = False
-    watches_list: bool = False
+    over_quota_weight: float = 1.0  # factor on the priority weight of a job over its tenant's quota
+    weight_by_work: bool = False  # priority weights count per unit of work, not per job
+    watches_list: bool = False  # changes of the list come over a watch, not from polls
     list_is_pushed: bool = False  # changes come from a local agent that only this dispatcher calls
-    poll_interval: float = 10_000.0
-    slow_start_share: float = 1.0
-    slow_start_duration: float = 0.0
+    poll_interval: float = 10_000.0  # at most, between renewals of the endpoint list
+    slow_start_share: float = 1.0  # fraction of its speed that a worker has at its start
+    slow_start_duration: float = 0.0  # for which a worker is cold after its start
+    # All dispatchers together send a cold worker at most this multiple of the work it can do in a window.
     slow_start_multiple: float = 3.0
     slow_start_window: float = 2_000.0
     stop_sending_within: float = (
@@ -153,11 +154,11 @@
     cpu_us_per_s: float = 0.0
     cpu_us_per_job: float = 0.0
     connect_timeout: float = 0.0
-    notifies_start: bool = False
-    report_free_slots: int | None = None
-    tick: float = 1.0
-    cross_zone_price: float = 0.0
-    fetch_price: float = 0.0
+    notifies_start: bool = False  # workers report the start of a job
+    report_free_slots: int | None = None  # index of the free slots in a load report
+    tick: float = 1.0  # resolution of timers
+    cross_zone_price: float = 0.0  # of an attempt in another zone; only whether it is above 0 matters
+    fetch_price: float = 0.0  # of data that a worker has not cached; only whether it is above 0 matters
     probes: bool = False  # workers can be polled for load reports
     cancels: bool = True  # workers can be told to cancel a job
     reports_only_when_polled: bool = False  # load reports come only with polls, not with answers
@@ -170,7 +171,7 @@
 
     @property
     def min_owned_fraction(self) -> float:
-        """Minimum fraction of its workers that a dispatcher owns: each has ``MIN_OWNERS`` owners then."""
+        """Minimum fraction of its workers that a dispatcher owns: each has ``MIN_OWNERS`` on average."""
         return MIN_OWNERS / self.subset_dispatchers_per_worker if self.subset_dispatchers_per_worker else 0.0
 
     @property
@@ -209,8 +210,8 @@
     """An entry of the endpoint list.
 
     ``started`` is a reading of the dispatcher's clock, or None if the start is long past; ``since_ms`` is the
-    start as listed, Unix ms. ``weight`` is the worker's size, reduced as it holds more jobs per core, or 1 if
-    the list has none.
+    start as listed, Unix ms. ``weight`` is the worker's capacity as listed, lower the more jobs per core it
+    holds, or 1 if the list has none.
     """
 
     worker: str
@@ -258,7 +259,7 @@
     work_hint: float | None = None
     slots: int = 1
     attempts: int = 0  # sent so far
-    ran_on: str | None = None  # worker on which it may have run
+    ran_on: str | None = None  # one of the workers on which it may have run
     worker: str | None = None
     sent_at: float = 0.0
 
@@ -334,7 +335,11 @@
 
 @dataclass(slots=True, frozen=True)
 class JobReleased:
-    """A job needs no answer any more: its client has disconnected, or another process has taken it over."""
+    """A job needs no answer from the decisions any more.
+
+    Its client has disconnected, another process has taken it over, or the engine answers it itself: past its
+    deadline, or because a worker has not confirmed a cancel.
+    """
 
     job: int
 
@@ -384,7 +389,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectJob:
-    """Final answer: rejected; a retry is safe."""
+    """Request to reject a job; the engine fails it instead if a retry is not safe."""
 
     job: int
     retry_after: float = 0.0
@@ -393,7 +398,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailJob:
-    """Final answer: failed; the job may have run."""
+    """Request to fail a job, as it may have run; the engine does not check that."""
 
     job: int
 
--- a/elderstall/log.py
+++ b/elderstall/log.py
@@ -12,7 +12,9 @@
 from collections.abc import Callable
 from typing import TextIO
 
-MAX_LINE_BYTES = 1_900  # a writable pipe takes at least 4 KiB, so two lines
+# Of a line's text, without time and code. A pipe that polls as writable takes PIPE_BUF (4 KiB) without
+# blocking: a line and the line of suppressed counts before it.
+MAX_LINE_BYTES = 1_900
 RATE_LIMITED_INTERVAL_MS = 1_000.0  # between lines of a code that one failing call could repeat without limit
 
 
@@ -24,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self.line_incomplete = False  # the last line was only partly written
+        self.is_line_incomplete = False  # the last line was only partly written
 
     def fileno(self) -> int:
         """Return the descriptor; raises OSError if the process was started without one."""
@@ -34,13 +36,13 @@
 
     def write(self, text: str) -> int:
         """Write one line in a single system call."""
-        data = ("\n" * self.line_incomplete + text).encode("utf-8", "backslashreplace")
+        data = ("\n" * self.is_line_incomplete + text).encode("utf-8", "backslashreplace")
         try:
             descriptor = self.fileno()
         except ValueError:  # a replacement without a descriptor, as in tests
             return sys.stderr.write(text)
         written = os.write(descriptor, data)
-        self.line_incomplete = written < len(data) if written else self.line_incomplete
+        self.is_line_incomplete = written < len(data) if written else self.is_line_incomplete
         if written < len(data):
             raise BlockingIOError("the line was only partly written")
         return len(text)
@@ -65,9 +67,12 @@
         burst: float = 100.0,
         out: TextIO | StandardError | None = None,
     ) -> None:
-        self.clock, self.out = clock, out or StandardError()
-        self.rate, self.burst = lines_per_s / 1000, burst
-        self.tokens, self.refilled_at = burst, clock()
+        self.clock = clock
+        self.out = out or StandardError()
+        self.rate = lines_per_s / 1000  # lines per ms
+        self.burst = burst
+        self.tokens = burst
+        self.refilled_at = clock()
         self.suppressed: Counter[str] = Counter()
         self.last_written: dict[str, float] = {}  # by code, ms, for write_rate_limited
 
@@ -96,9 +101,10 @@
         self.print(now, code, text)
 
     def is_writable(self) -> bool:
-        """Return whether two lines can be written without blocking.
+        """Return whether a line and the counts before it can be written without blocking.
 
-        Writing to a full pipe would block the process for as long as its reader is stalled.
+        A writable pipe takes PIPE_BUF, see ``MAX_LINE_BYTES``. Writing
+        to a full pipe would block the process for as long as its reader is stalled.
         """
         poll = select.poll()
         try:
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -61,7 +61,8 @@
     ending: Ending
     result: bytes = b""
     report: tuple[float, ...] = ()  # the worker's load report, in the order of the settings' fields
-    maybe_accepted: bool = False  # no acceptance was seen, but the worker may have the job: it is cancelled
+    # No acceptance was seen, but the worker may have the job: it is cancelled there before a further attempt.
+    maybe_accepted: bool = False
     worker_unreachable: bool = False  # not connected, or a poll went unanswered: see routing/reach.py
     answer_begun: bool = False  # no other attempt is sent unless the worker confirms a cancel
 
--- a/elderstall/net/server/callbacks.py
+++ b/elderstall/net/server/callbacks.py
@@ -83,7 +83,7 @@
 
     def forward(self, callback: WorkerCallback) -> Deferred[bool] | None:
         """Forward a callback to the peer process; None if the job is here or there is no peer process."""
-        if self.engine.jobs.knows(callback.request_id):
+        if self.engine.jobs.is_known(callback.request_id):
             return None
         return self.ask_others(callback.fields)
 
@@ -94,7 +94,7 @@
             return False
         state = callback.state
         if state in PROGRESS_STATES:
-            self.engine.attempts.worker_started(attempt, callback.fraction_done, started=state == STARTED)
+            self.engine.attempts.worker_reported(attempt, callback.fraction_done, started=state == STARTED)
         elif state in ENDINGS:
             outcome = Outcome(ENDINGS[state], callback.result, self.parse_report(callback.load))
             self.engine.attempts.worker_ended(attempt, outcome)
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -112,7 +112,7 @@
         if transfer is None or connection.original is None:
             return
         self.ids_in_transfer.discard(transfer.request_id)
-        if self.engine.jobs.live.full:
+        if self.engine.jobs.live.is_full:
             self.engine.reject_transfer(transfer, connection)
             return
         number = self.engine.import_job(transfer, connection.original, connection)
--- a/elderstall/settings.py
+++ b/elderstall/settings.py
@@ -26,7 +26,10 @@
 
 
 def parse_settings(conf: Fields) -> Settings:
-    """Return the settings of a configuration; unknown keys are ignored."""
+    """Return the settings of a configuration; unknown keys are ignored.
+
+    Where a default stands after ``or``, a configured 0 counts as not configured.
+    """
     rules = conf.get("rules") or {}
     limits = conf.get("limits") or {}
     extras = conf.get("specifics") or {}
@@ -55,7 +58,12 @@
             )
         )
     free_slots_field = next(
-        (f for f in ("x0", "x1") if f in report_fields and extras.get(f"report_{f}") == "free slots"), None
+        (
+            name
+            for name in ("x0", "x1")
+            if name in report_fields and extras.get(f"report_{name}") == "free slots"
+        ),
+        None,
     )
     return Settings(
         classes=tuple(classes),
@@ -73,7 +81,7 @@
         slow_start_duration=rules.get("cold") or 0.0,
         slow_start_multiple=rules.get("fall_multiple") or 3.0,
         slow_start_window=rules.get("overload_for") or 2_000.0,
-        # Not configured: at once, that is within a tick.
+        # Not configured, or 0: at once, that is within a tick.
         stop_sending_within=rules.get("stop_sending_within") or conf.get("tick") or 1.0,
         max_attempts=require_positive(limits.get("max_attempts", 1), "max_attempts"),
         cpu_us_per_s=limits.get("cpu_us_per_s") or 0.0,
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -17,7 +17,7 @@
 from elderstall.upgrade import Upgrade
 
 SERVING_PERIOD_MS = 700.0  # after SIGTERM, new jobs are accepted as usual for this time
-# SIGKILL may follow SIGTERM after the longest deadline, counted up to this limit, plus SERVING_PERIOD_MS.
+# SIGKILL may follow SIGTERM after min(longest deadline, MAX_COUNTED_DEADLINE_MS) + SERVING_PERIOD_MS.
 MAX_COUNTED_DEADLINE_MS = 3_000.0
 # After SIGTERM. Dispatchers are stopped 3 s apart, and clients should reconnect to the next one before that.
 CLOSE_IDLE_AFTER_MS = 2_000.0
@@ -53,19 +53,21 @@
         self.server = server
         self.console = console
         self.upgrade = upgrade
-        self.begun = False
+        self.has_begun = False
         self.earliest_end = 0.0
 
     def begin(self) -> None:
         """Start the shutdown, unless it has started."""
-        if self.begun:
+        if self.has_begun:
             return
-        self.begun = True
+        self.has_begun = True
         self.log.write(
             "drain", f"{len(self.engine.jobs)} jobs in progress; shutting down once they are answered"
         )
         self.server.drain()
-        longest = min(max(c.deadline for c in self.engine.classes.values()), MAX_COUNTED_DEADLINE_MS)
+        longest = min(
+            max(job_class.deadline for job_class in self.engine.classes.values()), MAX_COUNTED_DEADLINE_MS
+        )
         all_answered_after = longest + SERVING_PERIOD_MS - KILL_MARGIN_MS
         self.server.shutdown_deadline = self.deadlines.now() + all_answered_after
         self.earliest_end = self.deadlines.now() + SERVING_PERIOD_MS
@@ -86,12 +88,18 @@
         self.finish()
 
     def has_unfinished_work(self) -> bool:
-        """Return whether jobs, client connections or hand-overs to the successor are unfinished."""
+        """Return whether jobs, client connections, hand-overs or console answers are unfinished.
+
+        Hand-overs are those to the successor and those from the predecessor.
+        """
         handover = self.upgrade.handover
         return bool(
             len(self.engine.jobs)
             or not self.server.is_quiescent
-            or any(c.is_client or c.handed_descriptor is not None for c in self.server.connections)
+            or any(
+                connection.is_client or connection.handed_descriptor is not None
+                for connection in self.server.connections
+            )
             or (handover is not None and handover.has_unconfirmed)
             or self.upgrade.adoption.waiting
             or self.console.answering
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -91,7 +91,7 @@
             rules.slack,
             rules.max_open,
         )
-        self.engine.endpoints.follow = lambda: world.listing.follow(self)
+        self.engine.endpoints.request_changes = lambda: world.listing.follow(self)
         self.version = 0  # of the list as it was last notified of
         self.tries: dict[str, Try] = {}
         self.answered: deque[str] = deque()  # whose attempts can be forgotten
--- a/elderstall/slots.py
+++ b/elderstall/slots.py
@@ -26,7 +26,7 @@
         return iter([item for item in self.items if item is not None])
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether the table is full."""
         return not self.free and len(self.items) >= self.max_items
 
--- a/elderstall/starts.py
+++ b/elderstall/starts.py
@@ -2,8 +2,8 @@
 
 The endpoint list has each start as Unix time, which shows a worker's age only until a clock is stepped. Here
 a start is converted to a reading of `Deadlines.now` when first listed, and keeps it as long as the list has
-the same Unix time. An uncertain start is taken for a late one: its worker counts as cold, but no colder than
-one that starts now.
+the same Unix time. An uncertain start is moved towards now, but not past it: its worker may
+count as colder than it is, but no colder than one that starts now.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from elderstall.deadlines import Deadlines
 
 MAX_OFFSETS = 8  # recent offsets of the wall clock: an entry may be stamped with any of them
-MAX_SLEW_MS = 500.0  # drift of the wall clock between two checks; more is a step
+MAX_SLEW_MS = 500.0  # drift of the wall clock between two list updates; more is a step
 MAX_GONE_STARTS = 4_096  # starts of unlisted workers, which may be listed again unchanged
 MAX_LISTING_DELAY_MS = 10_000.0  # until a started worker is listed, at the latest
 
@@ -40,36 +40,37 @@
 
     def check_wall_clock(self) -> None:
         """Record the wall clock's offset, as a new one if the clock was stepped since the last check."""
-        offset = self.deadlines.wall_offset(self.offsets[-1])
+        offset = self.deadlines.current_wall_offset(self.offsets[-1])
         same = [known for known in self.offsets if abs(offset - known) < MAX_SLEW_MS]
-        for known in same:  # the wall clock has drifted, or was stepped back
+        for known in same:  # the wall clock has drifted, or returned to an earlier offset
             self.offsets.remove(known)
         self.offsets.append(offset)
 
-    def reading(self, worker: str, since_ms: float | None, oldest: float = math.inf) -> float | None:
-        """Return when a worker started, at most ``oldest`` plus ``MAX_LISTING_DELAY_MS`` ago if new.
+    def reading(self, worker: str, since_ms: float | None, max_age_ms: float = math.inf) -> float | None:
+        """Return the clock reading of a worker's start, or None if the list has no start, as it is long past.
 
-        Returns None if the list has no start, as it is long past.
+        A start that was not listed before is at most ``max_age_ms`` plus ``MAX_LISTING_DELAY_MS`` ago, or
+        else counts as now; ``max_age_ms`` is the time since the previous list.
         """
         if since_ms is None:
             return None
         before = self.listed.get(worker) or self.gone.pop(worker, None)
         if before is None or before.since_ms != since_ms:
-            reading = self.derive_reading(since_ms, oldest)
+            reading = self.derive_reading(since_ms, max_age_ms)
             if before is not None and reading == before.reading:
                 reading = math.nextafter(reading, math.inf)  # a different start needs a different reading
             before = Start(since_ms, reading)
         self.listed[worker] = before
         return before.reading
 
-    def derive_reading(self, since_ms: float, oldest: float) -> float:
+    def derive_reading(self, since_ms: float, max_age_ms: float) -> float:
         """Return the reading of a new start: the latest past one that a recent offset allows, else now."""
         now = self.deadlines.now()
         readings = [since_ms - (offset - self.deadlines.offset) for offset in self.offsets]
         latest = max((reading for reading in readings if reading <= now), default=now)
         # A start that is older than the list allows comes from a machine whose clock was stepped. It counts
-        # as now, so that the worker is sent no more than a cold one may get (rule 4).
-        return now if now - latest > oldest + MAX_LISTING_DELAY_MS else latest
+        # as now, so that the worker is sent no more than the slow start allows a cold one.
+        return now if now - latest > max_age_ms + MAX_LISTING_DELAY_MS else latest
 
     def encode(self, clock: SharedClock) -> dict[str, tuple[float, float]]:
         """Return the starts that the successor would not derive by itself, for the hand-over."""
--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -105,7 +105,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     steps: list[str] = []
-    fsync, replace = os.fsync, os.replace
+    fsync = os.fsync
+    replace = os.replace
 
     def record_fsync(fd: int) -> None:
         steps.append("fsync folder" if os.path.isdir(f"/proc/self/fd/{fd}") else "fsync file")
@@ -138,7 +139,8 @@
 
 
 def test_modes_links_and_devices_are_kept(tmp_path: Path) -> None:
-    path, link = tmp_path / "a", tmp_path / "link"
+    path = tmp_path / "a"
+    link = tmp_path / "link"
     path.write_text(PREVIOUS)
     path.chmod(0o640)
     link.symlink_to(path)
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -44,7 +44,9 @@
         side.send(self.job(request_id, job_class, budget, accept))
         self.ends[request_id] = self.app.deadlines.now() + budget
         self.until(
-            lambda: request_id in self.app.engine.jobs.by_request_id or self.app.engine.jobs.knows(request_id)
+            lambda: (
+                request_id in self.app.engine.jobs.by_request_id or self.app.engine.jobs.is_known(request_id)
+            )
         )
         return side
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -68,7 +68,8 @@
     def setUp(self) -> None:
         self.reactor = MonotonicReactor()  # type: ignore[no-untyped-call]
         self.addCleanup(self.reactor.removeAll)
-        self.wall_offset_ms, self.monotonic = 0.0, 1_000.0
+        self.wall_offset_ms = 0.0
+        self.monotonic = 1_000.0
         for patched in (
             mock.patch.object(ReactorBase, "seconds", staticmethod(self.wall)),
             mock.patch("twisted.internet.base.runtimeSeconds", self.wall),
@@ -145,9 +146,9 @@
         self.deadlines = self.clocks.deadlines()
         self.starts = StartTimes(self.deadlines)
 
-    def age(self, worker: str, since_ms: float, oldest: float = float("inf")) -> float:
+    def age(self, worker: str, since_ms: float, max_age_ms: float = float("inf")) -> float:
         self.starts.check_wall_clock()
-        reading = self.starts.reading(worker, since_ms, oldest)
+        reading = self.starts.reading(worker, since_ms, max_age_ms)
         assert reading is not None
         return self.deadlines.now() - reading
 
@@ -184,10 +185,10 @@
     def test_after_a_step_elsewhere_a_start_from_a_live_watch_counts_as_recent(self) -> None:
         for step in (HOUR, -HOUR):
             since_ms = self.clocks.wall() + step
-            self.assertEqual(0.0, self.age(f"w{step}", since_ms, oldest=2_000.0))
+            self.assertEqual(0.0, self.age(f"w{step}", since_ms, max_age_ms=2_000.0))
         self.assertAlmostEqual(
             MAX_LISTING_DELAY_MS,
-            self.age("late", self.clocks.wall() - MAX_LISTING_DELAY_MS, oldest=2_000.0),
+            self.age("late", self.clocks.wall() - MAX_LISTING_DELAY_MS, max_age_ms=2_000.0),
             1,
         )
 
@@ -259,10 +260,8 @@
         self.begin(workers=2)
         self.list_starts(42, whole=True, w1=0, w2=self.wall() - 1_000.0)
         since_ms = self.wall() - 1_000.0
-        started, place = (
-            self.app.engine.decisions.endpoints.workers["w2"].started,
-            self.app.workers.addresses["w2"],
-        )
+        started = self.app.engine.decisions.endpoints.workers["w2"].started
+        place = self.app.workers.addresses["w2"]
         self.wall_offset_ms = -QUARTER
         self.watches[-1].sock.close()
         count = len(self.asked_lists())
@@ -301,7 +300,8 @@
         next_app.deadlines.seconds = self.loop.clock.seconds
         next_app.deadlines.offset = first.deadlines.offset + step
         next_app.deadlines.unix = next_app.deadlines.now
-        next_app.log.clock, next_app.log.refilled_at = next_app.deadlines.now, 0.0
+        next_app.log.clock = next_app.deadlines.now
+        next_app.log.refilled_at = 0.0
         next_app.log.print = lambda now, code, text: None  # type: ignore[method-assign]
         next_app.begin(Offer(json.loads(json.dumps(state)), offer.listener))
         self.addCleanup(next_app.port.stopListening)
@@ -329,14 +329,16 @@
         self.app.engine.endpoints.end_ban("w3")
         worker = self.app.engine.decisions.endpoints.workers["w1"]
         worker.warm_up_sends.append((now, 55.0))
-        worker.backoff_until, worker.peak_slots = now + 10, 7
+        worker.backoff_until = now + 10
+        worker.peak_slots = 7
         self.app.engine.decisions.endpoints.workers["w3"].peak_slots = 9
 
     def test_bans_starts_and_learned_state(self) -> None:
         for step in (0.0, *STEPS):
             with self.subTest(step):
                 self.prepare()
-                old, new = self.app, self.after(step)
+                old = self.app
+                new = self.after(step)
                 shift = new.deadlines.offset - old.deadlines.offset
                 self.assertEqual(step, shift)
                 self.assertAlmostEqual(old.engine.view.banned["w2"] + shift, new.engine.view.banned["w2"], 1)
@@ -344,10 +346,8 @@
                 self.assertAlmostEqual(banned + shift, new.engine.view.ended_bans["w3"][0], 1)
                 self.assertAlmostEqual(until + shift, new.engine.view.ended_bans["w3"][1], 1)
                 for name in ("w1", "w3"):
-                    before, now = (
-                        old.engine.decisions.endpoints.workers[name],
-                        new.engine.decisions.endpoints.workers[name],
-                    )
+                    before = old.engine.decisions.endpoints.workers[name]
+                    now = new.engine.decisions.endpoints.workers[name]
                     self.assertAlmostEqual((before.started or 0) + shift, now.started or 0, 1)
                     self.assertEqual(before.peak_slots, now.peak_slots)
                 self.assertEqual(7, new.engine.decisions.endpoints.workers["w1"].peak_slots)
@@ -368,10 +368,8 @@
         self.assertEqual(self.app.engine.view.banned, new.engine.view.banned)
         self.assertEqual(self.app.engine.view.ended_bans, new.engine.view.ended_bans)
         for name in ("w1", "w3"):
-            before, now = (
-                self.app.engine.decisions.endpoints.workers[name],
-                new.engine.decisions.endpoints.workers[name],
-            )
+            before = self.app.engine.decisions.endpoints.workers[name]
+            now = new.engine.decisions.endpoints.workers[name]
             self.assertEqual(
                 (before.started, before.peak_slots, before.warm_up_sends),
                 (now.started, now.peak_slots, now.warm_up_sends),
@@ -451,7 +449,8 @@
                 self.setUp()
                 number = self.job("safe")
                 self.clock.advance(0.3)
-                engine, client = self.next_engine(step), Client()
+                engine = self.next_engine(step)
+                client = Client()
                 self.engine.deadlines.unix = (
                     self.engine.deadlines.now
                 )  # an earlier version does not notice the step
@@ -555,7 +554,8 @@
         self.for_each_step(stepped)
 
     def test_a_worker_that_joins_gets_jobs(self) -> None:
-        joined, came = threading.Event(), threading.Event()
+        joined = threading.Event()
+        came = threading.Event()
 
         def watch(line: Line) -> None:
             line.read()
@@ -577,7 +577,8 @@
         def stepped(step: float) -> None:
             joined.clear()
             came.clear()
-            self.stepped_by, self.second = step, Peer(work)
+            self.stepped_by = step
+            self.second = Peer(work)
             self.addCleanup(self.second.close)
             self.discovery.serve = watch
             line = self.begin_stepped(step)  # its job occupies the only worker
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -241,7 +241,7 @@
 
     def import_into_successor(self, number: int) -> tuple[Engine, list[Event]]:
         state = json.loads(json.dumps(self.exported(number)))
-        self.assertEqual((0, False), (len(self.engine.jobs), self.engine.jobs.knows("a1")))
+        self.assertEqual((0, False), (len(self.engine.jobs), self.engine.jobs.is_known("a1")))
         deadlines = self.engine.deadlines
         other = Engine(Settings(CLASSES, max_attempts=2), 2, deadlines, self.transport, self.engine.log)
         events: list[Event] = []
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -113,7 +113,7 @@
 def test_a_freed_slot_is_reused_under_another_number() -> None:
     slots: Slots[str] = Slots(2)
     first, second = slots.add("a"), slots.add("b")
-    assert slots.full
+    assert slots.is_full
     slots.remove(first)
     third = slots.add("c")
     slots.remove(first)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -253,7 +253,8 @@
     def test_learned_state_is_handed_over_to_the_successor(self) -> None:
         """Without the learned state, the successor would send non-idempotent jobs to failing workers."""
         listed = EndpointListUpdate(ListScope.WHOLE, tuple(Endpoint(f"w{n}", "k") for n in range(4)))
-        old, new = Dispatcher(self.settings(1.0, 10.0), 1), Dispatcher(self.settings(1.0, 10.0), 2)
+        old = Dispatcher(self.settings(1.0, 10.0), 1)
+        new = Dispatcher(self.settings(1.0, 10.0), 2)
         for module in (old, new):
             module.handle(0.0, Started())
             module.handle(0.0, listed)
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -128,7 +128,8 @@
         for deadline in (300.0, 3_000.0, 60_000.0):
             with self.subTest(deadline=deadline):
                 self.start(deadline)
-                unanswered_client, late = self.client(), self.client()
+                unanswered_client = self.client()
+                late = self.client()
                 self.term = 1000 * self.loop.clock.seconds()
                 self.send(unanswered_client)  # its worker hangs, which keeps the process running
                 self.take("POST j1").send(http.response(202))
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -97,7 +97,7 @@
     def submit(self, request_id: str, job_class: str = SAFE) -> Side:
         client = self.client()
         client.send(self.job(request_id, job_class))
-        self.until(lambda: self.app.engine.jobs.knows(request_id))
+        self.until(lambda: self.app.engine.jobs.is_known(request_id))
         return client
 
     def finish(self, client: Side, ms: float = 3_000) -> http.Message:
@@ -225,14 +225,14 @@
     def test_local_errors_do_not_count_as_an_unreachable_worker(self) -> None:
         """If exhausted local resources counted, zones would be taken for unreachable."""
         unreachable: list[bool] = []
-        learn_reach = EndpointFeed.learn_reach
+        record_reachability = EndpointFeed.record_reachability
 
         def record(feed: EndpointFeed, worker: str, outcome: Any) -> None:
             unreachable.append(outcome.worker_unreachable)
-            learn_reach(feed, worker, outcome)
+            record_reachability(feed, worker, outcome)
 
-        EndpointFeed.learn_reach = record  # type: ignore[method-assign, assignment]
-        self.addCleanup(setattr, EndpointFeed, "learn_reach", learn_reach)
+        EndpointFeed.record_reachability = record  # type: ignore[method-assign, assignment]
+        self.addCleanup(setattr, EndpointFeed, "record_reachability", record_reachability)
         local = {*SOCKET_ERRORS, errno.EADDRNOTAVAIL}
         for call, errors in (("socket", SOCKET_ERRORS), ("connect", CONNECT_ERRORS)):
             for error in errors:
