--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -93,7 +93,7 @@
             rules.slack,
             rules.max_open,
         )
-        self.engine.endpoints.follow = lambda: world.listing.follow(self)
+        self.engine.endpoints.request_changes = lambda: world.listing.follow(self)
         self.version = 0  # of the endpoint list in the last update
         self.tries: dict[str, Try] = {}
         self.answered: deque[str] = deque()  # ids of tries whose records can be removed
