--- a/elderstall/decisions/answers.py
+++ b/elderstall/decisions/answers.py
@@ -61,14 +61,16 @@
         return job_class.effect is Effect.IDEMPOTENCY_KEY and job_class.scope is DeduplicationScope.ALL
 
     def retry_after(self) -> float:
-        """Return the time, ms, in which this dispatcher's fraction of the fleet completes its open jobs.
+        """Return the delay, ms, after which a client may retry.
 
-        Clients that retried at once would keep a saturated fleet saturated. The answer itself isn't delayed.
+        It is the time in which this dispatcher's fraction of the fleet completes its open jobs. Where workers
+        are polled before placing, it follows from the fraction of full workers instead. Clients that retried
+        at once would keep a saturated fleet saturated. The answer itself isn't delayed.
         """
         if self.context.mode.polls_before_placing:
             # All dispatchers share the fleet; the open jobs of this one show too little of its load.
             span = MAX_RETRY_AFTER_MS - MIN_RETRY_AFTER_MS
-            return MIN_RETRY_AFTER_MS + span * min(1.0, self.shedding.level)
+            return MIN_RETRY_AFTER_MS + span * min(1.0, self.shedding.rejected_levels)
         fleet_share_capacity = self.endpoints.total_capacity * self.capacity.fleet_fraction
         open_work = sum(job.work * job.slots for job in self.open.values())
         return min(max(open_work / max(fleet_share_capacity, 1e-9), MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
--- a/elderstall/decisions/capacity.py
+++ b/elderstall/decisions/capacity.py
@@ -14,11 +14,14 @@
 
 KIND_PRIOR_JOBS = 5.0  # completed jobs at which a worker's own speed weighs as much as that of its kind
 SPEED_WINDOW_JOBS = 30.0  # over which learned speeds decay, to follow a worker that becomes slower
-MAX_COLD_SLOTS_FACTOR = 2.0  # of the slots ever seen: upper bound on the slots assumed of a cold worker
-MIN_FREE_SLOTS = 0.9  # that a report, which may be 1 s old, must show to allow more than one job
-MAX_ATTEMPTS_PER_WORKER = 3  # where starts are not notified, as the share of slots is only estimated
+MAX_COLD_SLOTS_FACTOR = 2.0  # of the slots ever seen: upper bound on the slots assumed in slow start
+# In a load report, which may be 1 s old and is noisy: a worker with fewer free slots counts as full.
+MIN_FREE_SLOTS = 0.9
+# Slots in flight that a reported free slot may raise a worker to, where starts are not notified: the share
+# of its slots is only estimated. The learned slot limit may exceed it.
+MAX_ATTEMPTS_PER_WORKER = 3
 OWNED_WORKERS = 16  # per dispatcher, where workers are polled: few, so that connections are reused
-PREFERRED_WORKERS = 200  # of a large fleet, used first so that connections to them are reused
+PREFERRED_WORKERS = 200  # of many workers, used first so that connections to them are reused
 PREFERRED_DEMAND_FACTOR = 4.0  # of the workers that this dispatcher's traffic fills, if that is more
 FLEET_FRACTION_MARGIN = 1.25  # of the mean work that arrives here, to leave spare capacity
 
@@ -30,7 +33,7 @@
     work_done: float = 0.0  # decayed, ms on a standard core
     run_time: float = 0.0  # decayed, ms
     peak_slots: float = 1.0  # maximum of slots seen on any of them
-    assumed_slots: float = ASSUMED_SLOTS  # until load reports show them
+    assumed_slots: float = ASSUMED_SLOTS  # until a load report comes with a response
 
 
 class CapacityModel:
@@ -64,13 +67,15 @@
         self._size_preferred()
 
     def _size_preferred(self) -> None:
-        """Set the fraction of a large fleet that jobs go to first; in a small fleet it is the whole.
+        """Set the fraction of the workers that jobs go to first; where workers are few, it is the whole.
 
         Otherwise jobs that don't fit on owned workers would rotate over all known workers, no connection
         would be kept long enough to be reused, and nearly every job would open one.
         """
-        large = self.context.settings.subset_dispatchers_per_worker or self._up_workers > MIN_LARGE_FLEET
-        if self._up_workers and large:
+        has_many_workers = (
+            self.context.settings.subset_dispatchers_per_worker or self._up_workers > MIN_LARGE_FLEET
+        )
+        if self._up_workers and has_many_workers:
             self.preferred_fraction = max(
                 PREFERRED_WORKERS / self._up_workers, PREFERRED_DEMAND_FACTOR * self._demand_fraction
             )
@@ -93,31 +98,35 @@
         prior = KIND_PRIOR_JOBS * self.estimates.typical
         dispatchers_per_worker = settings.dispatchers_per_worker
         slow_start = settings.slow_start_duration + settings.slow_start_window
-        by_kind: dict[str, tuple[float, float]] = {}
+        by_kind: dict[str, tuple[float, float]] = {}  # work in the prior run time, ms, and slots
         for worker in workers:
             if worker.kind not in by_kind:
                 kind = self.kinds[worker.kind]
-                kind_speed = prior * ((kind.work_done + prior) / (kind.run_time + prior))
-                by_kind[worker.kind] = kind_speed, max(kind.peak_slots, kind.assumed_slots)
-            kind_speed, slots = by_kind[worker.kind]
-            # Few workers are in slow start; for the others the call is avoided to save CPU.
-            cold = worker.started is not None and now - worker.started <= slow_start
-            warm_up_fraction = worker.warm_up_fraction(now, settings) if cold else 1.0
-            worker.speed = (worker.work_done + kind_speed) / (worker.run_time + prior)
+                prior_work = prior * ((kind.work_done + prior) / (kind.run_time + prior))
+                by_kind[worker.kind] = prior_work, max(kind.peak_slots, kind.assumed_slots)
+            prior_work, slots = by_kind[worker.kind]
+            # Few workers are in slow start or the window after it; for the others the call is avoided to save
+            # CPU.
+            in_slow_start = worker.started is not None and now - worker.started <= slow_start
+            warm_up_fraction = worker.warm_up_fraction(now, settings) if in_slow_start else 1.0
+            worker.speed = (worker.work_done + prior_work) / (worker.run_time + prior)
             worker.slots = slots if slots > worker.peak_slots else worker.peak_slots
             worker.capacity = worker.slots * worker.speed * warm_up_fraction
-            worker.slot_share = self._slot_share(worker, warm_up_fraction, dispatchers_per_worker, cold=cold)
+            worker.slot_share = self._slot_share(
+                worker, warm_up_fraction, dispatchers_per_worker, in_slow_start=in_slow_start
+            )
 
     def _slot_share(
-        self, worker: Worker, warm_up_fraction: float, dispatchers_per_worker: float, *, cold: bool
+        self, worker: Worker, warm_up_fraction: float, dispatchers_per_worker: float, *, in_slow_start: bool
     ) -> float:
         """Return this dispatcher's share of a worker's slots."""
         if self.context.mode.polls_before_placing:
-            # Cold workers are shared by their owners alone, so that all dispatchers together keep to the
-            # slow-start rule.
+            # Workers in slow start are shared by their owners alone, so that all dispatchers together keep
+            # to the slow-start rule.
             is_owned = worker.preference_position < self.owned_fraction
             return float(
-                is_owned or (not cold and worker.preference_position < 2 * worker.slots * self.fleet_fraction)
+                is_owned
+                or (not in_slow_start and worker.preference_position < 2 * worker.slots * self.fleet_fraction)
             )
         if worker.slots < WHOLE_SLOTS_THRESHOLD * dispatchers_per_worker:
             # A share far below one slot would let dispatchers fill workers' queues unseen. Instead this
@@ -125,10 +134,11 @@
             return float(worker.preference_position < worker.slots * warm_up_fraction * self.fleet_fraction)
         return worker.slots * warm_up_fraction / dispatchers_per_worker
 
-    def open_slots(self, worker: Worker) -> int:
-        """Return the slots of a worker that this dispatcher may use at once.
+    def max_slots_in_flight(self, worker: Worker) -> int:
+        """Return how many slots of a worker this dispatcher's attempts in flight may need together.
 
-        Where starts are not notified and a report shows a free slot, the fleet fraction sets them too.
+        This is the learned slot limit. Where starts are not notified and a report shows a free slot, it is at
+        least 1 plus twice the fleet fraction of its slots, rounded down, up to ``MAX_ATTEMPTS_PER_WORKER``.
         """
         if self.context.settings.notifies_start or worker.free_slots < MIN_FREE_SLOTS:
             return worker.slot_limit
@@ -161,7 +171,7 @@
         worker.stale_slots = min(worker.stale_slots, worker.slots_running - attempt.job.slots)
 
     def cold_capacity(self, worker: Worker) -> float:
-        """Return the capacity of a cold worker: speed x slots x warm-up fraction, in ms of work a ms.
+        """Return a starting worker's capacity: speed x slots x warm-up fraction, in ms of work a ms.
 
         Until a report shows them, the slots of a kind are assumed. Thirty dispatchers with little traffic
         that each take a worker of one slot for one of four would overload it together and violate the
@@ -177,7 +187,7 @@
         worker = attempt.worker
         run_time = max(run_time, 1.0)
         fade = 1 - 1 / SPEED_WINDOW_JOBS
-        kind_fade = (fade + 1) / 2
+        kind_fade = (fade + 1) / 2  # decays over twice as many jobs, as those of all its workers count
         kind = self.kinds[worker.kind]
         worker.work_done = worker.work_done * fade + job.work
         worker.run_time = worker.run_time * fade + run_time
--- a/elderstall/decisions/context.py
+++ b/elderstall/decisions/context.py
@@ -9,15 +9,18 @@
 from elderstall.decisions.queue_model import tier_edges
 from elderstall.interface import Action, JobClass, SetTimer, Settings
 
-ASSUMED_SLOTS = 4.0  # per worker, until a report shows them: at light load none is ever filled
-WHOLE_SLOTS_THRESHOLD = 0.25  # slots: below it shares are whole slots, as a smaller one shows too little
+ASSUMED_SLOTS = 4.0  # per worker, until a report shows them: at light load jobs never fill a worker
+# Slots. Where a dispatcher's share of a worker is smaller, it has whole slots of few workers instead: from so
+# small a share it would learn too little about a worker's load.
+WHOLE_SLOTS_THRESHOLD = 0.25
 PROMPT_SLACK_MS = 10.0  # a start within this much of the minimum delay shows that a slot was free
 REVIEW_INTERVAL_MS = 20.0  # between reviews of the queue
-LARGE_FLEET_REVIEW_INTERVAL_MS = 100.0  # longer, as CPU is limited and worker backoffs are long there
+# With many dispatchers: longer, as CPU is limited and worker backoffs are long there.
+LARGE_FLEET_REVIEW_INTERVAL_MS = 100.0
 
 TIMER_SOLVE = 1  # tokens of SetTimer and TimerFired
 TIMER_REVIEW_QUEUE = 2
-TIMER_POLL_ENDPOINTS = 3
+TIMER_CALL_DISCOVERY = 3
 TIMER_POLL_TIMEOUT = 4
 
 
@@ -27,7 +30,7 @@
 
     classes: Mapping[str, JobClass]
     tier_edges: tuple[float, ...]  # minimum priority weight of each tier, highest first
-    large_fleet: bool  # so many dispatchers that each sends little to any one worker
+    large_fleet: bool  # has so many dispatchers that each sends little to any one worker
     polls_before_placing: bool  # workers are polled before a job is sent to one of them
     polls_for_queued: bool  # workers with attempts in flight are polled while jobs are queued
     review_interval: float  # ms between reviews of the queue
@@ -74,7 +77,7 @@
 
 
 class DecisionContext:
-    """The event being handled: its time, the current settings, and the actions decided so far."""
+    """State shared by the components: settings, mode and random numbers, and the event being handled."""
 
     __slots__ = ("actions", "mode", "now", "rng", "settings")
 
--- a/elderstall/decisions/dispatcher.py
+++ b/elderstall/decisions/dispatcher.py
@@ -1,6 +1,6 @@
 """One dispatcher's decisions: routes each event to the component that handles it and returns the actions.
 
-The ordinary path of a job: its priority weight selects its tier; it goes to the tier's own pool, or to
+Placement through the pools: a job's priority weight selects its tier; it goes to the tier's own pool, or to
 another by the solved fractions, and there to the next worker in rotation order. See docs/design.md.
 """
 
@@ -12,7 +12,7 @@
 from elderstall.decisions.answers import Answers
 from elderstall.decisions.capacity import CapacityModel
 from elderstall.decisions.context import (
-    TIMER_POLL_ENDPOINTS,
+    TIMER_CALL_DISCOVERY,
     TIMER_POLL_TIMEOUT,
     TIMER_REVIEW_QUEUE,
     TIMER_SOLVE,
@@ -25,7 +25,7 @@
 from elderstall.decisions.in_flight import InFlight
 from elderstall.decisions.inheritance import Inheritance
 from elderstall.decisions.intake import Intake
-from elderstall.decisions.list_polling import ListPolling
+from elderstall.decisions.list_polling import EndpointWatch
 from elderstall.decisions.load_shedding import LoadShedding
 from elderstall.decisions.outcomes import Outcomes
 from elderstall.decisions.placement import Placement
@@ -70,7 +70,7 @@
         self.shedding = LoadShedding()
         self.capacity = CapacityModel(context, self.estimates)
         self.endpoints = Endpoints(context, self.capacity, ReservedWorkers())
-        self.list_polling = ListPolling(context)
+        self.endpoint_watch = EndpointWatch(context)
         self.pools = Pools(context, self.endpoints, self.capacity)
         self.solver = Solver(context, self.endpoints, self.capacity, self.pools, self.estimates)
         self.in_flight = InFlight(context, self.endpoints, self.capacity, self.estimates)
@@ -141,8 +141,8 @@
             self.solver,
         )
         self._handlers: dict[type, Callable[[Any], None]] = {
-            Started: self._begin,
-            EndpointListUpdate: self._endpoint_list,
+            Started: self._handle_started,
+            EndpointListUpdate: self._handle_list_update,
             WorkersForgotten: lambda event: self.endpoints.forget(event.workers),
             JobArrived: self.intake.arrived,
             JobTakenOver: self.inheritance.take_over_job,
@@ -150,9 +150,9 @@
             ResponseStarted: lambda event: self.answers.release(event.job),
             AttemptProgressed: self.outcomes.progressed,
             AttemptEnded: self.outcomes.ended,
-            LoadPolled: self._load_report,
-            TimerFired: self._timer_fired,
-            SettingsChanged: self._settings_changed,
+            LoadPolled: self._handle_load_report,
+            TimerFired: self._handle_timer,
+            SettingsChanged: self._handle_settings,
             LearnedStateReceived: lambda event: self.inheritance.restore_learned(event.data),
         }
         self._apply_settings()
@@ -170,24 +170,24 @@
 
     def learned(self) -> dict[str, Any]:
         """Return the learned state as plain data, for the successor process."""
-        return self.inheritance.learned()
+        return self.inheritance.export_learned()
 
     def _apply_settings(self) -> None:
         """Apply the current settings to the components."""
         settings = self.context.settings
         mode = self.context.mode
-        self.list_polling.change_settings()
+        self.endpoint_watch.change_settings()
         self.shedding.set_weights(job_class.priority_weight for job_class in settings.classes)
         self.estimates.change_classes(settings.classes)
         self.solver.update_typical_work()
         self.quotas.change_settings(settings.tenants, settings.dispatchers, mode.large_fleet)
 
-    def _begin(self, _: Started) -> None:
+    def _handle_started(self, _: Started) -> None:
         """Start the solver's timer, and request the endpoint list."""
         self.context.set_timer(TIMER_SOLVE, SOLVE_INTERVAL_MS)
-        self.list_polling.begin()
+        self.endpoint_watch.begin()
 
-    def _timer_fired(self, event: TimerFired) -> None:
+    def _handle_timer(self, event: TimerFired) -> None:
         """Handle a timer by its token."""
         now = self.context.now + self.context.settings.tick / 2  # a timer may fire slightly early
         if event.token == TIMER_SOLVE:
@@ -198,8 +198,8 @@
             self.queue.timer_fired()
         elif event.token == TIMER_POLL_TIMEOUT:
             self.polled_placement.place_timed_out(now)
-        elif event.token == TIMER_POLL_ENDPOINTS:
-            self.list_polling.timer_fired(now)
+        elif event.token == TIMER_CALL_DISCOVERY:
+            self.endpoint_watch.timer_fired(now)
 
     def _solve(self) -> None:
         """Re-solve the policy, and log the inputs of a solve of the pool sizes."""
@@ -215,12 +215,12 @@
             )
         )
 
-    def _endpoint_list(self, event: EndpointListUpdate) -> None:
+    def _handle_list_update(self, event: EndpointListUpdate) -> None:
         """Handle an endpoint list update, or the failure of a list call or of a watch."""
         if event.scope in (ListScope.FAILED, ListScope.SILENT):
-            self.list_polling.failed(event.scope)
+            self.endpoint_watch.failed(event.scope)
             return
-        self.list_polling.answered()
+        self.endpoint_watch.answered()
         if self.endpoints.apply(event):
             self._rebuild_pools()
             self.queue.review()
@@ -230,14 +230,14 @@
         self.endpoints.rebuild()
         self.pools.rescale()
 
-    def _load_report(self, event: LoadPolled) -> None:
-        """Record a polled worker's report, and place the jobs that waited for it alone."""
+    def _handle_load_report(self, event: LoadPolled) -> None:
+        """Record a polled worker's report, and place the jobs that waited only for it."""
         worker = self.poller.record(event)
         if self.context.mode.polls_for_queued:
             self.queue.offer(worker)
         self.polled_placement.report_received(worker)
 
-    def _settings_changed(self, event: SettingsChanged) -> None:
+    def _handle_settings(self, event: SettingsChanged) -> None:
         """Replace the settings; learned state, the classes of jobs and the order of the queue are kept."""
         queued = self.queue.queued_jobs()
         tiers = self.context.mode.tiers
--- a/elderstall/decisions/eligibility.py
+++ b/elderstall/decisions/eligibility.py
@@ -13,7 +13,8 @@
 
 MAX_FAULTY_FRACTION = 0.6  # of the workers; if more are on probation, the jobs are taken to be at fault
 DEDUPLICATION_WINDOW_FRACTION = 0.95  # of a class's window, after which a repeat may no longer be dropped
-PROBATION_WAIT_FRACTION = 0.5  # of its patience, for which a job waits for a worker that isn't on probation
+# Of its maximum wait, for which a job waits for a worker that isn't on probation.
+PROBATION_WAIT_FRACTION = 0.5
 
 
 class Eligibility:
@@ -40,7 +41,7 @@
         if not worker.up or worker.backoff_until > self.context.now:
             return False
         used = worker.slots_in_flight
-        if used and used + job.slots > self.capacity.open_slots(worker):
+        if used and used + job.slots > self.capacity.max_slots_in_flight(worker):
             return False
         if worker.probation and not self._is_allowed_on_probation(worker, job):
             return False
@@ -52,7 +53,7 @@
         return is_suitable and self.slow_start.admits(worker, job)
 
     def accepts_repeat(self, worker: Worker, job: Job) -> bool:
-        """Return whether a worker accepts a job that may have run."""
+        """Return whether a worker accepts a job, also if that may have run already."""
         return self._may_repeat(worker, job) and self.accepts(worker, job)
 
     def _may_repeat(self, worker: Worker, job: Job) -> bool:
@@ -85,5 +86,5 @@
         if worker.slots_in_flight:
             return False
         waited = self.context.now - job.arrived
-        can_wait = waited < PROBATION_WAIT_FRACTION * self.urgency.patience(job)
+        can_wait = waited < PROBATION_WAIT_FRACTION * self.urgency.max_wait(job)
         return not can_wait or job.ran_on is not None
--- a/elderstall/decisions/endpoints.py
+++ b/elderstall/decisions/endpoints.py
@@ -13,7 +13,7 @@
 from elderstall.decisions.reserved_workers import ReservedWorkers
 from elderstall.interface import Endpoint, EndpointListUpdate, ListScope, WorkerState
 
-HASH_ORDER = attrgetter("hash_order")  # of workers
+get_hash_order = attrgetter("hash_order")  # sort key of workers
 # Its multiples, modulo 1, are spread evenly for any number of workers or dispatchers.
 GOLDEN_RATIO = 0.6180339887
 
@@ -83,6 +83,7 @@
         return {worker.name: (worker.up, worker.started) for worker in known}
 
     def _apply_entry(self, entry: Endpoint) -> None:
+        """Add, restart or update the worker of a list entry."""
         up = entry.state is WorkerState.UP
         worker = self.workers.get(entry.worker)
         if worker is None:
@@ -123,7 +124,7 @@
         ordered = [
             worker for worker in self._hash_ordered if known.get(worker.name) is worker
         ]  # without those that were forgotten
-        ordered.sort(key=HASH_ORDER)  # nearly sorted already: about one comparison each
+        ordered.sort(key=get_hash_order)  # nearly sorted already: about one comparison each
         self._hash_ordered = ordered
         by_kind: dict[str, list[Worker]] = {}
         for worker in ordered:
--- a/elderstall/decisions/hill_climb.py
+++ b/elderstall/decisions/hill_climb.py
@@ -11,7 +11,10 @@
 
 
 def neighbours(policy: Policy, step: int, tiers: int, *, resize: bool) -> Iterator[Policy]:
-    """Yield the feasible policies one step away."""
+    """Yield the feasible policies one step away.
+
+    With ``resize``, sizes change too, and jobs are only redirected to higher tiers' pools.
+    """
     for n in range(len(policy.fractions)):
         for change in (step, -step):
             fractions = (*policy.fractions[:n], policy.fractions[n] + change, *policy.fractions[n + 1 :])
@@ -20,7 +23,7 @@
             ):
                 yield neighbour
     if resize:
-        moved = sum(policy.sizes) * step // 2000 + 1
+        moved = sum(policy.sizes) * step // 2000 + 1  # half the step's fraction of the workers, and one more
         for target in range(tiers):
             for source in range(tiers):
                 if target != source:
@@ -33,7 +36,7 @@
 
 
 def random_policy(rng: random.Random, like: Policy, tiers: int, *, resize: bool) -> Policy:
-    """Return a random feasible policy."""
+    """Return a random feasible policy, with fractions in multiples of 0.1."""
     while True:
         fractions = tuple(rng.randrange(0 if resize else -10, 11) * 100 for _ in like.fractions)
         sizes = like.sizes
--- a/elderstall/decisions/in_flight.py
+++ b/elderstall/decisions/in_flight.py
@@ -13,7 +13,9 @@
 # Of this dispatcher's slots, that may wait in workers' queues: it keeps slots busy between notifications.
 MAX_QUEUED_FRACTION = 0.5
 STUCK_AFTER_FACTOR = 2.0  # of a typical job's time, after which an overdue start shows a stuck worker
-MAX_STUCK_FRACTION = 0.15  # of the workers; if more seem to be stuck, the fleet is saturated instead
+# Overdue attempts that may be ascribed to stuck workers, as a fraction of the number of workers that are
+# up; if there are more, the fleet is saturated instead.
+MAX_STUCK_FRACTION = 0.15
 
 AttemptKey = tuple[int, int]  # job id and attempt number
 
@@ -35,9 +37,10 @@
         self.attempts: dict[AttemptKey, Attempt] = {}
         self.unstarted: dict[AttemptKey, Attempt] = {}  # not known to have started; oldest first
         self.slots_running = 0  # of started attempts
-        # Minimum delay from send to start by zone, ms, as a first job may meet a queue. Initially assumed.
-        initial_mean_work = context.settings.connect_timeout / 2
-        self.min_start_delay: defaultdict[str | None, float] = defaultdict(lambda: initial_mean_work)
+        # Delay from send to start by zone, ms. The minimum is taken, as other jobs may have met a queue.
+        # Half the connect timeout is assumed until a start is seen.
+        initial_start_delay = context.settings.connect_timeout / 2
+        self.min_start_delay: defaultdict[str | None, float] = defaultdict(lambda: initial_start_delay)
 
     def add(self, attempt: Attempt) -> None:
         """Add a new attempt."""
@@ -92,7 +95,8 @@
     def is_saturated(self, *, late: bool = False) -> bool:
         """Return whether so many starts are overdue that further jobs would only fill workers' queues.
 
-        For late jobs a single overdue start is the bound.
+        For late jobs a single overdue start is the bound. A few attempts that are overdue for long are left
+        out, as their workers are stuck rather than full.
         """
         allowed = (
             1 if late else MAX_QUEUED_FRACTION * (self.capacity.total_slot_share + self.slots_running) + 1
--- a/elderstall/decisions/inheritance.py
+++ b/elderstall/decisions/inheritance.py
@@ -15,7 +15,8 @@
 from elderstall.decisions.solver import Solver
 from elderstall.interface import JobTakenOver
 
-# Keys under which a worker's learned values are handed over; fixed, as two versions exchange them.
+# Keys under which a worker's learned values are handed over, and its fields. These keys, and those written
+# out below, are fixed, as two versions of the program exchange them.
 WORKER_KEYS = {
     "turn": "virtual_time",
     "peak": "peak_slots",
@@ -67,7 +68,7 @@
         self.intake = intake
         self.solver = solver
 
-    def learned(self) -> dict[str, Any]:
+    def export_learned(self) -> dict[str, Any]:
         """Return the learned state as plain data."""
         kinds = {
             name: [kind.work_done, kind.run_time, kind.peak_slots, kind.assumed_slots]
@@ -88,7 +89,7 @@
         }
 
     def restore_learned(self, data: dict[str, Any]) -> None:
-        """Restore the predecessor's learned state; where settings differ, as far as it still applies."""
+        """Restore the predecessor's learned state, except of workers that are unknown or restarted."""
         for name, values in data["workers"].items():
             if name in self.endpoints.workers:
                 restore_worker(self.endpoints.workers[name], values)
@@ -113,7 +114,7 @@
         self.pools.adopt_policy(Policy(tuple(fractions), tuple(sizes)))
 
     def take_over_job(self, event: JobTakenOver) -> None:
-        """Take a job over from the predecessor, with its attempt if one is in flight."""
+        """Continue a job of the predecessor, with its attempt if one is in flight."""
         job = self._create_job(event)
         self.intake.answers.open[job.id] = job
         if event.worker is None:
--- a/elderstall/decisions/intake.py
+++ b/elderstall/decisions/intake.py
@@ -73,7 +73,7 @@
 
     def place(self, job: Job) -> None:
         """Send the job if a worker accepts it, otherwise queue it; one out of time is answered."""
-        must_queue = self.urgency.out_of_time(job) or self.queue.has_jobs_before(job)
+        must_queue = self.urgency.is_out_of_time(job) or self.queue.has_jobs_before(job)
         if self.context.mode.polls_before_placing and not must_queue and job.ran_on is None:
             if not job.attempts and self._is_shed(job):
                 self.poller.poll_next_owned()
--- a/elderstall/decisions/list_polling.py
+++ b/elderstall/decisions/list_polling.py
@@ -1,17 +1,17 @@
-"""Requests the endpoint list at the start, and again after a call or a watch has failed."""
+"""Opens the watch on the endpoint list at the start, and again after a call or a watch has failed."""
 
 from __future__ import annotations
 
 import math
 
-from elderstall.decisions.context import TIMER_POLL_ENDPOINTS, DecisionContext
+from elderstall.decisions.context import TIMER_CALL_DISCOVERY, DecisionContext
 from elderstall.interface import ListScope, LogLine, WatchEndpoints
 from elderstall.recovery.listing import ListCalls
 
 RENEWAL_FRACTION = 0.25  # of the poll interval, after which an unanswered call is repeated
 
 
-class ListPolling:
+class EndpointWatch:
     """Makes the calls scheduled by ``recovery.listing``, with timers and ``WatchEndpoints`` actions."""
 
     def __init__(self, context: DecisionContext) -> None:
@@ -25,7 +25,7 @@
         self.calls.poll_interval = self.context.settings.poll_interval
 
     def begin(self) -> None:
-        """Make the first call; in a large fleet it is delayed, as many dispatchers may start at once."""
+        """Make the first call; where many dispatchers may start at once, it is delayed."""
         if not self.context.settings.watches_list:
             return
         delay = self.calls.first_call_delay(self.context.rng)
@@ -62,4 +62,4 @@
     def _schedule_call(self, delay: float) -> None:
         """Schedule the next call; it replaces one scheduled before."""
         self.call_at = self.context.now + delay
-        self.context.set_timer(TIMER_POLL_ENDPOINTS, delay)
+        self.context.set_timer(TIMER_CALL_DISCOVERY, delay)
--- a/elderstall/decisions/outcomes.py
+++ b/elderstall/decisions/outcomes.py
@@ -108,6 +108,7 @@
             self._unavailable(attempt, ending)
 
     def _served(self, attempt: Attempt) -> None:
+        """Count the served job for a worker's probation and speed; its backoff ends with the probation."""
         worker = attempt.worker
         worker.probation = max(0, worker.probation - 1)
         if not worker.probation:
--- a/elderstall/decisions/placement.py
+++ b/elderstall/decisions/placement.py
@@ -13,12 +13,16 @@
 
 # Of the mean work: a long job of a heavy-tailed class, which a slow worker may end late.
 LONG_JOB_FACTOR = 5.0
-MAX_BUSY_FACTOR = 2.0  # of the fleet's mean jobs per core: a worker listed above it gets no job by key
-GROUP_RANKS = (0, 2, 4)  # best possible rank of a worker of each group of a rotation
+# Of the fleet's mean jobs per core: a worker listed above it gets a job by key only within its spare jobs per
+# core.
+MAX_BUSY_FACTOR = 2.0
+# Ranks of workers for a job: 0 within the slot share, 2 beyond it, 4 not preferred, each plus 1 if the worker
+# is too slow for long jobs. The constant holds the best possible rank of each group of a rotation.
+GROUP_RANKS = (0, 2, 4)
 NOT_PREFERRED_RANK = GROUP_RANKS[-1]
 WORST_RANK = 9  # worse than that of any worker
 
-# Beyond the slot share or too slow; in another zone; virtual time; position in the pool.
+# Rank as above; in another zone at a price; virtual time; position in the pool.
 Rank = tuple[int, bool, float, int]
 
 
@@ -64,13 +68,15 @@
         return self._from_pools(order, job)
 
     def _from_pools(self, order: list[int], job: Job) -> Worker | None:
+        """Return the worker of the best rank in the pools, the first of equals in the given order, if any."""
         best = None
         best_rank = WORST_RANK
         for pool in order:
             if best_rank and (found := self.next_accepting(self.pools.rotation(pool), job))[0] < best_rank:
                 best_rank, best = found
-        # Beyond whole slots of its own, this dispatcher doesn't know which workers are free. While a start is
-        # overdue, jobs wait, or they would be sent blindly to a saturated fleet.
+        # A slot share of 0 or 1 is taken to mean that shares are whole slots. Beyond those, this dispatcher
+        # doesn't know which workers are free. While a start is overdue, jobs wait, or they would be sent
+        # blindly to a saturated fleet.
         is_blind = best is not None and best_rank > 1 and best.slot_share in (0.0, 1.0)
         return None if is_blind and self.in_flight.is_saturated(late=True) else best
 
@@ -100,11 +106,11 @@
             for virtual_time, position, _, worker in entries:
                 if worker.backoff_until > self.context.now:
                     continue
-                slow = run_time > objective * worker.speed
+                is_slow = run_time > objective * worker.speed
                 rank = (
-                    (group_rank + slow, False, virtual_time, position)
+                    (group_rank + is_slow, False, virtual_time, position)
                     if group_rank == NOT_PREFERRED_RANK
-                    else (self._rank_worker(worker, job, virtual_time, position, slow=slow))
+                    else (self._rank_worker(worker, job, virtual_time, position, is_slow=is_slow))
                 )
                 if rank < best_rank and self.eligibility.accepts(worker, job):
                     best = worker
@@ -114,19 +120,19 @@
         return best_rank[0], best
 
     def _rank_worker(
-        self, worker: Worker, job: Job, virtual_time: float, position: int, *, slow: bool
+        self, worker: Worker, job: Job, virtual_time: float, position: int, *, is_slow: bool
     ) -> Rank:
         """Return the rank of a worker for a job; the lowest is best."""
         settings = self.context.settings
-        # Where shares are whole slots, a cold worker that this dispatcher may use in the current slow-start
-        # window ranks like one of its own slots.
+        # Where shares are whole slots, a worker in slow start that this dispatcher may use in the current
+        # slow-start window ranks like one of its own slots.
         is_past_share = worker.slots_in_flight + job.slots > worker.slot_share and (
             worker.slots_in_flight > 0
-            or (not worker.slot_share and not worker.in_slow_start(self.context.now, settings))
+            or (not worker.slot_share and not worker.is_in_slow_start(self.context.now, settings))
         )
-        rank = 2 * is_past_share + slow
-        crossing = rank < 2 and worker.zone != settings.zone and settings.cross_zone_price > 0
-        return rank, crossing, virtual_time, position
+        rank = 2 * is_past_share + is_slow
+        is_cross_zone = rank < 2 and worker.zone != settings.zone and settings.cross_zone_price > 0
+        return rank, is_cross_zone, virtual_time, position
 
     def _by_key(self, order: list[int], job: Job) -> Worker | None:
         """Return a worker that accepts the job, of the first ones in rendezvous order for its key."""
--- a/elderstall/decisions/polling.py
+++ b/elderstall/decisions/polling.py
@@ -20,13 +20,14 @@
 from elderstall.decisions.urgency import Urgency
 from elderstall.interface import Ending, LoadPolled, PollLoad
 
-# Polled before a job goes to one of them: two are often both full, a fourth gains nothing.
+# Workers polled before a job goes to one of them: two are often both full, a fourth gains nothing.
 WORKERS_PER_POLL = 3
 MAX_POLL_ROUNDS = 3  # per job, each of other workers, while all polled ones are full
 POLL_TIMEOUT_MS = 30.0  # a report takes a round trip; a silent worker must not make a job late
 REPORT_FRESH_MS = 150.0  # for which a report is used for further jobs
 FULL_REPORT_MS = 300.0  # after which a full worker is polled again: earlier its report would hardly differ
-WORKERS_POLLED_FOR_QUEUED = 3  # with attempts in flight, polled when a job is queued: some have capacity
+# Workers with attempts in flight that are polled when a job is queued, as some have capacity.
+WORKERS_POLLED_FOR_QUEUED = 3
 
 
 class LoadPoller:
@@ -47,9 +48,9 @@
         self.shedding = shedding
 
     def poll(self, workers: Iterable[Worker]) -> None:
-        """Poll workers without a fresh report.
+        """Poll those workers that have neither a fresh report nor a pending poll.
 
-        A poll advances virtual time, or full workers would remain first in rotation order.
+        The virtual time of all given workers advances, or full ones would remain first in rotation order.
         """
         for worker in workers:
             self.pools.advance_virtual_time(worker, self.estimates.typical / WORKERS_PER_POLL)
@@ -94,7 +95,7 @@
 
 
 class PolledPlacement:
-    """Places jobs by reports of polled workers, as the jobs sent from here show too little of their load."""
+    """Places jobs by load reports: this dispatcher's own jobs show too little of a worker's load."""
 
     def __init__(
         self,
@@ -126,7 +127,7 @@
         job.polled_before = job.polled_before + job.polled
         job.polled = []
         job.poll_rounds += 1
-        reserved = self.endpoints.reserved.candidates(job, self.context.rng)
+        reserved = self.endpoints.reserved.record_and_offer(job, self.context.rng)
         for worker in chain(reserved, self.pools.owned_in_rotation_order(pool)):
             if self._is_worth_polling(worker, job):
                 job.polled.append(worker)
@@ -140,15 +141,15 @@
         if any(worker.poll_pending for worker in job.polled):
             self.context.set_timer(TIMER_POLL_TIMEOUT, POLL_TIMEOUT_MS)
         else:
-            self._decide(job)
+            self._place_polled(job)
         return True
 
     def _is_worth_polling(self, worker: Worker, job: Job) -> bool:
         """Return whether a report may show something new and the worker may get the job."""
-        known_full = (
+        is_known_full = (
             worker.free_slots < MIN_FREE_SLOTS and self.context.now - worker.reported_at < FULL_REPORT_MS
         )
-        if known_full or worker in job.polled_before + job.polled:
+        if is_known_full or worker in job.polled_before + job.polled:
             return False
         return self.eligibility.accepts(worker, job)
 
@@ -156,22 +157,22 @@
         """Place the jobs that waited only for this worker's report."""
         for job in [job for job in self.answers.awaiting_reports.values() if worker in job.polled]:
             if not any(polled.poll_pending for polled in job.polled):
-                self._decide(job)
+                self._place_polled(job)
 
     def place_timed_out(self, now: float) -> None:
         """Place the jobs whose polls have timed out."""
         waiting = self.answers.awaiting_reports.values()
         for job in [job for job in waiting if now >= job.polled_at + POLL_TIMEOUT_MS]:
-            self._decide(job)
+            self._place_polled(job)
 
-    def _decide(self, job: Job) -> None:
-        """Send a job to the best of the polled workers, or by the ordinary path if none accepts it."""
+    def _place_polled(self, job: Job) -> None:
+        """Send a job to the best of the polled workers, or through the pools if none accepts it."""
         del self.answers.awaiting_reports[job.id]
         best = self._best_polled(job)
         is_full = best is None or best.free_slots < MIN_FREE_SLOTS
         if is_full and job.poll_rounds < MAX_POLL_ROUNDS and self.poll_for(job):
             return
-        if best is None and not self.urgency.out_of_time(job):
+        if best is None and not self.urgency.is_out_of_time(job):
             best = self.placement.choose(job)
         if best is not None:
             self.forwarder.send(job, best)
@@ -179,6 +180,7 @@
             self.queue.enqueue(job)
 
     def _best_polled(self, job: Job) -> Worker | None:
+        """Return the best polled worker that accepts the job, by free slots, fresh report and speed."""
         run_time, objective = long_job_times(job)
         accepting = [worker for worker in job.polled if self.eligibility.accepts(worker, job)]
         return min(
--- a/elderstall/decisions/pools.py
+++ b/elderstall/decisions/pools.py
@@ -19,8 +19,8 @@
 from elderstall.decisions.rotation import BEYOND_SHARE, NOT_PREFERRED, WITHIN_SHARE, Rotation, Rotations
 
 MAX_KEY_CANDIDATES = 8  # workers of a pool tried for a key's jobs: a popular key needs several
-MAX_VIRTUAL_TIME_DEBT_MS = 1_000.0  # that a worker which was passed over may catch up
-INITIAL_POOL_SIZE = 1000  # of each pool; sizes are rescaled to the number of workers
+MAX_VIRTUAL_TIME_DEBT_MS = 1_000.0  # of its service time, that a worker which was passed over may catch up
+INITIAL_POOL_SIZE = 1000  # of each pool; only the ratio matters, as sizes are rescaled to the workers
 
 
 class Pools:
@@ -38,8 +38,8 @@
         mode = self.context.mode
         self.pools: list[list[Worker]] = [[] for _ in mode.tier_edges]
         self.rotations = Rotations(self.pools, self.rotation_group)
-        # Pools start with equal sizes. In a large fleet solving takes long to adapt, so tiers that only jobs
-        # over quota use start with minimal pools there.
+        # Pools start with equal sizes. With many dispatchers solving takes long to adapt, so tiers that only
+        # jobs over quota use start with minimal pools there.
         used = {
             mode.tier_of(job_class.priority_weight) for job_class in mode.classes.values() if mode.large_fleet
         }
@@ -91,14 +91,14 @@
     def rotation_group(self, worker: Worker) -> int | None:
         """Return a worker's group in the rotation, by its slot share and preference; None if it is full."""
         used = worker.slots_in_flight
-        if used and used >= self.capacity.open_slots(worker):
+        if used and used >= self.capacity.max_slots_in_flight(worker):
             return None
         if worker.preference_position >= self.capacity.preferred_fraction:
             return NOT_PREFERRED
         if used:
             return WITHIN_SHARE if used + 1 <= worker.slot_share else BEYOND_SHARE
-        is_cold = worker.in_slow_start(self.context.now, self.context.settings)
-        within_share = worker.slot_share or (is_cold and not self.context.mode.polls_before_placing)
+        in_slow_start = worker.is_in_slow_start(self.context.now, self.context.settings)
+        within_share = worker.slot_share or (in_slow_start and not self.context.mode.polls_before_placing)
         return WITHIN_SHARE if within_share else BEYOND_SHARE
 
     def advance_virtual_time(self, worker: Worker, work: float) -> None:
--- a/elderstall/decisions/queue.py
+++ b/elderstall/decisions/queue.py
@@ -1,4 +1,4 @@
-"""Queue of jobs that wait for capacity, in buckets by priority weight per slot-time; late ones come last."""
+"""Queue of jobs that wait for capacity, in buckets by priority weight; late ones come last."""
 
 from __future__ import annotations
 
@@ -47,10 +47,15 @@
         self.reset()
 
     def reset(self) -> None:
-        """Reset to empty buckets, one per tier and one for late jobs."""
+        """Reset to empty buckets, one per tier and one for late jobs.
+
+        Jobs that were sent or answered stay in their bucket until it is reviewed, or offered with them in
+        front.
+        """
         self.buckets: list[list[Job]] = [[] for _ in range(self.context.mode.tiers + 1)]
 
     def __len__(self) -> int:
+        """Return the number of jobs in the buckets, with those that are no longer queued."""
         return sum(map(len, self.buckets))
 
     def queued_jobs(self) -> list[Job]:
@@ -59,7 +64,7 @@
 
     def enqueue(self, job: Job) -> None:
         """Queue a job that no worker accepts now, or answer it at once if it is out of time."""
-        if self.urgency.out_of_time(job):
+        if self.urgency.is_out_of_time(job):
             self.answers.finish(job)
             return
         job.queued = True
@@ -68,11 +73,11 @@
         self.on_enqueued()
 
     def has_jobs_before(self, job: Job) -> bool:
-        """Return whether any queued job goes before a new one."""
+        """Return whether the buckets up to the job's own hold any job, even one that is no longer queued."""
         return any(self.buckets[: self._bucket_of(job) + 1])
 
     def _bucket_of(self, job: Job) -> int:
-        """Return the index of a job's bucket, by its priority weight per slot-time."""
+        """Return the index of a job's bucket, by its tier's weight, per slot-time unless weighted by work."""
         mode = self.context.mode
         slot_time = job.work * job.slots / self.estimates.typical
         weight = mode.tier_edges[job.tier] / (1.0 if self.context.settings.weight_by_work else slot_time)
@@ -89,21 +94,21 @@
     def _review_bucket(self, jobs: list[Job], no_capacity: set[Requirement]) -> list[Job]:
         """Review one bucket, and return the jobs that stay in it."""
         late = self.buckets[-1]
-        saturated = self.in_flight.is_saturated(late=jobs is late)
+        is_saturated = self.in_flight.is_saturated(late=jobs is late)
         remaining: list[Job] = []
         for job in jobs:
             if not job.queued:
                 continue
             requirement = (job.cls.kind, job.slots)
-            if self.urgency.out_of_time(job):
+            if self.urgency.is_out_of_time(job):
                 self.answers.finish(job)
             elif (
-                not saturated
+                not is_saturated
                 and (requirement not in no_capacity or job.ran_on is not None)
                 and (worker := self.placement.choose(job)) is not None
             ):
                 self.forwarder.send(job, worker)
-            elif jobs is not late and self.context.now >= job.arrived + self.urgency.patience(job):
+            elif jobs is not late and self.context.now >= job.arrived + self.urgency.max_wait(job):
                 late.append(job)  # fresh jobs go first, or all jobs of the queue would end late
             else:
                 no_capacity.add(requirement)
@@ -120,11 +125,12 @@
                 jobs.pop(0)
 
     def _offer_to(self, jobs: list[Job], worker: Worker) -> None:
+        """Send the worker those of the jobs that it accepts."""
         if self.context.settings.fetch_price:  # jobs whose data the worker has cached go first in a bucket
             jobs.sort(key=lambda job: job.key not in worker.cached_keys)
         for job in jobs:
-            eligible = job.queued and self.eligibility.accepts_repeat(worker, job)
-            if eligible and not self.urgency.out_of_time(job):
+            is_eligible = job.queued and self.eligibility.accepts_repeat(worker, job)
+            if is_eligible and not self.urgency.is_out_of_time(job):
                 self.forwarder.send(job, worker)
 
     def timer_fired(self) -> None:
--- a/elderstall/decisions/queue_model.py
+++ b/elderstall/decisions/queue_model.py
@@ -44,9 +44,11 @@
         drain = capacity * (1 - bounded_utilization) / max(work[p] / jobs[p] if jobs[p] else 0.0, 1e-9)
         wait = waiting / drain + max(0.0, rho - MAX_UTILIZATION) * SOLVE_INTERVAL_MS
         model.append((wait, min(1.0, MAX_UTILIZATION / max(rho, 1e-9)), waiting, drain, capacity / slots))
-    gain = value = 0.0
+    gain = 0.0
+    value = 0.0
     for t in pools:
-        response = in_time = 0.0
+        response = 0.0
+        in_time = 0.0
         for fraction, (wait, served, waiting, drain, speed) in zip(fractions[t], model, strict=True):
             if fraction > 0:
                 run = load.run[t] / speed
--- a/elderstall/decisions/records.py
+++ b/elderstall/decisions/records.py
@@ -13,9 +13,10 @@
 
 
 def divide_proportionally(total: int, weights: Sequence[float]) -> tuple[int, ...]:
-    """Return integers that sum to ``total``, in proportion to weights and at least 1 each.
+    """Return integers that sum to ``total``, in proportion to weights.
 
-    The largest one absorbs the rounding error.
+    Each is at least 1 if the total is not less than their number. Rounding errors are corrected by 1 at a
+    time, each time on the integer that is the largest then.
     """
     parts = [max(1, round(total * weight / sum(weights))) for weight in weights]
     while sum(parts) != total:
@@ -24,8 +25,10 @@
 
 
 MAX_CACHED_KEYS = 8  # per worker
-MIN_BACKOFF_MS = 100.0  # after a 'full' or a failed connection; doubles with each further failure
-MAX_BACKOFF_MS = 4_000.0  # bounded, so that a worker gets jobs again soon after its fault has ended
+MIN_BACKOFF_MS = 100.0  # after a failed attempt or a silent poll; doubles with each further failure
+# Bounds the doubling, so that a worker gets jobs again soon after its fault has ended. The minimum after a
+# timed-out attempt may exceed it.
+MAX_BACKOFF_MS = 4_000.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,19 +50,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """Redirected fractions, in thousandths and in the order of ``tier_pairs``, and pool sizes by tier."""
+    """Redirected fractions, in thousandths and in the order of ``tier_pairs``, and pool sizes by tier.
+
+    A positive fraction of the lower tier's jobs goes to the higher tier's pool; a negative one is the
+    fraction of the higher tier's jobs that goes to the lower tier's pool.
+    """
 
     fractions: tuple[int, ...]
     sizes: tuple[int, ...]
 
 
 def tier_pairs(tiers: int) -> tuple[tuple[int, int], ...]:
-    """Return the (lower, higher) tier of each redirected fraction; tier 0 is the highest."""
+    """Return the (lower, higher) tier of each redirected fraction, for 0 to 3 tiers; 0 is the highest."""
     return ((), (), ((1, 0),), ((1, 0), (2, 1), (2, 0)))[tiers]
 
 
 def is_feasible(policy: Policy, tiers: int) -> bool:
-    """Return whether a policy meets the constraints on fractions and pool sizes."""
+    """Return whether a policy meets the constraints on fractions and pool sizes.
+
+    No tier redirects more than all of its jobs, and no pool is empty. Of three tiers, the fractions of the
+    pairs (1, 0) and (2, 0) don't have opposite signs.
+    """
     redirected = [0] * tiers
     for (low, high), fraction in zip(tier_pairs(tiers), policy.fractions, strict=True):
         if abs(fraction) > 1000:
@@ -103,7 +114,7 @@
     stale_slots: int = 0  # maximum of these whose attempts started before its process was restarted
     last_start_at: float = -math.inf  # last notified start of an attempt
     peak_slots: int = 1  # maximum of this dispatcher's slots seen running at once
-    slot_limit: int = 1  # slots that this dispatcher may use at once, as estimated
+    slot_limit: int = 1  # slots that this dispatcher may use at once, as learned from attempts
     work_done: float = 0.0  # decayed work of completed jobs
     run_time: float = 0.0  # decayed running time of completed jobs
     backoff_until: float = -math.inf
@@ -123,7 +134,7 @@
     rotation_key: tuple[int | None, float] | None = None  # group and virtual time in the rotation
     unstarted: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     cached_keys: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_CACHED_KEYS))  # most recent last
-    warm_up_sends: deque[tuple[float, float]] = field(default_factory=deque)  # time and work, while cold
+    warm_up_sends: deque[tuple[float, float]] = field(default_factory=deque)  # time and work, in slow start
 
     @classmethod
     def from_endpoint(cls, entry: Endpoint) -> Worker:
@@ -143,23 +154,27 @@
         age = max(0.0, now - self.started) / settings.slow_start_duration
         return min(1.0, settings.slow_start_share + (1 - settings.slow_start_share) * age)
 
-    def in_slow_start(self, now: float, settings: Settings) -> bool:
-        """Return whether the slow-start rule still applies to it."""
+    def is_in_slow_start(self, now: float, settings: Settings) -> bool:
+        """Return whether the slow-start rule applies to it: in slow start and one window after it."""
         return (
             self.started is not None
             and now - self.started <= settings.slow_start_duration + settings.slow_start_window
         )
 
     def grow_backoff(self, min_backoff: float) -> None:
-        """Double the backoff, ms, after a failure."""
+        """Double the backoff, ms, up to ``MAX_BACKOFF_MS``, but at least to ``min_backoff``."""
         self.backoff = max(min_backoff, min(self.backoff * 2, MAX_BACKOFF_MS))
 
     def restart(self, started: float | None, now: float) -> None:
-        """Reset the state learned of the previous process after a restart: the worker is cold."""
+        """Reset the state learned of the previous process after a restart: the worker is in slow start."""
         self.started = started
-        self.backoff, self.backoff_until, self.probation = 0.0, now, 0
-        self.work_done, self.run_time = 0.0, 0.0
-        self.peak_slots, self.slot_limit = 1, 1
+        self.backoff = 0.0
+        self.backoff_until = now
+        self.probation = 0
+        self.work_done = 0.0
+        self.run_time = 0.0
+        self.peak_slots = 1
+        self.slot_limit = 1
         self.stale_slots = self.slots_running
 
 
@@ -202,7 +217,7 @@
 def build_load(
     seen: Sequence[Sequence[float]], scale: float, pooled: Sequence[Worker], shared: Sequence[Worker]
 ) -> Load:
-    """Return the solver's input, of which ``seen`` holds jobs, slot-ms, work and objective by tier."""
+    """Return the solver's input. ``seen`` holds, by tier: jobs, and sums of slot-ms, work and objective."""
     work, run, objective = (tuple(row[n] / row[0] if row[0] else 0.0 for row in seen) for n in (1, 2, 3))
     return Load(
         tuple(row[0] * scale for row in seen),
--- a/elderstall/decisions/reserved_workers.py
+++ b/elderstall/decisions/reserved_workers.py
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.workers: list[Worker] = []  # reserved ones that this dispatcher polls
-        self.limit = 0.0  # ms; of a long job's work and of an urgent job's spare time
+        self.limit = 0.0  # ms; a job with less spare time is urgent, one with more work is long
         self.urgent_work = TARGET_LOAD * INITIAL_WORK_MS / 10  # seen, ms
         self.work = INITIAL_WORK_MS  # seen, ms
         self.hash_limit = 0.0  # workers whose hash is below it are reserved
@@ -53,19 +53,19 @@
 
     def excludes(self, worker: Worker, job: Job) -> bool:
         """Return whether the worker is reserved and the job is long and not urgent."""
-        reserved = bool(self.workers) and worker.hash_order[0] < self.hash_limit
-        return reserved and job.work > self.limit and not self.is_urgent(job)
+        is_reserved = bool(self.workers) and worker.hash_order[0] < self.hash_limit
+        return is_reserved and job.work > self.limit and not self.is_urgent(job)
 
-    def candidates(self, job: Job, rng: Random) -> list[Worker]:
-        """Return the reserved workers in rotation order if the job is offered to them first, otherwise none.
+    def record_and_offer(self, job: Job, rng: Random) -> list[Worker]:
+        """Count a job in the sums of work, and return the reserved workers that are offered it first.
 
-        The job is counted in the sums of work.
+        They are in rotation order; a job that isn't urgent is offered to none.
         """
-        urgent = self.is_urgent(job)
+        is_urgent = self.is_urgent(job)
         fade = max(0.0, 1 - job.work / WORK_WINDOW_MS)
         self.work = self.work * fade + job.work
-        self.urgent_work = self.urgent_work * fade + urgent * job.work
+        self.urgent_work = self.urgent_work * fade + is_urgent * job.work
         max_urgent_work = TARGET_LOAD * MAX_RESERVED_FRACTION * self.work
-        if not urgent or rng.random() * self.urgent_work > max_urgent_work:
+        if not is_urgent or rng.random() * self.urgent_work > max_urgent_work:
             return []
         return sorted(self.workers, key=lambda worker: worker.virtual_time)
--- a/elderstall/decisions/rotation.py
+++ b/elderstall/decisions/rotation.py
@@ -1,7 +1,7 @@
 """Workers in order of virtual time, so that the next one is found without a scan of all workers.
 
-The structure makes no decisions: ``pools.Pools`` determines each worker's group. An entry may be outdated
-only such that a worker is offered that doesn't accept the job, never such that one is left out.
+The structure makes no decisions: ``pools.Pools`` determines each worker's group. An outdated entry may
+offer a worker that doesn't accept the job, but never leaves one out that does.
 """
 
 from __future__ import annotations
@@ -15,7 +15,9 @@
 from elderstall.decisions.records import Worker
 
 # Groups: within this dispatcher's slot share of a worker; beyond it; outside the preferred fraction.
-WITHIN_SHARE, BEYOND_SHARE, NOT_PREFERRED = range(3)
+WITHIN_SHARE = 0
+BEYOND_SHARE = 1
+NOT_PREFERRED = 2
 Entry = tuple[float, int, str, Worker]  # virtual time, unique position in the pool, name
 RotationKey = tuple[int | None, float]  # group and virtual time
 
@@ -34,25 +36,25 @@
     def fill(self, workers: list[Worker], grouped: dict[str, int | None]) -> None:
         """Rebuild from a pool's workers in pool order, each in its group or in none."""
         self.pool = workers[:]
-        self.positions = {w.name: position for position, w in enumerate(workers)}
+        self.positions = {worker.name: position for position, worker in enumerate(workers)}
         for group in self.groups:
             group.clear()
-        for position, w in enumerate(workers):
-            if (worker_group := grouped[w.name]) is not None:
-                self.groups[worker_group].append((w.virtual_time, position, w.name, w))
+        for position, worker in enumerate(workers):
+            if (worker_group := grouped[worker.name]) is not None:
+                self.groups[worker_group].append((worker.virtual_time, position, worker.name, worker))
         for group in self.groups:
             group.sort()
 
-    def move(self, w: Worker, old: RotationKey | None, new: RotationKey) -> None:
+    def move(self, worker: Worker, old: RotationKey | None, new: RotationKey) -> None:
         """Move one worker from its old entry to its new one, with O(log n) comparisons."""
-        position = self.positions.get(w.name)
+        position = self.positions.get(worker.name)
         if position is None:
             return
         if old is not None and old[0] is not None:
             entries = self.groups[old[0]]
-            del entries[bisect_left(entries, (old[1], position, w.name, w))]
+            del entries[bisect_left(entries, (old[1], position, worker.name, worker))]
         if new[0] is not None:
-            insort(self.groups[new[0]], (new[1], position, w.name, w))
+            insort(self.groups[new[0]], (new[1], position, worker.name, worker))
 
     def __iter__(self) -> Iterator[list[Entry]]:
         return iter(self.groups)
@@ -77,19 +79,19 @@
             if entry not in first:
                 yield entry[-1]
 
-    def move(self, w: Worker) -> None:
+    def move(self, worker: Worker) -> None:
         """Update a worker's entries after its group or virtual time may have changed."""
-        old = w.rotation_key
-        new = (self.group_of(w), w.virtual_time)
+        old = worker.rotation_key
+        new = (self.group_of(worker), worker.virtual_time)
         if old != new:
-            w.rotation_key = new
+            worker.rotation_key = new
             for rotation in self.rotations:
-                rotation.move(w, old, new)
+                rotation.move(worker, old, new)
 
     def regroup(self, workers: Iterable[Worker]) -> None:
-        """Update the entries of many workers; the pools are unchanged."""
-        for w in workers:
-            self.move(w)
+        """Update the entries of many workers, without a change of which pools they are in."""
+        for worker in workers:
+            self.move(worker)
 
     def fill(self) -> None:
         """Update all entries after the pools or any workers may have changed."""
@@ -97,11 +99,14 @@
             not has_same_workers(rotation.pool, pool)
             for rotation, pool in zip(self.rotations, self.pools, strict=True)
         ]
-        self.regroup(w for pool in self.pools for w in pool)
+        self.regroup(worker for pool in self.pools for worker in pool)
         if not any(is_changed):
             return
         grouped = {
-            w.name: w.rotation_key[0] for pool in self.pools for w in pool if w.rotation_key is not None
+            worker.name: worker.rotation_key[0]
+            for pool in self.pools
+            for worker in pool
+            if worker.rotation_key is not None
         }
         for rotation, pool, changed in zip(self.rotations, self.pools, is_changed, strict=True):
             if changed:
--- a/elderstall/decisions/slow_start.py
+++ b/elderstall/decisions/slow_start.py
@@ -1,8 +1,8 @@
 """The slow-start rule: the work that this dispatcher may send to a worker soon after its start.
 
-A worker is cold for ``slow_start_duration`` ms after its start. In any window of ``slow_start_window`` ms,
-all dispatchers together may send it ``slow_start_multiple`` times the work that it can do in the window.
-Each keeps to its share of that budget.
+A worker is in slow start for ``slow_start_duration`` ms after its start, and the rule applies for one more
+``slow_start_window``. In any window of that length, all dispatchers together may send it
+``slow_start_multiple`` times the work that it can do in the window. Each keeps to its share of that budget.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class SlowStart:
-    """Limits the work sent to cold workers to this dispatcher's share of the slow-start budget."""
+    """Limits the work sent to workers in slow start to this dispatcher's share of the slow-start budget."""
 
     def __init__(self, context: DecisionContext, capacity: CapacityModel) -> None:
         self.context = context
@@ -24,7 +24,7 @@
 
     def applies(self, worker: Worker) -> bool:
         """Return whether the slow-start rule still applies to a worker."""
-        return worker.in_slow_start(self.context.now, self.context.settings)
+        return worker.is_in_slow_start(self.context.now, self.context.settings)
 
     def record(self, worker: Worker, job: Job) -> None:
         """Record an attempt of this dispatcher."""
@@ -42,8 +42,9 @@
             return True
         if sent:
             return False
-        # If the share is less than the job, as many dispatchers as such jobs fit into the budget may send one
-        # each, others in each window. So all together use the budget on average, whatever the jobs' lengths.
+        # If the share is less than the job, only some dispatchers may send one job in this window: as many as
+        # such jobs fit into the budget, selected anew for each window by a hash. So all dispatchers together
+        # use the budget on average, whatever the jobs' lengths.
         max_jobs = int(budget / cost)
         if self.context.mode.polls_before_placing:
             return bool(worker.slot_share) and self._position_among_owners(worker) < max_jobs
@@ -64,6 +65,7 @@
         return allowed * self.capacity.cold_capacity(worker)
 
     def _window_hash(self, worker: Worker) -> int:
+        """Return a hash of the worker and the current window, the same at every dispatcher."""
         window = self.context.now // self.context.settings.slow_start_window
         return stable_hash(f"{worker.name} {window}")
 
--- a/elderstall/decisions/solver.py
+++ b/elderstall/decisions/solver.py
@@ -1,4 +1,7 @@
-"""Periodic solving: redirected fractions at every interval, and pool sizes too at every tenth."""
+"""Periodic solving: redirected fractions at every interval, and pool sizes too at every tenth.
+
+Where workers are polled before placing, the pools are also sized by the tiers' work at every interval.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,13 @@
 MAX_EVALUATIONS = 200  # of policies, where the CPU allows them
 MAX_RESIZE_EVALUATIONS = 500
 MAX_EVALUATIONS_PER_JOB = 5  # smoothed jobs: with little traffic the rates are too rough for more
-EVALUATION_US = 2.0  # CPU of one evaluation, as counted by the settings, rounded up
+EVALUATION_US = 2.0  # CPU of one evaluation, in the unit of the settings' CPU limits, rounded up
 SOLVER_CPU_FRACTION = 0.1  # of the allowed CPU; the rest is for the jobs
 NEWEST_WEIGHT = 0.5  # of the newest interval in the smoothed load
 
-TierLoad = list[float]  # jobs, and sums over them of slot-ms, work and latency objective, ms
+# 0: jobs; sums over them of 1: slot-ms; 2: work, ms; 3: latency objective, ms. A list, as it is handed over
+# to the successor process.
+TierLoad = list[float]
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,7 +112,7 @@
     def _size_by_work(self) -> bool:
         """Size the pools by the work of each tier, and return whether the workers were divided again.
 
-        In a large fleet one dispatcher sees too little traffic for the queue model.
+        Of many dispatchers, each sees too little traffic for the queue model.
         """
         new = (tier[1] for tier in self.load)
         self.total_work = [sum(pair) for pair in zip(self.total_work, new, strict=True)]
--- a/elderstall/decisions/urgency.py
+++ b/elderstall/decisions/urgency.py
@@ -16,14 +16,14 @@
         self.context = context
         self.capacity = capacity
 
-    def patience(self, job: Job) -> float:
+    def max_wait(self, job: Job) -> float:
         """Return the time, ms from arrival, after which a queued job of typical work would end late."""
-        stretch = job.cls.stretch - self.capacity.ms_per_unit
-        return job.cls.latency_objective + stretch * job.work * TYPICAL_WORK_FRACTION
+        spare_stretch = job.cls.stretch - self.capacity.ms_per_unit
+        return job.cls.latency_objective + spare_stretch * job.work * TYPICAL_WORK_FRACTION
 
-    def out_of_time(self, job: Job) -> bool:
+    def is_out_of_time(self, job: Job) -> bool:
         """Return whether a queued job can no longer be completed in useful time."""
-        limit = job.cls.deadline if job.cls.late_share else self.patience(job)
+        limit = job.cls.deadline if job.cls.late_share else self.max_wait(job)
         # Leaves time to answer the job at the next review, and avoids work for disconnected clients.
         until_review = self.context.mode.review_interval
         latest = job.deadline - until_review - 2 * self.context.settings.tick - job.work
--- a/elderstall/limits/shares.py
+++ b/elderstall/limits/shares.py
@@ -7,7 +7,7 @@
 traffic of this dispatcher, whichever is more: the fleet is assumed to carry no more than the sum of the
 quotas, and a tenant to exceed its own quota only where it displaces the others.
 
-It can't be told which of a tenant's jobs are the ones beyond its quota: each counts with the average weight,
+Which of a tenant's jobs are the ones beyond its quota isn't defined, so each counts with the average weight,
 by the fraction that is within the quota. Where dispatchers are few, each meters an even share of a quota job
 by job with a token bucket.
 """
@@ -22,7 +22,8 @@
 
 COUNT_DECAY_MS = 10_000.0  # counts fall to 1/e in it; long enough to see several jobs of a tenant at low load
 REBASE_AFTER_MS = 30 * COUNT_DECAY_MS  # weights grow up to e to the 30th: their rounding errors don't matter
-MAX_EXPONENT = 700.0  # above it the exponential doesn't fit a float
+MAX_EXPONENT = 700.0  # of the decay by a rebase, which stays within the range of a float
+BURST_MS = 1_000.0  # of an even share's rate: capacity of its token bucket
 CHANCE_EXCESS_JOBS = 5.0  # above its share: a tenant within its quota has so many by chance at low load
 
 
@@ -33,8 +34,8 @@
     tokens: float = math.inf
     filled_at: float = 0.0  # ms
 
-    def take(self, now: float, rate: float, capacity: float) -> bool:
-        """Refill at ``rate`` tokens a ms up to ``capacity``, and return whether a token was there to take."""
+    def try_take(self, now: float, rate: float, capacity: float) -> bool:
+        """Refill at ``rate`` tokens a ms up to ``capacity``, and return whether a token was taken."""
         self.tokens = min(capacity, self.tokens + (now - self.filled_at) * rate)
         self.filled_at = now
         if self.tokens < 1:
@@ -70,13 +71,16 @@
         self.total_count = sum(self.counts.values())
 
     def count_job(self, now: float, tenant: str | None) -> float:
-        """Count a job, and return the fraction of its tenant's jobs that is within the quota."""
+        """Count a job, and return the fraction of its tenant's jobs that is within the quota.
+
+        Where dispatchers are few, it is 1 or 0 for each job.
+        """
         if tenant is None or tenant not in self.quotas:
             return 1.0
         quota = self.quotas[tenant]
         if not self.large_fleet:
             even_share = quota / self.dispatchers
-            return float(self.tokens[tenant].take(now, even_share, max(1.0, even_share * 1000)))
+            return float(self.tokens[tenant].try_take(now, even_share, max(1.0, even_share * BURST_MS)))
         if now - self.base_time > REBASE_AFTER_MS:
             self.rebase(now)
         weight = math.exp((now - self.base_time) / COUNT_DECAY_MS)
--- a/elderstall/recovery/listing.py
+++ b/elderstall/recovery/listing.py
@@ -32,15 +32,24 @@
 from dataclasses import dataclass
 
 MAX_SMALL_FLEET = 16  # dispatchers; larger fleets spread calls, smaller ones hardly fill discovery's queue
-SPREAD_PER_DISPATCHER_MS = 75.0  # of the first call: the whole fleet makes 13 calls a second
-RETRY_PER_DISPATCHER_MS = 50.0  # of the first delay after a failure: 20 calls a second, then half as many
-MIN_RETRY_MS = 250.0  # prevents a busy loop of failing calls
+# Of the first call: 13 calls a second by the whole fleet, until the spread is capped.
+SPREAD_PER_DISPATCHER_MS = 75.0
+# Of the first delay after a failure, of which a random half to whole is waited: about 40 calls a second by
+# the whole fleet, then half as many, until the delay is capped.
+RETRY_PER_DISPATCHER_MS = 50.0
+MIN_RETRY_MS = 250.0  # prevents a busy loop of failing calls; in small fleets before jitter
 MAX_RETRY_MS = 2_500.0  # with 3 s in discovery's queue, below the 6 s after which a change has to be known
-SMALL_FLEET_MAX_FRACTION = 0.25  # of the poll interval: longest delay, where that is below MAX_RETRY_MS
-OVERLOADED_AFTER_MS = 500.0  # a call that fails after it shows an overloaded discovery, before it one down
-MAX_BROKEN_WATCH_RETRY_MS = 1_500.0  # beside 2.5 s to notice, and 1.25 s for a second call
-MAX_SILENT_CALL_RETRY_MS = 1_000.0  # it took 4 s to notice the silence
-MIN_WATCH_LIFETIME_MS = 1_000.0  # a watch that ends sooner counts as a failed call, or it would loop
+# Of the poll interval: longest delay in a small fleet and of any first call, where that is below
+# MAX_RETRY_MS.
+MAX_DELAY_FRACTION = 0.25
+# A call that fails sooner shows that discovery is down, a later failure that it is overloaded.
+OVERLOADED_AFTER_MS = 500.0
+# Of the 6 s, up to 2.5 s pass until a silent watch is noticed, and 1.25 s until its first call is hedged.
+MAX_BROKEN_WATCH_RETRY_MS = 1_500.0
+MAX_SILENT_CALL_RETRY_MS = 1_000.0  # less, as noticing the silence of a call has taken 4 s
+# A watch that ends sooner counts as a failed call, or one that always ends at once would be reopened without
+# backoff.
+MIN_WATCH_LIFETIME_MS = 1_000.0
 SMALL_FLEET_MIN_JITTER = 0.6  # least share of the delay that is waited
 LARGE_FLEET_MIN_JITTER = 0.5  # the same in a large fleet, while discovery is down
 MAX_DOUBLINGS = 40  # of a delay, far beyond its bound: a thousand would overflow a float
@@ -65,7 +74,10 @@
 
     @property
     def is_large_fleet(self) -> bool:
-        """Return whether the fleet is large enough for its calls to be spread."""
+        """Return whether dispatchers are so many that their calls are spread.
+
+        The bound differs from that of ``OperatingMode.large_fleet``, which concerns load, not discovery.
+        """
         return self.dispatchers > MAX_SMALL_FLEET
 
     def first_call_delay(self, rng: random.Random) -> float:
@@ -76,7 +88,7 @@
             0.0,
             min(
                 SPREAD_PER_DISPATCHER_MS * self.dispatchers,
-                self.poll_interval * SMALL_FLEET_MAX_FRACTION,
+                self.poll_interval * MAX_DELAY_FRACTION,
                 MAX_RETRY_MS,
             ),
         )
@@ -87,7 +99,7 @@
         self.called_at = now
 
     def record_answer(self, now: float) -> bool:
-        """Record a list, and return whether it answers a call; the list known at the start doesn't."""
+        """Record a list, and return whether it answers a call; one without a pending call doesn't."""
         was_pending = self.call_pending
         self.call_pending = False
         if was_pending:
@@ -112,7 +124,7 @@
             return max(MIN_RETRY_MS, self.retry_bound * rng.random())
         self.failures += 1
         if not self.is_large_fleet:
-            max_delay = min(self.poll_interval * SMALL_FLEET_MAX_FRACTION, MAX_RETRY_MS)
+            max_delay = min(self.poll_interval * MAX_DELAY_FRACTION, MAX_RETRY_MS)
             self.retry_bound = min(max(MIN_RETRY_MS, self.retry_bound * 2), max_delay)
             return self.retry_bound * rng.uniform(SMALL_FLEET_MIN_JITTER, 1.0)
         if was_pending and now - self.called_at >= OVERLOADED_AFTER_MS:
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -1,4 +1,4 @@
-"""Workers' queues are kept short: dispatchers can't see or recall jobs there (incident ied79d9)."""
+"""Workers' queues are kept short: dispatchers can't see or recall jobs there."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def test_dead_workers_do_not_stop_all_sending() -> None:
-    """Unstarted attempts on workers that died without notice don't show a saturated fleet (i6f4ec0)."""
+    """Unstarted attempts on workers that died without notice don't show a saturated fleet."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=2))
     d.listed(fleet(12))
     d.advance(2_100.0)
@@ -64,7 +64,7 @@
 
 
 def test_a_fleet_full_for_long_is_not_taken_for_stuck() -> None:
-    """If more than a few workers seem stuck, their queues are full and must not grow (ied79d9)."""
+    """If more than a few workers seem stuck, their queues are full and must not grow."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=24))
     d.listed(fleet(40))
     d.advance(2_100.0)
@@ -76,7 +76,7 @@
 
 
 def test_queued_jobs_with_more_weight_per_slot_time_go_first() -> None:
-    """Among jobs of equal weight, more short ones can be served in the same time (i90de53)."""
+    """Among jobs of equal weight, more short ones can be served in the same time."""
     d = Driver(settings(classes=(SAFE, UNSAFE), dispatchers=1))
     d.listed(fleet(1))
     d.arrive(0, SAFE)
@@ -87,7 +87,7 @@
 
 
 def test_large_fleets_review_queued_jobs_less_often() -> None:
-    """Ranking a saturated large fleet at every review would use up the CPU (i29e372)."""
+    """Ranking a saturated large fleet at every review would use up the CPU."""
     review_delays = []
     for dispatchers in (2, 100):
         d = Driver(settings(classes=(SAFE,), dispatchers=dispatchers))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -8,7 +8,7 @@
 
 
 def test_a_hanging_worker_gets_one_job_at_most_until_it_responds() -> None:
-    """A worker hangs with jobs running; further jobs sent there would be lost (incident i6f4ec0)."""
+    """A worker hangs with jobs running; further jobs sent there would be lost."""
     d = Driver(settings(classes=(UNSAFE,), dispatchers=1))
     d.listed(fleet(2))
     for job in range(4):
@@ -29,7 +29,7 @@
 
 
 def test_a_worker_whose_attempt_timed_out_is_skipped_for_twice_as_long() -> None:
-    """Otherwise a stuck worker gets a job as soon as the last one has timed out (incident ia1775c)."""
+    """Otherwise a stuck worker gets a job as soon as the last one has timed out."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1))
     d.listed(fleet(1))
     d.arrive(1, SAFE)
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -89,7 +89,7 @@
         fleet = [Worker.from_endpoint(Endpoint(f"worker-{n}")) for n in range(2_000)]
         for n in range(5_000):
             cls = JobClass("c", 1.0, 100.0 if rng.random() < part else 9_000.0, 60_000.0, stretch=1.0)
-            reserved.candidates(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
+            reserved.record_and_offer(Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0), rng)
         reserved.select(fleet)
         cls = JobClass("long", 1.0, 9_000.0, 60_000.0, stretch=1.0)
         long = Job(1, cls, 1.0, 0, 1, 5_000.0, None, 0.0, 60_000.0)
@@ -164,7 +164,7 @@
             urgent = rng.random() < part
             cls = JobClass("c", 1.0, 100.0 if urgent else 9_000.0, 60_000.0, stretch=1.0)
             job = Job(n, cls, 1.0, 0, 1, 100.0, None, 0.0, 60_000.0)
-            is_offered = bool(reserved.candidates(job, rng))
+            is_offered = bool(reserved.record_and_offer(job, rng))
             self.assertTrue(urgent or not is_offered)
             went, total = went + is_offered * (n >= 1_000), total + (n >= 1_000)
         self.assertLessEqual(
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall.decisions.context import TIMER_POLL_ENDPOINTS
+from elderstall.decisions.context import TIMER_CALL_DISCOVERY
 from elderstall.interface import (
     Actions,
     Endpoint,
@@ -58,7 +58,7 @@
 
 
 def call_delays(actions: Actions) -> list[float]:
-    return [a.delay for a in actions if isinstance(a, SetTimer) and a.token == TIMER_POLL_ENDPOINTS]
+    return [a.delay for a in actions if isinstance(a, SetTimer) and a.token == TIMER_CALL_DISCOVERY]
 
 
 class Small(unittest.TestCase):
@@ -84,20 +84,20 @@
         self.assertEqual(0, watch_count(actions))
         (delay,) = call_delays(actions)
         self.assertLessEqual(delay, min(SPREAD_PER_DISPATCHER_MS * 40, 2_500.0))
-        self.assertEqual(1, watch_count(d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(1, watch_count(d.handle(delay, TimerFired(TIMER_CALL_DISCOVERY))))
 
     def test_a_timer_that_fires_slightly_early_still_calls(self) -> None:
         """Deadlines fire up to a microsecond early; a call skipped then was never made."""
         d = module(40, seed=7)
         (delay,) = call_delays(started(d))
-        self.assertEqual(1, watch_count(d.handle(delay - 0.001, TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(1, watch_count(d.handle(delay - 0.001, TimerFired(TIMER_CALL_DISCOVERY))))
 
     def test_an_answer_cancels_the_scheduled_call(self) -> None:
         d = module(40, seed=7)
         (delay,) = call_delays(started(d))
-        d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
+        d.handle(delay, TimerFired(TIMER_CALL_DISCOVERY))
         d.handle(delay + 5, EndpointListUpdate(ListScope.CHANGES, ()))
-        self.assertEqual(0, watch_count(d.handle(delay + 2_500.0, TimerFired(TIMER_POLL_ENDPOINTS))))
+        self.assertEqual(0, watch_count(d.handle(delay + 2_500.0, TimerFired(TIMER_CALL_DISCOVERY))))
 
     @given(st.integers(MAX_SMALL_FLEET + 1, 1_000), st.integers(0, 2**32), st.integers(1, 12))
     def test_delays_double_up_to_the_maximum_after_refused_calls(
@@ -149,12 +149,12 @@
         """Silence is noticed after 3 s, and missed changes have to be known after 6 s."""
         d = module(n, n - 1, seed)
         (delay,) = call_delays(started(d))
-        d.handle(delay, TimerFired(TIMER_POLL_ENDPOINTS))
+        d.handle(delay, TimerFired(TIMER_CALL_DISCOVERY))
         d.handle(delay + 5.0, EndpointListUpdate(ListScope.CHANGES, ()))
         (again,) = call_delays(d.handle(delay + 5.0 + lived, EndpointListUpdate(ListScope.FAILED)))
         self.assertTrue(MIN_RETRY_MS <= again <= MAX_BROKEN_WATCH_RETRY_MS, again)
         self.assertEqual(
-            1, watch_count(d.handle(delay + 5.0 + lived + again, TimerFired(TIMER_POLL_ENDPOINTS)))
+            1, watch_count(d.handle(delay + 5.0 + lived + again, TimerFired(TIMER_CALL_DISCOVERY)))
         )
 
     @given(st.integers(MAX_SMALL_FLEET + 1, 1_024), st.integers(0, 2**32), st.booleans())
@@ -166,7 +166,7 @@
         (delay,) = call_delays(started(d))
         now = delay
         for _ in range(1 + again):
-            self.assertEqual(1, watch_count(d.handle(now, TimerFired(TIMER_POLL_ENDPOINTS))))
+            self.assertEqual(1, watch_count(d.handle(now, TimerFired(TIMER_CALL_DISCOVERY))))
             (delay,) = call_delays(d.handle(now + 4_000.0, EndpointListUpdate(ListScope.SILENT)))
             self.assertTrue(MIN_RETRY_MS <= delay <= 2_000.0, delay)
             now += 4_000.0 + delay
@@ -216,8 +216,8 @@
     def act(rank: int, now: float, actions: Actions) -> None:
         nonlocal count
         for a in actions:
-            if isinstance(a, SetTimer) and a.token == TIMER_POLL_ENDPOINTS:
-                heapq.heappush(queue, (now + a.delay, count, rank, TimerFired(TIMER_POLL_ENDPOINTS)))
+            if isinstance(a, SetTimer) and a.token == TIMER_CALL_DISCOVERY:
+                heapq.heappush(queue, (now + a.delay, count, rank, TimerFired(TIMER_CALL_DISCOVERY)))
             elif isinstance(a, WatchEndpoints):
                 at, good = discovery.call(now)
                 scope = ListScope.CHANGES if good else ListScope.FAILED
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -102,7 +102,7 @@
 
 
 def test_a_late_start_backs_off_from_the_worker() -> None:
-    """Without it many dispatchers each keep a job in every worker's queue (incident ied79d9)."""
+    """Without it many dispatchers each keep a job in every worker's queue."""
     d = Driver(settings(classes=(UNSAFE,)))
     d.listed(fleet(1))
     d.arrive(1, UNSAFE)
@@ -117,7 +117,7 @@
 
 
 def test_late_jobs_wait_behind_fresh_ones() -> None:
-    """Otherwise all jobs of an overloaded queue end late (incident i35f002)."""
+    """Otherwise all jobs of an overloaded queue end late."""
     d = Driver(settings(dispatchers=1))
     d.listed(fleet(1))
     d.arrive(0, UNSAFE)
@@ -226,7 +226,7 @@
 
 
 def test_workers_too_slow_for_a_long_job_come_after_the_others() -> None:
-    """On slow workers a job of a class with a small stretch ends late even if it starts at once (ifa13bf)."""
+    """On slow workers a job of a class with a small stretch ends late even if it starts at once."""
     d = Driver(settings(classes=(SAFE,), dispatchers=1))
     d.listed(fleet(4, "fast") + fleet(4, "slow"))
     for w in d.dispatcher.endpoints.workers.values():
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -355,7 +355,7 @@
 def test_the_auditor_sees_a_late_answer_and_one_that_never_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Answers, "_overdue", lambda self, job: None)
     monkeypatch.setattr(Attempts, "timed_out", lambda self, a: None)
-    monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
+    monkeypatch.setattr("elderstall.decisions.urgency.Urgency.is_out_of_time", lambda self, job: False)
     found = broken(World(scenario(Fault("slow", 1_000.0, 9_000.0, factor=40.0), tail=60_000.0), 1))
     assert any(rule == 1 and "past its deadline" in what for rule, what in found)
 
@@ -384,7 +384,7 @@
     monkeypatch.setattr(
         "elderstall.decisions.in_flight.InFlight.is_saturated", lambda self, late=False: False
     )
-    monkeypatch.setattr("elderstall.decisions.capacity.CapacityModel.open_slots", lambda self, w: 50)
+    monkeypatch.setattr("elderstall.decisions.capacity.CapacityModel.max_slots_in_flight", lambda self, w: 50)
     rules = Rules(cold_for=2_000.0, push_multiple=1.2, push_window=600.0)
     world = World(
         scenario(Fault("restart", 3_000.0, 500.0), Fault("burst", 3_000.0, 6_000.0, factor=4.0), rules=rules),
--- a/tests/test_simulation_script.py
+++ b/tests/test_simulation_script.py
@@ -197,7 +197,7 @@
     )
     monkeypatch.setattr("elderstall.engine.answers.Answers._overdue", lambda self, job: None)
     monkeypatch.setattr("elderstall.engine.attempts.Attempts.timed_out", lambda self, a: None)
-    monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
+    monkeypatch.setattr("elderstall.decisions.urgency.Urgency.is_out_of_time", lambda self, job: False)
     assert door(["simulate", "run", str(script)]) == 1
     told = capsys.readouterr().err
     assert "rule 1 broken" in told and "attempt 0 sent to w-" in told and "try 1 of fetch at n1" in told
