--- a/elderstall/simulation/reading.py
+++ b/elderstall/simulation/reading.py
@@ -1,6 +1,6 @@
-"""Reads a scenario's script, an operator's file in the line-based manner of ZConfig, and checks it whole.
+"""Reads a scenario from an operator's file in the format of ZConfig, and checks it completely.
 
-Every error names file, line and key. What is odd but can be played is a warning.
+Every error names file, line and key. A value that is unusual but can be simulated is a warning.
 """
 
 from __future__ import annotations
@@ -39,82 +39,95 @@
 )
 
 SCHEMA = Path(__file__).with_name("schema.xml")
-ALONE = ("network", "rules", "list", "reports", "clients", "dispatchers", "goal")  # one of each at most
-UNUSED = "a section or key of these is not in the script"
-LAID = "--set"  # in place of a file, for values laid over it
-MOST_WORKERS = 5_000  # a typo's worth of further zeros is refused before it takes the machine's memory
-MOST_DISPATCHERS = 1_000
-MOST_JOBS = 50_000_000
-ODD_LOAD = 5.0  # times what the fleet can do
+SINGLE_SECTIONS = (
+    "network",
+    "rules",
+    "list",
+    "reports",
+    "clients",
+    "dispatchers",
+    "goal",
+)  # sections that may occur once
+UNUSED_OVERRIDE = "a section or key that it names is not in the scenario file"
+OVERRIDE_SOURCE = "--set"  # stands for a file name at overridden values
+MAX_WORKERS = 5_000  # a mistyped larger number is rejected before it exhausts the machine's memory
+MAX_DISPATCHERS = 1_000
+MAX_JOBS = 50_000_000
+MAX_USUAL_LOAD = 5.0  # times the fleet's capacity; a higher load is a warning
 SHIPPED = Path(__file__).parent.parent.parent / "deploy" / "rehearsals"
 ENDING = ".conf"
 
 
 class ScriptError(Exception):
-    """A script that cannot be played: file, line, key and what is wrong."""
+    """A scenario file that cannot be simulated: file, line, key and reason."""
 
-    def __init__(self, path: str, line: int | None, key: str, why: str) -> None:
-        place = f"{path}:{line}" if line is not None and line > 0 else path
-        super().__init__(f"{place}: {key}: {why}" if key else f"{place}: {why}")
-        self.path, self.line, self.key, self.why = path, line, key, why
+    def __init__(self, path: str, line: int | None, key: str, reason: str) -> None:
+        location = f"{path}:{line}" if line is not None and line > 0 else path
+        super().__init__(f"{location}: {key}: {reason}" if key else f"{location}: {reason}")
+        self.path = path
+        self.line = line
+        self.key = key
+        self.reason = reason
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a section and its keys stand."""
+class SourcePosition:
+    """The position of a section and of its keys in the scenario file."""
 
     section: str
     path: str
     line: int
     keys: dict[str, int]
 
-    def named(self, key: str) -> str:
-        """Name a key with its section."""
+    def qualified_key(self, key: str) -> str:
+        """Return the key with its section, as errors name it."""
         return f"<{self.section}> {key}" if self.section else key
 
 
-def path_of(url: str | None) -> str:
-    """Give the path of a file's URL, as people write it."""
+def path_from_url(url: str | None) -> str:
+    """Return the path of a file's URL, relative to the working directory where it is below it."""
     path = unquote(urlsplit(url or "").path)
     return path.removeprefix(f"{Path.cwd()}/")
 
 
 class Parser(ZConfigParser):  # type: ignore[misc]  # ZConfig has no types
-    """Notes on which line each key stands."""
+    """Parses a scenario file and records the line of each section and key."""
 
     def start_section(self, section: Any, rest: str) -> Any:
-        """Begin a section."""
+        """Begin a section and record its position."""
         child = super().start_section(section, rest)
         if child is not section:
-            self.context.begun[id(child)] = Place(rest.rstrip("/ "), path_of(self.url), self.lineno, {})
-            self.context.alive.append(child)
+            self.context.open_positions[id(child)] = SourcePosition(
+                rest.rstrip("/ "), path_from_url(self.url), self.lineno, {}
+            )
+            self.context.retained.append(child)
         return child
 
     def handle_key_value(self, section: Any, rest: str) -> None:
-        """Take a key."""
+        """Record the line of a key and pass the key on."""
         key = rest.split(None, 1)[0].lower()
-        place = self.context.begun.get(id(section), self.context.top)
-        place.keys.setdefault(key, self.lineno)
-        self.context.by_line[path_of(self.url), self.lineno] = place.named(key)
+        position = self.context.open_positions.get(id(section), self.context.root_position)
+        position.keys.setdefault(key, self.lineno)
+        self.context.keys_by_line[path_from_url(self.url), self.lineno] = position.qualified_key(key)
         super().handle_key_value(section, rest)
 
 
 class Loader(ExtendedConfigLoader):  # type: ignore[misc]
-    """Loads a script and keeps the places of what it holds."""
+    """Loads a scenario file and keeps the positions of its sections and keys."""
 
     def __init__(self, schema: Any) -> None:
         super().__init__(schema)
-        self.top = Place("", "", 1, {})
-        self.begun: dict[int, Place] = {}
-        self.places: dict[int, Place] = {}
-        self.by_line: dict[tuple[str, int], str] = {}
-        self.alive: list[Any] = []  # so that no id is used twice
+        self.root_position = SourcePosition("", "", 1, {})
+        self.open_positions: dict[int, SourcePosition] = {}
+        self.value_positions: dict[int, SourcePosition] = {}
+        self.keys_by_line: dict[tuple[str, int], str] = {}
+        self.retained: list[Any] = []  # keeps sections alive, so that no id() is reused
 
     def endSection(self, parent: Any, type_: str, name: str, matcher: Any) -> None:  # noqa: N802
-        """Make a section's value, and remember where it came from."""
+        """Finish a section's value, and keep its position."""
         value = matcher.finish()
-        self.alive.append(value)
-        self.places[id(value)] = self.begun[id(matcher)]
+        self.retained.append(value)
+        self.value_positions[id(value)] = self.open_positions[id(matcher)]
         parent.addSection(type_, name, value)
 
     def _parse_resource(self, matcher: Any, resource: Any, defines: Any = None) -> None:
@@ -122,40 +135,44 @@
 
 
 class Reader:
-    """Turns what ZConfig has read into a scenario."""
+    """Converts what ZConfig has read to a scenario."""
 
     def __init__(self, path: str, loader: Loader, root: Any) -> None:
-        self.path, self.loader, self.root = path, loader, root
+        self.path = path
+        self.loader = loader
+        self.root = root
         self.warnings: list[str] = []
 
-    def place(self, section: Any) -> Place:
-        """Find where a section stands."""
-        return self.loader.places.get(id(section), self.loader.top)
+    def position(self, section: Any) -> SourcePosition:
+        """Return the position of a section; that of the file's head where it has none."""
+        return self.loader.value_positions.get(id(section), self.loader.root_position)
 
     def line(self, section: Any, key: str) -> int:
-        """Find the line of a key, or of the section that lacks it."""
-        place = self.place(section)
-        return place.keys.get(key, place.line)
-
-    def wrong(self, section: Any, key: str, why: str) -> NoReturn:
-        """Turn the script down."""
-        place = self.place(section)
-        raise ScriptError(place.path or self.path, self.line(section, key), place.named(key), why)
+        """Return the line of a key, or of its section where the key is missing."""
+        position = self.position(section)
+        return position.keys.get(key, position.line)
+
+    def fail(self, section: Any, key: str, reason: str) -> NoReturn:
+        """Raise ScriptError for a key."""
+        position = self.position(section)
+        raise ScriptError(
+            position.path or self.path, self.line(section, key), position.qualified_key(key), reason
+        )
 
-    def odd(self, section: Any, key: str, why: str) -> None:
-        """Note what is odd."""
-        place = self.place(section)
-        where = f"{place.path or self.path}:{self.line(section, key)}"
-        self.warnings.append(f"{where}: {place.named(key)}: {why}")
+    def warn(self, section: Any, key: str, reason: str) -> None:
+        """Record a warning for a key."""
+        position = self.position(section)
+        location = f"{position.path or self.path}:{self.line(section, key)}"
+        self.warnings.append(f"{location}: {position.qualified_key(key)}: {reason}")
 
-    # ---- parts ----
+    # ---- sections ----
 
-    def part(self, section: Any, kind: Any, **renamed: str) -> Any:
-        """Make a plain record of a section whose keys are its fields."""
+    def record(self, section: Any, record_type: Any, **renamed: str) -> Any:
+        """Return a record of this type with a section's keys as its fields; defaults for no section."""
         if section is None:
-            return kind()
-        names = kind.__dataclass_fields__
-        return kind(
+            return record_type()
+        names = record_type.__dataclass_fields__
+        return record_type(
             **{
                 name: getattr(section, renamed.get(name, name))
                 for name in names
@@ -164,168 +181,203 @@
         )
 
     def kinds(self) -> dict[str, Kind]:
-        """Read the kinds of worker."""
-        found: dict[str, Kind] = {}
-        for k in self.root.kinds:
-            name = k.getSectionName()
-            if k.slots < k.cores:
-                self.odd(k, "slots", f"{k.slots} slots leave some of {k.cores} cores without work")
-            found[name] = Kind(
+        """Return the kinds of worker by name."""
+        kinds: dict[str, Kind] = {}
+        for section in self.root.kinds:
+            name = section.getSectionName()
+            if section.slots < section.cores:
+                self.warn(
+                    section,
+                    "slots",
+                    f"{section.slots} slots leave some of {section.cores} cores without work",
+                )
+            kinds[name] = Kind(
                 name,
-                k.cores,
-                k.slots,
-                k.speed,
-                k.speed_spread,
-                k.queue,
-                k.cold_share,
-                k.cold_for,
-                k.warm_by == "work",
-                k.cancel,
-                k.drops_expired,
-                k.hands_back,
-                k.connections,
-                k.connection_work,
-                self.fraction(k, "connection-tax"),
-                k.crowd_at,
-                k.crowd_cost,
-                self.fraction(k, "errors"),
+                section.cores,
+                section.slots,
+                section.speed,
+                section.speed_spread,
+                section.queue,
+                section.cold_share,
+                section.cold_for,
+                section.warm_by == "work",
+                section.cancel,
+                section.drops_expired,
+                section.hands_back,
+                section.connections,
+                section.connection_work,
+                self.fraction(section, "connection-tax"),
+                section.crowd_at,
+                section.crowd_cost,
+                self.fraction(section, "errors"),
             )
-        return found
+        return kinds
 
     def fraction(self, section: Any, key: str, name: str = "") -> Any:
-        """Read a share that cannot be above the whole."""
+        """Return the value of a key, a share of at most 100%. Raises ScriptError where it is larger."""
         value = getattr(section, name or key.replace("-", "_"))
         if value is not None and value > 1:
-            self.wrong(section, key, f"{value:.0%} is more than all")
+            self.fail(section, key, f"{value:.0%} is above the maximum of 100%")
         return value
 
     def workers(self, kinds: dict[str, Kind]) -> tuple[Worker, ...]:
-        """Read the fleet: workers are named by their group and a number."""
-        found: list[Worker] = []
+        """Return the workers of the fleet, named by their group and a number."""
+        workers: list[Worker] = []
         for group in self.root.workers:
             if group.kind not in kinds:
-                self.wrong(group, "kind", f"there is no kind {group.kind!r}; known: {', '.join(kinds)}")
-            if len(found) + group.count > MOST_WORKERS:
-                self.wrong(
+                self.fail(group, "kind", f"there is no kind {group.kind!r}; known: {', '.join(kinds)}")
+            if len(workers) + group.count > MAX_WORKERS:
+                self.fail(
                     group,
                     "count",
-                    f"{len(found) + group.count} workers in all; at most {MOST_WORKERS} are played",
+                    f"{len(workers) + group.count} workers in all; at most {MAX_WORKERS} can be simulated",
                 )
             if group.speeds and len(group.speeds) != group.count:
-                self.wrong(group, "speeds", f"{len(group.speeds)} speeds for {group.count} workers")
+                self.fail(
+                    group,
+                    "speeds",
+                    f"{len(group.speeds)} speeds for {group.count} workers; one for each is needed",
+                )
             if any(speed <= 0 for speed in group.speeds):
-                self.wrong(group, "speeds", "a speed must be above zero")
-            for n in range(group.count):
-                cell = sum(w.zone == group.zone for w in found) // group.cell_size
-                found.append(
+                self.fail(group, "speeds", "each speed must be above zero")
+            for index in range(group.count):
+                cell = sum(worker.zone == group.zone for worker in workers) // group.cell_size
+                workers.append(
                     Worker(
-                        f"{group.getSectionName()}-{n + 1}",
+                        f"{group.getSectionName()}-{index + 1}",
                         group.kind,
                         group.zone,
                         cell,
-                        group.speeds[n] if group.speeds else None,
+                        group.speeds[index] if group.speeds else None,
                     )
                 )
-        return tuple(found)
+        return tuple(workers)
 
     def classes(self) -> tuple[ClassLoad, ...]:
-        """Read the classes of jobs."""
-        found = []
-        for c in self.root.classes:
-            if c.aim > c.deadline:
-                self.odd(c, "aim", "is past the deadline, so that no answer earns anything late")
-            if not sum(c.slots):
-                self.wrong(c, "slots", "the shares sum to nothing")
+        """Return the classes of jobs."""
+        classes = []
+        for section in self.root.classes:
+            if section.aim > section.deadline:
+                self.warn(section, "aim", "is after the deadline, so that no late answer earns anything")
+            if not sum(section.slots):
+                self.fail(section, "slots", "the shares must sum to more than zero")
             cls = JobClass(
-                c.getSectionName(), c.worth, c.aim, c.deadline, Effect(c.effect), stretch=c.stretch
+                section.getSectionName(),
+                section.worth,
+                section.aim,
+                section.deadline,
+                Effect(section.effect),
+                stretch=section.stretch,
             )
-            found.append(
+            classes.append(
                 ClassLoad(
                     cls,
-                    c.share,
-                    c.work,
-                    c.spread,
-                    c.distribution,
-                    c.noise,
-                    c.hint_spread if c.hints else None,
-                    c.slots,
-                    math.inf if c.longest is None else c.longest,
+                    section.share,
+                    section.work,
+                    section.spread,
+                    section.distribution,
+                    section.noise,
+                    section.hint_spread if section.hints else None,
+                    section.slots,
+                    math.inf if section.longest is None else section.longest,
                 )
             )
-        if not sum(c.share for c in found):
-            self.wrong(self.root.classes[0], "share", "the classes' shares sum to nothing")
-        return tuple(found)
+        if not sum(load.share for load in classes):
+            self.fail(self.root.classes[0], "share", "the shares of all classes must sum to more than zero")
+        return tuple(classes)
 
     def dispatchers(self) -> Dispatchers:
-        """Read how many dispatchers there are, and their weights."""
-        d = self.root.dispatchers
-        if d is None:
+        """Return the number of dispatchers, and their weights."""
+        section = self.root.dispatchers
+        if section is None:
             return Dispatchers()
-        if d.count > MOST_DISPATCHERS:
-            self.wrong(d, "count", f"at most {MOST_DISPATCHERS} are played")
-        if d.weights and len(d.weights) != d.count:
-            self.wrong(d, "weights", f"{len(d.weights)} weights for {d.count} dispatchers")
-        if d.weights and not sum(d.weights):
-            self.wrong(d, "weights", "sum to nothing")
-        return Dispatchers(d.weights or (1.0,) * d.count, d.start_spread, d.drain_for)
+        if section.count > MAX_DISPATCHERS:
+            self.fail(section, "count", f"at most {MAX_DISPATCHERS} dispatchers can be simulated")
+        if section.weights and len(section.weights) != section.count:
+            self.fail(
+                section,
+                "weights",
+                f"{len(section.weights)} weights for {section.count} dispatchers; one for each is needed",
+            )
+        if section.weights and not sum(section.weights):
+            self.fail(section, "weights", "the weights must sum to more than zero")
+        return Dispatchers(section.weights or (1.0,) * section.count, section.start_spread, section.drain_for)
 
     def load(self, scenario: Scenario) -> Traffic:
-        """Read the traffic: jobs a second, or a share of what the fleet can do."""
+        """Return the traffic, given as jobs a second or as a share of the fleet's capacity."""
         section = self.root.load
         if (section.rate is None) == (section.level is None):
-            self.wrong(section, "rate", "give rate, jobs a second, or level, a share of the fleet's capacity")
+            self.fail(
+                section,
+                "rate",
+                "give either rate, in jobs a second, or level, a share of the fleet's capacity",
+            )
         rate = section.rate or section.level * scenario.capacity * 1000 / scenario.mean_work
-        jobs, asked = rate * scenario.length / 1000, rate * scenario.mean_work / 1000 / scenario.capacity
-        if jobs > MOST_JOBS:
-            self.wrong(section, "rate", f"{jobs:.0f} jobs; at most {MOST_JOBS} are played")
-        if asked > ODD_LOAD:
-            self.odd(section, "rate", f"asks for {asked:.0f} times what the fleet can do")
+        jobs = rate * scenario.length / 1000
+        relative_load = rate * scenario.mean_work / 1000 / scenario.capacity
+        if jobs > MAX_JOBS:
+            self.fail(section, "rate", f"{jobs:.0f} jobs; at most {MAX_JOBS} can be simulated")
+        if relative_load > MAX_USUAL_LOAD:
+            self.warn(section, "rate", f"the load is {relative_load:.0f} times the fleet's capacity")
         return Traffic(rate, self.fraction(section, "swing"), section.swing_period, section.shape)
 
     def faults(self, scenario: Scenario) -> tuple[Fault, ...]:
-        """Read the faults, and check whom they strike and when."""
-        names = [w.name for w in scenario.workers]
-        dispatcher_names = [f"n{n + 1}" for n in range(len(scenario.dispatchers.weights))]
+        """Return the faults by start time. Raises ScriptError for unknown targets or times past the end."""
+        worker_names = [worker.name for worker in scenario.workers]
+        dispatcher_names = [f"n{rank + 1}" for rank in range(len(scenario.dispatchers.weights))]
         return tuple(
             sorted(
-                (self.fault(t, scenario, names, dispatcher_names) for t in self.root.troubles),
-                key=lambda t: t.at,
+                (
+                    self.fault(section, scenario, worker_names, dispatcher_names)
+                    for section in self.root.troubles
+                ),
+                key=lambda fault: fault.at,
             )
         )
 
-    def fault(self, t: Any, scenario: Scenario, names: list[str], dispatcher_names: list[str]) -> Fault:
-        """Read one."""
-        kind = t.getSectionType()
-        values = {name: getattr(t, name) for name in Fault.__dataclass_fields__ if hasattr(t, name)}
+    def fault(
+        self, section: Any, scenario: Scenario, worker_names: list[str], dispatcher_names: list[str]
+    ) -> Fault:
+        """Return the fault that a section describes."""
+        kind = section.getSectionType()
+        values = {
+            name: getattr(section, name) for name in Fault.__dataclass_fields__ if hasattr(section, name)
+        }
         fault = Fault(kind, **values)
         if fault.at >= scenario.length:
             end = scenario.length / 1000
-            self.wrong(t, "at", f"{fault.at / 1000:g} s is past the night's end at {end:g} s")
+            self.fail(section, "at", f"{fault.at / 1000:g} s is past the end of the scenario at {end:g} s")
         if fault.ends > scenario.length:
-            self.odd(
-                t,
+            self.warn(
+                section,
                 "for",
-                f"lasts to {fault.ends / 1000:g} s, past the last arrival at {scenario.length / 1000:g} s",
+                f"lasts until {fault.ends / 1000:g} s, past the last arrival at {scenario.length / 1000:g} s",
             )
         if fault.ramp * 2 > fault.length:
-            self.wrong(t, "ramp", "rise and fall take longer than the trouble itself")
+            self.fail(
+                section,
+                "ramp",
+                "rise and fall take longer than the fault itself: ramp may be at most half of for",
+            )
         if kind == "burst" and fault.factor <= 1:
-            self.wrong(t, "factor", "a burst has more requests come: its factor must be above 1")
+            self.fail(section, "factor", "the factor of a burst must be above 1")
         for key in ("share", "chance", "after"):
-            if hasattr(t, key):
-                self.fraction(t, key)
-        self.check_targets(t, fault, names, dispatcher_names)
-        if fault.job_class and fault.job_class not in {c.cls.name for c in scenario.classes}:
-            self.wrong(t, "class", f"there is no class {fault.job_class!r}")
+            if hasattr(section, key):
+                self.fraction(section, key)
+        self.check_targets(section, fault, worker_names, dispatcher_names)
+        if fault.job_class and fault.job_class not in {load.cls.name for load in scenario.classes}:
+            self.fail(section, "class", f"there is no class {fault.job_class!r}")
         return fault
 
-    def check_targets(self, t: Any, fault: Fault, names: list[str], dispatcher_names: list[str]) -> None:
-        """Check that the workers and dispatchers named exist, and that a share is not given beside names."""
-        for key, known in (("workers", names), ("dispatchers", dispatcher_names)):
+    def check_targets(
+        self, section: Any, fault: Fault, worker_names: list[str], dispatcher_names: list[str]
+    ) -> None:
+        """Check that the targets named exist, and that names and a share are not both given."""
+        for key, known in (("workers", worker_names), ("dispatchers", dispatcher_names)):
             for name in getattr(fault, key):
                 if not select(name, known):
-                    self.wrong(
-                        t,
+                    self.fail(
+                        section,
                         key,
                         f"there is no {name!r}; known: {', '.join(known[:4])}"
                         f"{' ...' if len(known) > 4 else ''}",
@@ -333,22 +385,25 @@
         if fault.share is not None and (
             fault.workers or (fault.kind == "dispatcher-restart" and fault.dispatchers)
         ):
-            self.wrong(t, "share", "give a share or names, not both")
+            self.fail(section, "share", "give either a share or names, not both")
 
     def tenants(self) -> tuple[TenantLoad, ...]:
-        """Read the tenants."""
-        found = tuple(TenantLoad(t.getSectionName(), t.share, t.quota) for t in self.root.tenants)
-        if found and not sum(t.share for t in found):
-            self.wrong(self.root.tenants[0], "share", "the tenants' shares sum to nothing")
-        return found
+        """Return the tenants."""
+        tenants = tuple(
+            TenantLoad(section.getSectionName(), section.share, section.quota)
+            for section in self.root.tenants
+        )
+        if tenants and not sum(tenant.share for tenant in tenants):
+            self.fail(self.root.tenants[0], "share", "the shares of all tenants must sum to more than zero")
+        return tenants
 
     def scenario(self) -> Scenario:
-        """Put the scenario together."""
+        """Return the scenario. Raises ScriptError for what cannot be simulated."""
         root = self.root
         if root.load is None:
-            self.wrong(None, "<load>", "is missing")
+            self.fail(None, "<load>", "the section is missing")
         kinds = self.kinds()
-        clients = self.part(root.clients, Clients)
+        clients = self.record(root.clients, Clients)
         for key in ("honour", "impatient"):
             if root.clients is not None:
                 self.fraction(root.clients, key)
@@ -364,93 +419,105 @@
             root.tail,
             self.tenants(),
             (),
-            self.part(root.network, Network),
-            self.part(root.rules, Rules),
-            self.part(root.list, Listing),
-            self.part(root.reports, Reports),
+            self.record(root.network, Network),
+            self.record(root.rules, Rules),
+            self.record(root.list, Listing),
+            self.record(root.reports, Reports),
             clients,
             self.dispatchers(),
-            self.part(root.goal, Goal),
+            self.record(root.goal, Goal),
         )
         scenario = with_parts(scenario, load=self.load(scenario))
         return with_parts(scenario, faults=self.faults(scenario))
 
 
-def with_parts(scenario: Scenario, **parts: Any) -> Scenario:
-    """Give the scenario with some parts replaced."""
+def with_parts(scenario: Scenario, **changes: Any) -> Scenario:
+    """Return the scenario with some fields replaced."""
     return Scenario(
-        **{name: parts.get(name, getattr(scenario, name)) for name in Scenario.__dataclass_fields__}
+        **{name: changes.get(name, getattr(scenario, name)) for name in Scenario.__dataclass_fields__}
     )
 
 
 def select(name: str, known: Iterable[str]) -> list[str]:
-    """Give those that a name means: one, or all of a group by ``group-*``."""
+    """Return the known names that a name selects: one, or all of a group with ``group-*``."""
     if name.endswith("*"):
-        return [k for k in known if k.startswith(name[:-1])]
-    return [k for k in known if k == name]
+        return [candidate for candidate in known if candidate.startswith(name[:-1])]
+    return [candidate for candidate in known if candidate == name]
 
 
 def find(name: str, folder: Path | None = None) -> Path:
-    """Find a script by path, or by name among those that come with the program.
+    """Return the path of a scenario file, given by path or by name among those that come with the program.
 
     Raises ScriptError where there is none.
     """
-    path, shipped = Path(name), (folder or SHIPPED) / f"{name}{ENDING}"
+    path = Path(name)
+    shipped = (folder or SHIPPED) / f"{name}{ENDING}"
     if path.is_file():
         return path
     if shipped.is_file():
         return shipped
-    raise ScriptError(name, None, "", "no such file, and no such night in " + str(folder or SHIPPED))
+    raise ScriptError(
+        name, None, "", "no such file, and no scenario of this name in " + str(folder or SHIPPED)
+    )
 
 
 def read(path: Path, changes: Sequence[str] = ()) -> tuple[Scenario, list[str]]:
-    """Read a script, with ``section/key=value`` laid over it. Gives the scenario and the warnings.
+    """Return the scenario of a file, with values overridden by ``section/key=value``, and the warnings.
 
-    Raises ScriptError for what cannot be played.
+    Raises ScriptError for what cannot be simulated.
     """
-    where = path_of(path.resolve().as_uri())
+    location = path_from_url(path.resolve().as_uri())
     for change in changes:
         if not re.fullmatch(r"[^=/]+(/[^=/]+)*=.*", change):
-            raise ScriptError(where, None, "--set", f"{change!r} is not KEY=VALUE")
+            raise ScriptError(location, None, "--set", f"{change!r} is not of the form KEY=VALUE")
     try:
-        return read_with(path, where, changes, ())
+        return read_with_sections(path, location, changes, ())
     except ScriptError as error:
-        # A value may be laid over a section that the script leaves at its defaults: then it is there, empty.
-        lacking = sorted({change.partition("/")[0] for change in changes} & set(ALONE))
-        if error.why != UNUSED or not lacking:
+        # ZConfig rejects an override in a section that the file leaves out, so such sections are added empty.
+        absent = sorted({change.partition("/")[0] for change in changes} & set(SINGLE_SECTIONS))
+        if error.reason != UNUSED_OVERRIDE or not absent:
             raise
-        for n in range(len(lacking), 0, -1):
-            for names in combinations(lacking, n):
+        for count in range(len(absent), 0, -1):
+            for names in combinations(absent, count):
                 with suppress(ScriptError):
-                    return read_with(path, where, changes, names)
+                    return read_with_sections(path, location, changes, names)
         raise
 
 
-def read_with(
+def read_with_sections(
     path: Path,
-    where: str,
+    location: str,
     changes: Sequence[str],
-    empty: Sequence[str],
+    empty_sections: Sequence[str],
 ) -> tuple[Scenario, list[str]]:
-    """Read a script as if empty sections stood at its end."""
+    """Return the scenario and the warnings of a file to which these empty sections are added."""
     loader = Loader(ZConfig.loadSchema(str(SCHEMA)))
     try:
         for change in changes:
-            loader.addOption(change, (0, 0, LAID))
+            loader.addOption(change, (0, 0, OVERRIDE_SOURCE))
         text = path.read_text(encoding="utf-8")
-        text += "".join(f"\n<{name}>\n</{name}>" for name in empty)
+        text += "".join(f"\n<{name}>\n</{name}>" for name in empty_sections)
         root, _ = loader.loadFile(StringIO(text), path.resolve().as_uri())
     except OSError as error:
-        raise ScriptError(where, None, "", error.strerror or str(error)) from None
+        raise ScriptError(location, None, "", error.strerror or str(error)) from None
     except UnicodeDecodeError:
-        raise ScriptError(where, None, "", "is no text in UTF-8") from None
+        raise ScriptError(location, None, "", "is not UTF-8 text") from None
     except ZConfig.ConfigurationError as error:
-        line, url = getattr(error, "lineno", None), getattr(error, "url", None)
-        if url == LAID or not isinstance(line, int) or line < 0:
-            laid = "--set " + ", ".join(changes) if changes else ""
-            why = error.message or str(error)
-            raise ScriptError(where, None, laid, UNUSED if "not all command line" in why else why) from None
-        at = path_of(url) if isinstance(url, str) else where
-        raise ScriptError(at, line, loader.by_line.get((at, line), ""), error.message) from None
-    reader = Reader(where, loader, root)
+        line = getattr(error, "lineno", None)
+        url = getattr(error, "url", None)
+        if url == OVERRIDE_SOURCE or not isinstance(line, int) or line < 0:
+            overrides = "--set " + ", ".join(changes) if changes else ""
+            reason = error.message or str(error)
+            raise ScriptError(
+                location,
+                None,
+                overrides,
+                # ZConfig's text for an override that matches no section or key of the file
+                UNUSED_OVERRIDE if "not all command line" in reason else reason,
+            ) from None
+        error_path = path_from_url(url) if isinstance(url, str) else location
+        raise ScriptError(
+            error_path, line, loader.keys_by_line.get((error_path, line), ""), error.message
+        ) from None
+    reader = Reader(location, loader, root)
     return reader.scenario(), reader.warnings
--- a/elderstall/simulation/values.py
+++ b/elderstall/simulation/values.py
@@ -1,6 +1,6 @@
-"""The values of a scenario's script: how a key's text becomes a number, a time or a word, or why it does not.
+"""The data types of a scenario file: functions that convert a key's text to a number, a time or a word.
 
-Each takes the text and raises ValueError with what was wanted; ZConfig adds the place.
+Each raises ValueError with the expected form, and ZConfig adds file and line. ``schema.xml`` names them.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 import re
 from collections.abc import Callable
 
-UNITS = {"ms": 1.0, "s": 1_000.0, "m": 60_000.0, "h": 3_600_000.0}
+MS_PER_UNIT = {"ms": 1.0, "s": 1_000.0, "m": 60_000.0, "h": 3_600_000.0}
 DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*(ms|s|m|h)")
 NUMBER = re.compile(r"[0-9]+(?:\.[0-9]+)?(?:e-?[0-9]+)?", re.IGNORECASE)
 
 
 def duration(text: str) -> float:
-    """Read a time, ``250ms``, ``1.5s``, ``2m`` or ``1h``, as milliseconds."""
-    found = DURATION.fullmatch(text.strip())
-    if found is None:
-        raise ValueError(f"{text!r} is no time from 0, such as 250ms, 1.5s, 2m or 1h")
-    return float(found[1]) * UNITS[found[2]]
+    """Return a time, ``250ms``, ``1.5s``, ``2m`` or ``1h``, in milliseconds."""
+    match = DURATION.fullmatch(text.strip())
+    if match is None:
+        raise ValueError(f"{text!r} is not a time of at least 0 with its unit, such as 250ms, 1.5s, 2m or 1h")
+    return float(match[1]) * MS_PER_UNIT[match[2]]
 
 
 def span(text: str) -> float:
-    """Read a time above zero, as milliseconds."""
+    """Return a time above zero, in milliseconds."""
     value = duration(text)
     if value <= 0:
         raise ValueError(f"{text!r} must be above zero")
@@ -31,14 +31,14 @@
 
 
 def amount(text: str) -> float:
-    """Read a number from zero."""
+    """Return a number of at least zero."""
     if NUMBER.fullmatch(text.strip()) is None or not math.isfinite(float(text)):
-        raise ValueError(f"{text!r} is no number from 0")
+        raise ValueError(f"{text!r} is not a number of at least 0")
     return float(text)
 
 
 def factor(text: str) -> float:
-    """Read a number above zero."""
+    """Return a number above zero."""
     value = amount(text)
     if value <= 0:
         raise ValueError(f"{text!r} must be above zero")
@@ -46,14 +46,14 @@
 
 
 def whole(text: str) -> int:
-    """Read a whole number from zero."""
+    """Return a whole number of at least zero."""
     if not text.strip().isdigit():
-        raise ValueError(f"{text!r} is no whole number from 0")
+        raise ValueError(f"{text!r} is not a whole number of at least 0")
     return int(text)
 
 
 def count(text: str) -> int:
-    """Read a whole number from one."""
+    """Return a whole number of at least one."""
     value = whole(text)
     if value < 1:
         raise ValueError(f"{text!r} must be at least 1")
@@ -61,7 +61,7 @@
 
 
 def share(text: str) -> float:
-    """Read a share, ``25%`` or ``0.25``; whether it may be above the whole is for others to check."""
+    """Return a share, ``25%`` or ``0.25``; the caller checks whether it may exceed 100%."""
     text = text.strip()
     if text.endswith("%"):
         return amount(text[:-1]) / 100
@@ -69,15 +69,15 @@
 
 
 def part(text: str) -> float:
-    """Read a share above 0, at most 1."""
+    """Return a share above 0 and at most 1."""
     value = share(text)
     if not 0 < value <= 1:
-        raise ValueError(f"{text!r} is no share above 0 and at most 100%")
+        raise ValueError(f"{text!r} is not a share above 0 and of at most 100%")
     return value
 
 
 def word(text: str) -> str:
-    """Read one word; case does not matter."""
+    """Return one word in lower case."""
     text = text.strip().lower()
     if not text or len(text.split()) != 1:
         raise ValueError(f"{text!r} is not one word")
@@ -85,35 +85,35 @@
 
 
 def words(text: str) -> tuple[str, ...]:
-    """Read words."""
+    """Return the words of a list, in lower case."""
     return tuple(text.lower().split())
 
 
 def numbers(text: str) -> tuple[float, ...]:
-    """Read numbers from zero."""
+    """Return the numbers of a list, each at least zero."""
     return tuple(amount(item) for item in text.split())
 
 
 def shape(text: str) -> tuple[tuple[float, float], ...]:
-    """Read ``0s=0.9 10s=1.2``: times and factors, between which the factor moves evenly."""
+    """Return the times (ms) and factors of ``0s=0.9 10s=1.2``; between them the factor changes linearly."""
     points = []
     for item in text.split():
-        when, equals, factor_text = item.partition("=")
+        time_text, equals, factor_text = item.partition("=")
         if not equals:
-            raise ValueError(f"{item!r} is not TIME=FACTOR")
-        points.append((duration(when), amount(factor_text)))
+            raise ValueError(f"{item!r} is not of the form TIME=FACTOR")
+        points.append((duration(time_text), amount(factor_text)))
     if points != sorted(points, key=lambda point: point[0]):
-        raise ValueError("its times must ascend")
+        raise ValueError("the times must be in ascending order")
     return tuple(points)
 
 
-def one_of(*known: str) -> Callable[[str], str]:
-    """Read one of some words."""
+def one_of(*accepted: str) -> Callable[[str], str]:
+    """Return a data type that accepts one of these words."""
 
     def read(text: str) -> str:
         value = word(text)
-        if value not in known:
-            raise ValueError(f"{text!r} is none of {', '.join(known)}")
+        if value not in accepted:
+            raise ValueError(f"{text!r} is not one of {', '.join(accepted)}")
         return value
 
     return read
--- a/tests/test_simulation_script.py
+++ b/tests/test_simulation_script.py
@@ -1,4 +1,4 @@
-"""Scripts: what is wrong is refused by file, line and key; the command line says it and does no more."""
+"""Scenario files: errors name file, line and key, and the command line prints them and exits with 2."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from elderstall.__main__ import main as door
+from elderstall.__main__ import main as run_main
 from elderstall.cli.group import tools
 from elderstall.simulation import values
 from elderstall.simulation.compare import difference
@@ -53,34 +53,34 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "key", "why"),
+    ("old", "new", "line", "key", "reason"),
     [
-        ("at 1s", "at -1s", 22, "<slow> at", "no time from 0"),
-        ("at 1s", "at 9s", 22, "<slow> at", "past the night's end"),
+        ("at 1s", "at -1s", 22, "<slow> at", "not a time of at least 0"),
+        ("at 1s", "at 9s", 22, "<slow> at", "past the end of the scenario"),
         ("share 50%", "workers w-9", 24, "<slow> workers", "there is no 'w-9'"),
-        ("share 50%", "share 150%", 24, "<slow> share", "more than all"),
+        ("share 50%", "share 150%", 24, "<slow> share", "above the maximum of 100%"),
         ("factor 3", "factor 0", 25, "<slow> factor", "above zero"),
         ("factor 3", "factr 3", 25, "<slow> factr", "not a known key"),
-        ("factor 3", "factor 3\n  ramp 2s", 26, "<slow> ramp", "longer than the trouble"),
+        ("factor 3", "factor 3\n  ramp 2s", 26, "<slow> ramp", "longer than the fault itself"),
         ("count 3", "count 10000", 12, "<workers w> count", "at most 5000"),
         ("count 3", "count 3\n  speeds 1 2", 13, "<workers w> speeds", "2 speeds for 3 workers"),
         ("kind box\n", "kind bax\n", 11, "<workers w> kind", "there is no kind 'bax'"),
-        ("rate 20", "", 4, "<load> rate", "give rate"),
+        ("rate 20", "", 4, "<load> rate", "give either rate"),
         ("rate 20", "rate 2000000000", 5, "<load> rate", "jobs; at most"),
         ("<slow>", "<sloow>", 21, "", "unknown type name"),
         ("share 1\n", "", 19, "", "no value"),
         ("name test", "nonsense 1\nname test", 1, "nonsense", "not a known key"),
-        ("work 100ms", "work 100", 16, "<class fetch> work", "no time"),
-        ("share 1\n", "share 0\n", 15, "<class fetch> share", "sum to nothing"),
+        ("work 100ms", "work 100", 16, "<class fetch> work", "not a time"),
+        ("share 1\n", "share 0\n", 15, "<class fetch> share", "must sum to more than zero"),
     ],
 )
-def test_nonsense_is_refused_by_file_line_and_key(
-    script: Path, old: str, new: str, line: int, key: str, why: str
+def test_errors_name_file_line_and_key(
+    script: Path, old: str, new: str, line: int, key: str, reason: str
 ) -> None:
     script.write_text(TEXT.replace(old, new, 1))
     with pytest.raises(ScriptError) as caught:
         read(script)
-    assert (caught.value.line, caught.value.key) == (line, key) and why in str(caught.value)
+    assert (caught.value.line, caught.value.key) == (line, key) and reason in str(caught.value)
     assert f"test.conf:{line}" in str(caught.value)
 
 
@@ -91,13 +91,13 @@
         read(script)
 
 
-def test_what_is_odd_is_a_warning(script: Path) -> None:
+def test_unusual_values_are_warnings(script: Path) -> None:
     script.write_text(TEXT.replace("for 2s", "for 30s").replace("rate 20", "rate 2000"))
     _, warnings = read(script)
     assert [w.split(": ")[1] for w in warnings] == ["<load> rate", "<slow> for"]
 
 
-def test_values_are_laid_over_a_script_and_checked_as_well(script: Path) -> None:
+def test_overrides_replace_values_and_are_checked(script: Path) -> None:
     scenario, _ = read(script, ["load/rate=5", "slow/factor=2", "seed=9"])
     assert (scenario.load.rate, scenario.faults[0].factor, scenario.seed) == (5.0, 2.0, 9)
     scenario, _ = read(script, ["clients/retries=3", "rules/max-attempts=2", "load/rate=6"])
@@ -107,7 +107,7 @@
             read(script, [change])
 
 
-def test_a_level_is_a_share_of_what_the_fleet_can_do(script: Path) -> None:
+def test_a_level_is_a_share_of_the_fleets_capacity(script: Path) -> None:
     script.write_text(TEXT.replace("rate 20", "level 50%"))
     scenario, _ = read(script)
     assert scenario.load.rate == pytest.approx(
@@ -116,12 +116,12 @@
 
 
 @pytest.mark.parametrize(("text", "ms"), [("250ms", 250.0), ("1.5s", 1_500.0), ("2m", 120_000.0), ("0s", 0)])
-def test_times(text: str, ms: float) -> None:
+def test_durations(text: str, ms: float) -> None:
     assert values.duration(text) == ms
 
 
 @pytest.mark.parametrize("text", ["", "5", "-5s", "1 hour", "nan", "infs", "1e3s"])
-def test_no_times(text: str) -> None:
+def test_malformed_durations_are_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         values.duration(text)
 
@@ -129,15 +129,15 @@
 # ---- the command line ----
 
 
-def run(*words: str) -> Any:
-    return CliRunner().invoke(tools, ["simulate", *words], standalone_mode=False)
+def run(*arguments: str) -> Any:
+    return CliRunner().invoke(tools, ["simulate", *arguments], standalone_mode=False)
 
 
 def test_run_prints_tables_and_writes_json_and_a_report(
     script: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out, report = script.with_name("out.json"), script.with_name("out.html")
-    assert door(["simulate", "run", str(script), "--json", str(out), "--report", str(report)]) == 0
+    assert run_main(["simulate", "run", str(script), "--json", str(out), "--report", str(report)]) == 0
     figures = json.loads(out.read_text())
     assert figures["night"] == "test" and sum(figures["endings"].values()) == figures["requests"] > 40
     shown = capsys.readouterr().out
@@ -146,44 +146,44 @@
     assert page.count("<svg") == 2 and "All four kept" in page
 
 
-def test_json_on_standard_output_is_all_there_is(script: Path) -> None:
+def test_json_is_the_only_text_on_standard_output(script: Path) -> None:
     done = run("run", str(script), "--json", "-")
     assert json.loads(done.output)["rules"]["broken"] == 0
 
 
 def test_exit_status_and_messages(script: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert door(["simulate", "check", str(script)]) == 0
-    assert door(["simulate", "check", "no-such-night"]) == 2
+    assert run_main(["simulate", "check", str(script)]) == 0
+    assert run_main(["simulate", "check", "no-such-night"]) == 2
     assert "no such file" in capsys.readouterr().err
     script.write_text(TEXT.replace("factor 3", "factor 0"))
-    assert door(["simulate", "run", str(script)]) == 2
+    assert run_main(["simulate", "run", str(script)]) == 2
     assert "test.conf:25: <slow> factor" in capsys.readouterr().err
-    assert door(["simulate", "run"]) == 2
-    assert door(["simulate", "nonsense"]) == 2
-    assert door(["nonsense"]) == 2
+    assert run_main(["simulate", "run"]) == 2
+    assert run_main(["simulate", "nonsense"]) == 2
+    assert run_main(["nonsense"]) == 2
     script.write_text(TEXT)
-    assert door(["simulate", "run", str(script), "--json", str(script.parent / "no" / "x.json")]) == 1
+    assert run_main(["simulate", "run", str(script), "--json", str(script.parent / "no" / "x.json")]) == 1
 
 
 def test_the_former_command_works_with_one_line_of_notice(
     script: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert door(["simulate", "run", str(script), "--json", "-"]) == 0
-    today = capsys.readouterr()
-    assert door(["rehearse", "run", str(script), "--json", "-"]) == 0
+    assert run_main(["simulate", "run", str(script), "--json", "-"]) == 0
+    current = capsys.readouterr()
+    assert run_main(["rehearse", "run", str(script), "--json", "-"]) == 0
     former = capsys.readouterr()
     notice = "elderstall: 'rehearse' is now 'simulate'; the old name works for this version only\n"
-    assert "core_time" in today.out and without_times(today.out) == without_times(former.out)
-    assert former.err == notice + today.err
-    assert door(["rehearse", "check", "no-such-night"]) == 2
+    assert "core_time" in current.out and without_times(current.out) == without_times(former.out)
+    assert former.err == notice + current.err
+    assert run_main(["rehearse", "check", "no-such-night"]) == 2
     assert capsys.readouterr().err.startswith(notice)
-    assert door(["rehearse", "nonsense"]) == 2
+    assert run_main(["rehearse", "nonsense"]) == 2
     shown = CliRunner().invoke(tools, ["--help"]).output
     assert "simulate" in shown and "rehearse" not in shown
 
 
 def without_times(figures: str) -> Any:
-    """Give the figures but for the CPU time that they took."""
+    """Return the figures without ``core_time``."""
     return {key: value for key, value in json.loads(figures).items() if key != "core_time"}
 
 
@@ -198,16 +198,16 @@
     monkeypatch.setattr("elderstall.engine.answers.Answers._overdue", lambda self, job: None)
     monkeypatch.setattr("elderstall.engine.attempts.Attempts.timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
-    assert door(["simulate", "run", str(script)]) == 1
-    told = capsys.readouterr().err
-    assert "rule 1 broken" in told and "attempt 0 sent to w-" in told and "try 1 of fetch at n1" in told
+    assert run_main(["simulate", "run", str(script)]) == 1
+    errors = capsys.readouterr().err
+    assert "rule 1 broken" in errors and "attempt 0 sent to w-" in errors and "try 1 of fetch at n1" in errors
 
 
-def test_explain_tells_a_requests_whole_history(script: Path) -> None:
+def test_explain_prints_the_whole_history_of_a_request(script: Path) -> None:
     done = run("explain", str(script), "7", "--json")
-    told = json.loads(done.output)
-    assert told["request"] == 7 and told["class"] == "fetch" and told["ending"] == "served"
-    assert [line.split("s  ")[1].split(" ")[0] for line in told["history"]] == [
+    request = json.loads(done.output)
+    assert request["request"] == 7 and request["class"] == "fetch" and request["ending"] == "served"
+    assert [line.split("s  ")[1].split(" ")[0] for line in request["history"]] == [
         "try",
         "attempt",
         "attempt",
@@ -217,7 +217,7 @@
     assert run("explain", str(script), "99999").return_value == 1
 
 
-def test_list_names_what_comes_with_the_program() -> None:
+def test_list_names_the_scenarios_that_come_with_the_program() -> None:
     rows = json.loads(run("list", "--json").output)
     assert {row["name"] for row in rows} >= {
         "calm",
@@ -245,39 +245,43 @@
         "--json",
         "-",
     )
-    told = json.loads(done.output)
-    figure = next(m for m in told["measures"] if m["name"] == "service, whole")
-    assert len(told["pairs"]) == 3 and figure["difference"] < 0
+    comparison = json.loads(done.output)
+    service = next(m for m in comparison["measures"] if m["name"] == "service, whole")
+    assert len(comparison["pairs"]) == 3 and service["difference"] < 0
     same = run("compare", str(script), str(script), "--seeds", "2", "--json", "-")
     assert all(m["difference"] == 0 and m["half"] is None for m in json.loads(same.output)["measures"])
     assert "neither a seed nor a range" in str(run("compare", "a", "b", "--seeds", "x").exception)
 
 
 def test_the_interval_is_students_paired_t() -> None:
-    d = difference("x", [1.0, 2.0, 3.0, 4.0], [1.5, 2.1, 3.6, 4.4])
+    result = difference("x", [1.0, 2.0, 3.0, 4.0], [1.5, 2.1, 3.6, 4.4])
     # differences .5 .1 .6 .4: mean .4, s .2160; 3.182 s / 2 = .3437
-    assert d.difference == pytest.approx(0.4) and d.half == pytest.approx(0.3437, abs=1e-4) and d.clear
+    assert (
+        result.difference == pytest.approx(0.4)
+        and result.half == pytest.approx(0.3437, abs=1e-4)
+        and result.clear
+    )
 
 
 # ---- random numbers ----
 
 
-def test_a_stream_hangs_on_its_words_and_the_seed_alone() -> None:
-    def first(seed: int, *words: str) -> list[float]:
-        stream = Draws(seed).uniform(*words)
+def test_a_stream_depends_only_on_its_name_and_the_seed() -> None:
+    def first_draws(seed: int, *stream_name: str) -> list[float]:
+        stream = Draws(seed).uniform(*stream_name)
         return [next(stream) for _ in range(40)]
 
-    assert first(1, "a", "b") == first(1, "a", "b")
-    assert len({tuple(first(*args)) for args in ((1, "a"), (1, "b"), (2, "a"), (1, "a", "b"))}) == 4
+    assert first_draws(1, "a", "b") == first_draws(1, "a", "b")
+    assert len({tuple(first_draws(*args)) for args in ((1, "a"), (1, "b"), (2, "a"), (1, "a", "b"))}) == 4
 
 
 @pytest.mark.parametrize("shape", ["lognormal", "pareto", "exponential", "constant"])
-def test_works_have_their_mean(shape: str) -> None:
-    works = Draws(3).work(shape, 200.0, 1.0, "w")
-    assert sum(next(works) for _ in range(20_000)) / 20_000 == pytest.approx(200.0, rel=0.05)
+def test_drawn_work_has_the_mean_asked_for(shape: str) -> None:
+    draws = Draws(3).work(shape, 200.0, 1.0, "w")
+    assert sum(next(draws) for _ in range(20_000)) / 20_000 == pytest.approx(200.0, rel=0.05)
 
 
-def test_a_name_is_a_path_first() -> None:
+def test_a_scenario_is_found_by_path_before_name() -> None:
     assert find("calm") == SHIPPED / "calm.conf"
     with pytest.raises(ScriptError):
         find("calm.conff")
