--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -380,19 +380,21 @@
     what ran is printed as JSON; exit status 1 if a job of a class that must not repeat has run twice.
     """
     from elderstall.net import monotonic_reactor
-    from elderstall.simulation.serve import Stage
+    from elderstall.simulation.serve import SimulatedPlatform
 
     loop: Any = monotonic_reactor.install()  # in a process that has none yet
-    stage = Stage(opened(script, changes), loop, time.monotonic, time.time() * 1000, dispatchers, seed)
-    stage.begin()
-    for path in stage.write(folder):
+    platform = SimulatedPlatform(
+        opened(script, changes), loop, time.monotonic, time.time() * 1000, dispatchers, seed
+    )
+    platform.begin()
+    for path in platform.write(folder):
         click.echo(f"elderstall --config {path}", err=True)
-    for kind in stage.left_out:
+    for kind in platform.unsupported_faults:
         print_error(f"warning: {kind} strikes what is real here, and is left out")
     if seconds is not None:
         loop.callLater(seconds, loop.stop)
     loop.run()
-    figures = stage.figures()
+    figures = platform.figures()
     write_json(figures, "-")
     return FAILED if figures["broken"] else GOOD
 
--- a/elderstall/simulation/compare.py
+++ b/elderstall/simulation/compare.py
@@ -1,4 +1,4 @@
-"""Compares two scenarios paired by seed: the same seeds on both sides, the difference with its interval."""
+"""Compares two scenarios paired by seed: the mean difference of each measure with its confidence interval."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import play
 
-# Quantiles of Student's t at 97.5% by degrees of freedom, 1 to 30; beyond, the normal one is close.
-T975 = (
+# Quantiles of Student's t at 97.5% for 1 to 30 degrees of freedom; above that, the normal quantile is close.
+STUDENT_T_QUANTILES = (
     12.706,
     4.303,
     3.182,
@@ -45,7 +45,7 @@
     2.045,
     2.042,
 )
-NORMAL = 1.960
+NORMAL_QUANTILE = 1.960
 
 
 @dataclass(frozen=True)
@@ -56,28 +56,32 @@
     first: float
     second: float
     difference: float
-    half: float | None  # of the interval
+    half: float | None  # half the width of the interval
 
     @property
     def clear(self) -> bool:
-        """Whether the interval leaves out zero."""
+        """Whether the interval excludes zero."""
         return self.half is not None and abs(self.difference) > self.half
 
 
 def difference(name: str, first: Sequence[float], second: Sequence[float]) -> Difference:
-    """Compare pairs: Student's paired t, which takes the differences for normal."""
-    gaps = [b - a for a, b in zip(first, second, strict=True)]
+    """Return the comparison of pairs by Student's paired t, which assumes normal differences."""
+    differences = [b - a for a, b in zip(first, second, strict=True)]
     half = None
-    if len(gaps) > 1:
-        quantile = T975[len(gaps) - 2] if len(gaps) - 1 <= len(T975) else NORMAL
-        half = quantile * stdev(gaps) / math.sqrt(len(gaps))
-    return Difference(name, fmean(first), fmean(second), fmean(gaps), half)
+    if len(differences) > 1:
+        quantile = (
+            STUDENT_T_QUANTILES[len(differences) - 2]
+            if len(differences) - 1 <= len(STUDENT_T_QUANTILES)
+            else NORMAL_QUANTILE
+        )
+        half = quantile * stdev(differences) / math.sqrt(len(differences))
+    return Difference(name, fmean(first), fmean(second), fmean(differences), half)
 
 
 def measures(figures: dict[str, Any]) -> dict[str, float | None]:
-    """Pick what is compared."""
+    """Return the measures of a run that are compared, by name."""
     service = figures["service"]
-    tries = max(1, figures["requests"])
+    requests = max(1, figures["requests"])
     return {
         "figure": figures["figure"],
         "service, whole": service["whole"],
@@ -85,9 +89,9 @@
         "worst class": service["worst_class"],
         "worst tenant": service["worst_tenant"],
         **{f"class {name}": c["service"] for name, c in figures["classes"].items()},
-        "refused": figures["endings"].get("refused", 0) / tries,
-        "attempts a request": figures["attempts"] / tries,
-        "connections a request": figures["connections"] / tries,
+        "refused": figures["endings"].get("refused", 0) / requests,
+        "attempts a request": figures["attempts"] / requests,
+        "connections a request": figures["connections"] / requests,
         "wasted core time": figures["work"]["wasted_s"] / max(1e-9, figures["work"]["core_s"]),
     }
 
@@ -98,16 +102,16 @@
     done: Callable[[], None] = lambda: None,
     processes: int | None = None,
 ) -> tuple[list[Difference], list[tuple[dict[str, Any], dict[str, Any]]]]:
-    """Play both scenarios under each seed, side by side, and compare. ``done`` is called after each play."""
+    """Run both scenarios with each seed in parallel and compare them. ``done`` is called after each run."""
     results: dict[tuple[int, int], dict[str, Any]] = {}
     with ProcessPoolExecutor(processes) as pool:
-        plays = {
-            pool.submit(play, scenario, seed): (n, seed)
+        runs = {
+            pool.submit(play, scenario, seed): (side, seed)
             for seed in seeds
-            for n, scenario in enumerate(scenarios)
+            for side, scenario in enumerate(scenarios)
         }
-        for one in as_completed(plays):
-            results[plays[one]] = one.result()
+        for run in as_completed(runs):
+            results[runs[run]] = run.result()
             done()
     pairs = [(results[0, seed], results[1, seed]) for seed in seeds]
     table: list[Difference] = []
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -1,7 +1,7 @@
-"""The figures of a scenario: service, refusals, attempts, wasted work, latency; alike for the same scenario.
+"""The figures of a simulation: service, rejections, attempts, wasted work, latency.
 
 Service is the priority weight answered in time over the priority weight requested. Nothing measured
-on this machine is among them.
+on this machine is among them, so the same scenario and seed give the same figures.
 """
 
 from __future__ import annotations
@@ -22,134 +22,135 @@
     from elderstall.simulation.requests import Request, ServedAttempt
     from elderstall.simulation.worker import CardWorker, Task
 
-BIN = 1_000.0  # ms
-WINDOW = 5  # bins shown together
-WORST = 10  # bins of the worst stretch
+BIN = 1_000.0  # ms of arrivals counted together
+WINDOW_BINS = 5  # bins in each entry of "windows"
+WORST_WINDOW_BINS = 10  # bins over which the worst service is taken
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
-MOST_LOST = 10  # requests named
+MAX_LOST_REQUESTS = 10  # requests listed, those with the most priority weight
 ENDINGS = ("served", "late", "refused", "failed", "timed out", "unreachable", "lost", "left")
 
 
 @dataclass(slots=True)
 class PriorityWeight:
-    """Priority weight requested, and answered in time."""
+    """The priority weight requested, and the one answered in time."""
 
     requested: float = 0.0
     earned: float = 0.0
 
     @property
     def service(self) -> float | None:
-        """Give the one over the other; None where nothing was requested."""
+        """Return the fraction answered in time; None where nothing was requested."""
         return self.earned / self.requested if self.requested > 0 else None
 
 
 @dataclass(slots=True)
 class Bin:
-    """One second of arrivals, and of load."""
+    """The requests that arrived in one second, and the load of the workers in it."""
 
     priority_weight: PriorityWeight = field(default_factory=PriorityWeight)
     classes: dict[str, PriorityWeight] = field(default_factory=dict)
     endings: Counter[str] = field(default_factory=Counter)
     requests: int = 0
-    busy: list[float] = field(default_factory=list)  # of each worker, share of its cores
+    busy: list[float] = field(default_factory=list)  # of each worker, the fraction of its cores in use
 
 
 class Tally:
-    """Counts as the scenario goes."""
+    """Counts requests, attempts and work during a simulation."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.bins: list[Bin] = [Bin() for _ in range(int(-(-scenario.length // BIN)))]
         self.classes = {c.cls.name: PriorityWeight() for c in scenario.classes}
-        self.tenants = {t.name: PriorityWeight() for t in scenario.tenants}  # within its share
+        self.tenants = {t.name: PriorityWeight() for t in scenario.tenants}  # of requests within the quota
         self.endings: dict[str, Counter[str]] = {c.cls.name: Counter() for c in scenario.classes}
         self.latencies = {c.cls.name: HdrHistogram(1, 3_600_000_000, 3) for c in scenario.classes}  # us
         self.requests = self.tries = self.retries = self.attempts = self.connections = self.probes = 0
         self.core_ms = self.useful_ms = 0.0
-        self.work_asked = self.late_weight = 0.0
-        self.lost: list[
-            tuple[float, int, str, str, float]
-        ] = []  # a heap of those that lost most priority weight
+        self.work_requested = self.late_weight = 0.0  # standard work; priority weight
+        # a heap of the requests that were not served, those with the most priority weight
+        self.lost: list[tuple[float, int, str, str, float]] = []
 
-    def bin(self, request: Request) -> Bin:
-        """Find the second in which a request came."""
+    def bin_of(self, request: Request) -> Bin:
+        """Return the bin in which a request arrived; the last one takes later requests too."""
         return self.bins[min(len(self.bins) - 1, int(request.arrived_at // BIN))]
 
     def count_request(self, request: Request) -> None:
-        """Count a request."""
+        """Count a request that has arrived."""
         self.requests += 1
-        self.work_asked += request.work * request.slots
-        at, name = self.bin(request), request.load.cls.name
-        at.requests += 1
-        at.priority_weight.requested += request.priority_weight
-        at.classes.setdefault(name, PriorityWeight()).requested += request.priority_weight
+        self.work_requested += request.work * request.slots
+        arrival_bin = self.bin_of(request)
+        name = request.load.cls.name
+        arrival_bin.requests += 1
+        arrival_bin.priority_weight.requested += request.priority_weight
+        arrival_bin.classes.setdefault(name, PriorityWeight()).requested += request.priority_weight
         self.classes[name].requested += request.priority_weight
         if request.tenant is not None and request.in_share:
             self.tenants[request.tenant].requested += request.priority_weight
 
     def ended(self, request: Request, at: float) -> None:
         """Count how a request ended."""
-        ending, name = request.ended or "", request.load.cls.name
+        ending = request.ended or ""
+        name = request.load.cls.name
         self.endings[name][ending] += 1
-        here = self.bin(request)
-        here.endings[ending] += 1
+        arrival_bin = self.bin_of(request)
+        arrival_bin.endings[ending] += 1
         if ending in ("served", "late"):
             self.latencies[name].record_value(max(1, round((at - request.arrived_at) * 1000)))
         elif ending != "left" and at > request.latency_objective_at:
             self.late_weight += request.priority_weight
         if ending != "served":
             entry = (request.priority_weight, request.number, name, ending, request.arrived_at)
-            (heappush if len(self.lost) < MOST_LOST else heappushpop)(self.lost, entry)
+            (heappush if len(self.lost) < MAX_LOST_REQUESTS else heappushpop)(self.lost, entry)
         if ending == "served":
-            here.priority_weight.earned += request.priority_weight
-            here.classes[name].earned += request.priority_weight
+            arrival_bin.priority_weight.earned += request.priority_weight
+            arrival_bin.classes[name].earned += request.priority_weight
             self.classes[name].earned += request.priority_weight
             if request.tenant is not None and request.in_share:
                 self.tenants[request.tenant].earned += request.priority_weight
 
     def core_time(self, task: Task) -> None:
-        """Book the core time of a task that is over."""
+        """Add the core time of a finished task."""
         self.core_ms += task.core_time
 
     def useful(self, attempt: ServedAttempt) -> None:
-        """Book the core time of the attempt that served."""
+        """Add the core time of the attempt that served its request."""
         if attempt.task is not None:
             self.useful_ms += attempt.task.core_time
 
     def sample(self, busy: list[float], at: float) -> None:
-        """Note the load of the workers over the last second."""
-        n = int(at // BIN) - 1
-        if 0 <= n < len(self.bins):
-            self.bins[n].busy = busy
-
-
-def worst_stretch(bins: list[Bin], length: int = WORST) -> tuple[float | None, int]:
-    """Find the worst service of so many seconds together, and where it begins."""
-    worst, at = None, 0
-    for n in range(max(1, len(bins) - length + 1)):
-        part = bins[n : n + length]
-        requested = sum(b.priority_weight.requested for b in part)
+        """Record the load of the workers over the last second."""
+        index = int(at // BIN) - 1
+        if 0 <= index < len(self.bins):
+            self.bins[index].busy = busy
+
+
+def worst_window(bins: list[Bin], length: int = WORST_WINDOW_BINS) -> tuple[float | None, int]:
+    """Return the lowest service over this many consecutive bins, and the index of the first of them."""
+    worst, start = None, 0
+    for index in range(max(1, len(bins) - length + 1)):
+        window_bins = bins[index : index + length]
+        requested = sum(b.priority_weight.requested for b in window_bins)
         if requested > 0:
-            service = sum(b.priority_weight.earned for b in part) / requested
+            service = sum(b.priority_weight.earned for b in window_bins) / requested
             if worst is None or service < worst:
-                worst, at = service, n
-    return worst, at
+                worst, start = service, index
+    return worst, start
 
 
 def rounded(value: float | None, digits: int = 6) -> float | None:
-    """Round for a file: the last bits say nothing."""
+    """Round for a file, as the last digits carry no information."""
     return None if value is None else round(value, digits)
 
 
-class HostFigures(Protocol):
-    """What the figures read of a worker host."""
+class WorkerHostView(Protocol):
+    """The attributes of a worker host that the figures read."""
 
     model: CardWorker
     kind: Kind
 
 
-class PlayedScenario(Protocol):
-    """What the figures read of a scenario that has been played."""
+class FinishedSimulation(Protocol):
+    """The attributes of a finished simulation that the figures read."""
 
     scenario: Scenario
     seed: int
@@ -159,29 +160,31 @@
     struck: dict[int, list[str]]
 
     @property
-    def worker_hosts(self) -> Mapping[str, HostFigures]:
+    def worker_hosts(self) -> Mapping[str, WorkerHostView]:
         """The worker hosts by name."""
 
 
-def figures_of(world: PlayedScenario) -> dict[str, Any]:
-    """Give the figures as plain data, in a fixed order."""
-    scenario, tally, audit = world.scenario, world.tally, world.audit
+def figures_of(world: FinishedSimulation) -> dict[str, Any]:
+    """Return the figures as plain data, in a fixed order."""
+    scenario = world.scenario
+    tally = world.tally
+    audit = world.audit
     requested = sum(w.requested for w in tally.classes.values())
     earned = sum(w.earned for w in tally.classes.values())
     whole = earned / requested if requested else None
-    worst, worst_at = worst_stretch(tally.bins)
+    worst, worst_start = worst_window(tally.bins)
     by_class = [w.service for w in tally.classes.values() if w.service is not None]
     by_tenant = [w.service for w in tally.tenants.values() if w.service is not None]
     goal = scenario.goal
     wasted = max(0.0, tally.core_ms - tally.useful_ms)
-    first_tries = max(1, tally.requests)
-    # Work at the fleet's mean speed, so that it compares with the work asked for.
-    speed = sum(m.model.speed * m.kind.cores for m in world.worker_hosts.values()) / sum(
-        m.kind.cores for m in world.worker_hosts.values()
+    requests = max(1, tally.requests)
+    # The mean speed converts core time to standard work, as the work requested is counted in it.
+    speed = sum(host.model.speed * host.kind.cores for host in world.worker_hosts.values()) / sum(
+        host.kind.cores for host in world.worker_hosts.values()
     )
     prices = {
-        "waste": goal.price_waste * wasted * speed / max(1e-9, tally.work_asked),
-        "connections": goal.price_connection * tally.connections / first_tries,
+        "waste": goal.price_waste * wasted * speed / max(1e-9, tally.work_requested),
+        "connections": goal.price_connection * tally.connections / requests,
         "late failures": goal.price_late_failure * tally.late_weight / max(1e-9, requested),
     }
     figure = None
@@ -196,9 +199,9 @@
     endings: Counter[str] = Counter()
     for counts in tally.endings.values():
         endings.update(counts)
-    cores = sum(m.model.ledger.total for m in world.worker_hosts.values())
-    book = {
-        name: sum(getattr(m.model.ledger, name) for m in world.worker_hosts.values())
+    cores = sum(host.model.ledger.total for host in world.worker_hosts.values())
+    core_time_by_use = {
+        name: sum(getattr(host.model.ledger, name) for host in world.worker_hosts.values())
         for name in ("busy", "overhead", "idle", "paused", "down")
     }
     return {
@@ -211,7 +214,7 @@
         "service": {
             "whole": rounded(whole),
             "worst_10_s": rounded(worst),
-            "worst_10_s_from": worst_at,
+            "worst_10_s_from": worst_start,
             "worst_class": rounded(min(by_class, default=None)),
             "worst_tenant": rounded(min(by_tenant, default=None)),
         },
@@ -223,7 +226,9 @@
         "connections": tally.connections,
         "probes": tally.probes,
         "endings": {name: endings[name] for name in ENDINGS if endings[name]},
-        "core_time": {name: rounded(value / cores if cores else 0.0) for name, value in book.items()},
+        "core_time": {
+            name: rounded(value / cores if cores else 0.0) for name, value in core_time_by_use.items()
+        },
         "work": {
             "core_s": rounded(tally.core_ms / 1000),
             "useful_s": rounded(tally.useful_ms / 1000),
@@ -250,43 +255,49 @@
             for name, priority_weight in tally.tenants.items()
         },
         "windows": [
-            window(tally.bins[n : n + WINDOW], n, scenario.workers) for n in range(0, len(tally.bins), WINDOW)
+            window(tally.bins[start : start + WINDOW_BINS], start, scenario.workers)
+            for start in range(0, len(tally.bins), WINDOW_BINS)
         ],
         "most_lost": [
             {
                 "request": number,
                 "class": name,
                 "ending": ending,
-                "at_s": rounded(at / 1000, 3),
+                "at_s": rounded(arrived_at / 1000, 3),
                 "share_of_worth": rounded(priority_weight / requested),
             }
-            for priority_weight, number, name, ending, at in sorted(
+            for priority_weight, number, name, ending, arrived_at in sorted(
                 tally.lost, key=lambda row: (-row[0], row[1])
             )
         ],
         "troubles": [
-            {"kind": t.kind, "at_s": t.at / 1000, "for_s": t.length / 1000, "struck": world.struck.get(n, [])}
-            for n, t in enumerate(scenario.faults)
+            {
+                "kind": fault.kind,
+                "at_s": fault.at / 1000,
+                "for_s": fault.length / 1000,
+                "struck": world.struck.get(index, []),
+            }
+            for index, fault in enumerate(scenario.faults)
         ],
         "log": {code: world.log.codes[code] for code in sorted(world.log.codes)},
         "rules": {
             "broken": audit.count,
             "first": [
                 {
-                    "rule": b.rule,
-                    "at_s": rounded(b.at / 1000),
-                    "what": b.what,
-                    "request": b.request,
-                    "history": list(b.history),
+                    "rule": breach.rule,
+                    "at_s": rounded(breach.at / 1000),
+                    "what": breach.what,
+                    "request": breach.request,
+                    "history": list(breach.history),
                 }
-                for b in audit.broken[:20]
+                for breach in audit.broken[:20]
             ],
         },
     }
 
 
-def window(bins: list[Bin], at: int, workers: tuple[Worker, ...]) -> dict[str, Any]:
-    """Give one window of a few seconds."""
+def window(bins: list[Bin], start: int, workers: tuple[Worker, ...]) -> dict[str, Any]:
+    """Return the figures of the window of consecutive bins that starts at this second."""
     requested, earned = (
         sum(b.priority_weight.requested for b in bins),
         sum(b.priority_weight.earned for b in bins),
@@ -296,15 +307,15 @@
     for b in bins:
         endings.update(b.endings)
         for name, priority_weight in b.classes.items():
-            there = classes.setdefault(name, PriorityWeight())
-            there.requested += priority_weight.requested
-            there.earned += priority_weight.earned
+            total = classes.setdefault(name, PriorityWeight())
+            total.requested += priority_weight.requested
+            total.earned += priority_weight.earned
     busy = [b.busy for b in bins if b.busy]
     kinds: dict[str, list[float]] = {}
-    for w, row in zip(workers, zip(*busy, strict=True), strict=False):
-        kinds.setdefault(w.kind, []).append(sum(row) / len(row))
+    for worker, row in zip(workers, zip(*busy, strict=True), strict=False):
+        kinds.setdefault(worker.kind, []).append(sum(row) / len(row))
     return {
-        "from_s": at,
+        "from_s": start,
         "requests": sum(b.requests for b in bins),
         "service": rounded(earned / requested) if requested else None,
         "classes": {name: rounded(classes[name].service) for name in sorted(classes)},
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -1,4 +1,4 @@
-"""The list of workers: a service that learns late, notifies in rounds, is called or watched, fails."""
+"""The simulated discovery service: detects changes late, notifies watches in rounds, can fail."""
 
 from __future__ import annotations
 
@@ -14,80 +14,89 @@
     from elderstall.simulation.worker_host import WorkerHost
 
 
-class ListSurroundings(Protocol):
-    """What the list needs of the scenario that it is part of."""
+class ListContext(Protocol):
+    """The attributes of a simulation that the list uses."""
 
     loop: VirtualTime
     epoch: float
 
 
 class ListService:
-    """What discovery is: entries with versions, calls in turn, watches."""
+    """The endpoint list: versioned entries, calls that are served one after the other, and watches."""
 
-    def __init__(self, world: ListSurroundings, spec: Listing, uniform: Iterator[float]) -> None:
-        self.world, self.spec, self.uniform = world, spec, uniform
+    def __init__(self, world: ListContext, spec: Listing, uniform: Iterator[float]) -> None:
+        self.world = world
+        self.spec = spec
+        self.uniform = uniform
         self.entries: dict[str, Endpoint] = {}
         self.log: list[tuple[int, Endpoint]] = []
         self.version = 1
-        self.watching: dict[Process, float] = {}  # and when the next round notifies it
-        self.pending: set[Process] = set()  # a round is on its way
-        self.free_at = 0.0  # when all calls so far are worked off
+        self.watch_started_at: dict[Process, float] = {}  # by process; ms
+        self.pending: set[Process] = set()  # processes with a notification scheduled
+        self.busy_until = 0.0  # ms; when all calls so far have been served
         self.outages = 0
 
     def begin(self, worker_hosts: list[WorkerHost]) -> None:
-        """Know the fleet as it is."""
-        for m in worker_hosts:
-            if m.model.up:
-                self.entries[m.name] = self.entry(m, WorkerState.UP)
-
-    def entry(self, m: WorkerHost, state: WorkerState) -> Endpoint:
-        """Write a worker host's line."""
-        started = None if m.model.started is None else self.world.epoch + m.model.started
-        return Endpoint(m.name, m.kind.name, m.spec.zone, m.spec.cell, started, state)
-
-    # ---- learning ----
-
-    def changed(self, m: WorkerHost, notice: float) -> None:
-        """Learn of a worker host's state a while later, if it still holds then."""
-        self.world.loop.after(notice, self.learn, m)
-
-    def learn(self, m: WorkerHost) -> None:
-        """Look at a worker host, and publish what is new."""
-        state = WorkerState.GONE if m.silent else m.state()
-        old = self.entries.get(m.name)
-        if old is None and state is WorkerState.GONE:
+        """List the workers that are up at the start."""
+        for worker_host in worker_hosts:
+            if worker_host.model.up:
+                self.entries[worker_host.name] = self.entry(worker_host, WorkerState.UP)
+
+    def entry(self, worker_host: WorkerHost, state: WorkerState) -> Endpoint:
+        """Return the endpoint of a worker host."""
+        started = None if worker_host.model.started is None else self.world.epoch + worker_host.model.started
+        return Endpoint(
+            worker_host.name,
+            worker_host.kind.name,
+            worker_host.spec.zone,
+            worker_host.spec.cell,
+            started,
+            state,
+        )
+
+    # ---- changes of workers ----
+
+    def changed(self, worker_host: WorkerHost, notice: float) -> None:
+        """Publish a worker host's state after a delay, as it is at that time."""
+        self.world.loop.after(notice, self.publish_state, worker_host)
+
+    def publish_state(self, worker_host: WorkerHost) -> None:
+        """Publish a worker host's state if it differs from the list."""
+        state = WorkerState.GONE if worker_host.silent else worker_host.state()
+        previous = self.entries.get(worker_host.name)
+        if previous is None and state is WorkerState.GONE:
             return
-        new = self.entry(m, state)
-        if new == old:
+        current = self.entry(worker_host, state)
+        if current == previous:
             return
         if state is WorkerState.GONE:
-            self.entries.pop(m.name, None)
+            self.entries.pop(worker_host.name, None)
         else:
-            self.entries[m.name] = new
+            self.entries[worker_host.name] = current
         self.version += 1
-        self.log.append((self.version, new))
-        for process in list(self.watching):
-            self.round(process)
+        self.log.append((self.version, current))
+        for process in list(self.watch_started_at):
+            self.schedule_notification(process)
 
-    # ---- telling ----
+    # ---- watches and calls ----
 
-    def round(self, process: Process) -> None:
-        """Have a watch notified in the service's next round, with a spread."""
+    def schedule_notification(self, process: Process) -> None:
+        """Schedule a watch's notification for the next period of the service, plus a random spread."""
         if self.outages or process in self.pending:
             return
         self.pending.add(process)
         period = self.spec.period
         wait = period - self.world.loop.now % period + next(self.uniform) * self.spec.spread
-        self.world.loop.after(wait, self.deliver, process)
+        self.world.loop.after(wait, self.send_notification, process)
 
-    def deliver(self, process: Process) -> None:
-        """Send all that has changed since the last time."""
+    def send_notification(self, process: Process) -> None:
+        """Notify a watch of all changes since the last notification."""
         self.pending.discard(process)
-        if process in self.watching and not self.outages:
+        if process in self.watch_started_at and not self.outages:
             self.notify(process)
 
     def notify(self, process: Process) -> None:
-        """Write the changes, or the whole list to one that holds none."""
+        """Notify a process of the changes since its version, or of the whole list if it has none."""
         if process.version == 0:
             process.notified(ListScope.WHOLE, tuple(self.entries.values()), self.version)
             return
@@ -99,38 +108,40 @@
         process.notified(ListScope.CHANGES, tuple(reversed(newest.values())), self.version)
 
     def follow(self, process: Process) -> None:
-        """Take a call: in turn, and too late is a failure."""
+        """Handle a call: calls are served in turn, and one that would take longer than the timeout fails."""
         loop = self.world.loop
         if self.outages:
-            loop.after(next(self.uniform) * self.spec.spread + 1.0, self.fail, process)
+            loop.after(next(self.uniform) * self.spec.spread + 1.0, self.fail_call, process)
             return
-        self.free_at = max(self.free_at, loop.now) + len(self.entries) * 1000 / self.spec.lines_per_second
-        if self.free_at - loop.now > self.spec.timeout:
-            self.free_at -= len(self.entries) * 1000 / self.spec.lines_per_second
-            loop.after(self.spec.timeout, self.fail, process)
+        self.busy_until = (
+            max(self.busy_until, loop.now) + len(self.entries) * 1000 / self.spec.lines_per_second
+        )
+        if self.busy_until - loop.now > self.spec.timeout:
+            self.busy_until -= len(self.entries) * 1000 / self.spec.lines_per_second
+            loop.after(self.spec.timeout, self.fail_call, process)
         else:
-            loop.at(self.free_at, self.answer, process)
+            loop.at(self.busy_until, self.answer_call, process)
 
-    def answer(self, process: Process) -> None:
+    def answer_call(self, process: Process) -> None:
         """Answer a call; from then on the process is notified of changes."""
         if self.outages:
-            self.fail(process)
+            self.fail_call(process)
         elif process.alive:
-            self.watching[process] = self.world.loop.now
+            self.watch_started_at[process] = self.world.loop.now
             self.notify(process)
 
-    def fail(self, process: Process) -> None:
-        """Fail a call, or a watch."""
-        self.watching.pop(process, None)
+    def fail_call(self, process: Process) -> None:
+        """Make a call or a watch fail."""
+        self.watch_started_at.pop(process, None)
         process.notified(ListScope.FAILED, (), process.version)
 
     def forget(self, process: Process) -> None:
-        """End the watch of a process that is gone."""
-        self.watching.pop(process, None)
-
-    def down(self, on: bool) -> None:
-        """Go down, which ends every watch, or come back; overlapping outages last until the last ends."""
-        self.outages += 1 if on else -1
-        if on:
-            for process in list(self.watching):
-                self.fail(process)
+        """End the watch of a process that has disconnected."""
+        self.watch_started_at.pop(process, None)
+
+    def down(self, is_down: bool) -> None:
+        """Begin an outage, which ends every watch, or end one; overlapping ones last until the last ends."""
+        self.outages += 1 if is_down else -1
+        if is_down:
+            for process in list(self.watch_started_at):
+                self.fail_call(process)
--- a/elderstall/simulation/report.py
+++ b/elderstall/simulation/report.py
@@ -1,4 +1,4 @@
-"""A scenario's report: one HTML page with tables and, as SVG inside it, plots; by jinja2 and matplotlib."""
+"""The report of a simulation: an HTML page with tables and plots as inline SVG, by jinja2 and matplotlib."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from elderstall.simulation.world import World
 
 TEMPLATE = "report.html.j2"
-MOST_ROWS = 200  # workers in the heat map; of more, every so many-th
-SHADES = ("#d9a441", "#7a9cc6", "#b07aa1", "#86b875", "#c97064")
+MAX_HEAT_MAP_ROWS = 200  # maximum workers in the heat map; larger fleets are sampled at even steps
+FAULT_COLORS = ("#d9a441", "#7a9cc6", "#b07aa1", "#86b875", "#c97064")
 
 
-def svg_of(figure: Figure) -> str:
-    """Draw a figure as SVG, without what changes from run to run."""
+def render_svg(figure: Figure) -> str:
+    """Return a figure as SVG, without metadata that changes from run to run."""
     out = io.StringIO()
     with mpl.rc_context({"svg.hashsalt": "elderstall", "svg.fonttype": "none"}):
         figure.savefig(out, format="svg", metadata={"Date": None, "Creator": None})
@@ -32,14 +32,16 @@
     return text[text.index("<svg") :]
 
 
-def shade(axes: Axes, figures: dict[str, Any]) -> None:
-    """Shade the faults, and name each at its begin."""
-    for n, t in enumerate(figures["troubles"]):
-        color = SHADES[n % len(SHADES)]
-        axes.axvspan(t["at_s"], t["at_s"] + max(t["for_s"], 0.3), color=color, alpha=0.18, linewidth=0)
+def shade_faults(axes: Axes, figures: dict[str, Any]) -> None:
+    """Shade the time of each fault, and annotate its start with its kind."""
+    for index, fault in enumerate(figures["troubles"]):
+        color = FAULT_COLORS[index % len(FAULT_COLORS)]
+        axes.axvspan(
+            fault["at_s"], fault["at_s"] + max(fault["for_s"], 0.3), color=color, alpha=0.18, linewidth=0
+        )
         axes.annotate(
-            t["kind"],
-            (t["at_s"], 1.0),
+            fault["kind"],
+            (fault["at_s"], 1.0),
             xycoords=("data", "axes fraction"),
             fontsize=7,
             rotation=90,
@@ -49,7 +51,7 @@
 
 
 def service_plot(figures: dict[str, Any]) -> str:
-    """Plot service and load by window."""
+    """Return the plot of service and load by window."""
     windows = figures["windows"]
     middle = [w["from_s"] + 2.5 for w in windows]
     figure = Figure(figsize=(9, 4.6), layout="constrained")
@@ -84,19 +86,19 @@
         label="refused",
     )
     lower.set_ylabel("requests a second")
-    lower.set_xlabel("seconds of the night")
+    lower.set_xlabel("seconds of the simulation")
     lower.legend(fontsize=7, loc="upper left")
     for axes in (upper, lower):
-        shade(axes, figures)
-    return svg_of(figure)
+        shade_faults(axes, figures)
+    return render_svg(figure)
 
 
 def heat_map(world: World, figures: dict[str, Any]) -> str:
-    """Plot how busy each worker's cores are, second by second."""
+    """Return the plot of the fraction of cores in use, by worker and second; "" without samples."""
     rows = np.array([b.busy for b in world.tally.bins if b.busy]).T
     if not rows.size:
         return ""
-    step = -(-len(rows) // MOST_ROWS)
+    step = -(-len(rows) // MAX_HEAT_MAP_ROWS)
     names = list(world.worker_hosts)[::step]
     figure = Figure(figsize=(9, min(9.0, 1.2 + 0.16 * len(names))), layout="constrained")
     axes = figure.subplots()
@@ -111,15 +113,15 @@
     )
     if len(names) <= 40:
         axes.set_yticks([n + 0.5 for n in range(len(names))], names, fontsize=7)
-    axes.set_xlabel("seconds of the night")
+    axes.set_xlabel("seconds of the simulation")
     figure.colorbar(image, ax=axes, label="cores in use", format=PercentFormatter(1.0))
-    for t in figures["troubles"]:
-        axes.axvline(t["at_s"], color="white", linewidth=0.8, linestyle=":")
-    return svg_of(figure)
+    for fault in figures["troubles"]:
+        axes.axvline(fault["at_s"], color="white", linewidth=0.8, linestyle=":")
+    return render_svg(figure)
 
 
 def write(world: World, figures: dict[str, Any], path: Path, cpu: float) -> None:
-    """Write the report. ``cpu`` is the CPU seconds that the play took on this machine."""
+    """Write the report. ``cpu`` is the CPU seconds that the simulation took on this machine."""
     env = Environment(
         loader=FileSystemLoader(Path(__file__).parent),
         autoescape=True,
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -1,4 +1,4 @@
-"""A scenario on loopback sockets in real time: stand-in workers, the list, call-backs to real dispatchers."""
+"""A scenario on loopback sockets in real time: simulated workers and list around real dispatchers."""
 
 from __future__ import annotations
 
@@ -18,107 +18,112 @@
 from elderstall.simulation.listing import ListService
 from elderstall.simulation.scenario import ClassLoad, Kind, Scenario, Worker
 from elderstall.simulation.sockets import (
-    Caller,
-    Factories,
-    ListLink,
+    DispatcherClient,
+    ListConnection,
+    ProtocolFactory,
     RealTime,
     SocketAttempt,
     SocketJob,
-    WorkerLink,
+    WorkerConnection,
 )
 from elderstall.simulation.worker import Task
 from elderstall.simulation.worker_host import WorkerHost
 
 HOST = "127.0.0.1"
-ELSEWHERE = ("burst", "heavy-tail", "dispatcher-restart")  # faults of those who are real here
-INFO_SLOTS = ("cores_needed", "slots")
+# These strike clients or dispatchers, which are real here.
+UNSUPPORTED_FAULTS = ("burst", "heavy-tail", "dispatcher-restart")
+INFO_SLOTS = ("cores_needed", "slots")  # keys of X-Call-Info with the slots of a job
 
 
-class Books:
-    """Counts what ran, for whoever wants to know after a trial: the auditor's and the tally's place."""
+class ExecutionCounts:
+    """Counts the executions of each job; takes the place of the auditor and of the tally."""
 
     def __init__(self) -> None:
-        self.runs: Counter[str] = Counter()  # by client's id
-        self.unsafe: set[str] = set()  # those of classes that must not repeat
+        self.runs: Counter[str] = Counter()  # by request id
+        self.unsafe: set[str] = set()  # request ids of classes that are not idempotent
         self.fallen: list[str] = []
         self.core_ms = 0.0
 
     def started(self, attempt: SocketAttempt) -> None:
-        """Count a run."""
+        """Count an execution."""
         self.runs[attempt.request_id] += 1
         if not attempt.job.safe:
             self.unsafe.add(attempt.request_id)
 
     def informed(self, process: object, worker_host: object) -> bool:
-        """Who knew of a start is not known here."""
+        """Return True, as which dispatcher knew of a start is not known here."""
         return True
 
     def fell(self, worker_host: WorkerHost) -> None:
-        """Note a worker that was pushed over."""
+        """Record a worker that was brought down by overload."""
         self.fallen.append(worker_host.name)
 
     def core_time(self, task: Task) -> None:
-        """Book core time."""
+        """Add the core time of a finished task."""
         self.core_ms += task.core_time
 
 
 class SocketWorkerHost(WorkerHost):
-    """A worker host whose process listens: one port for each dispatcher, all leading to one model."""
+    """A worker host that listens on one port for each dispatcher, all of them served by one worker model."""
 
-    def __init__(self, stage: Stage, spec: Worker, kind: Kind, speed: float) -> None:
-        self.stage = stage
+    def __init__(self, platform: SimulatedPlatform, spec: Worker, kind: Kind, speed: float) -> None:
+        self.platform = platform
         self.attempts: dict[str, SocketAttempt] = {}
-        self.ports: dict[Caller, Any] = {}
-        self.numbers: dict[Caller, int] = {}
-        self.closing: list[Deferred[object]] = []  # ports on their way out: the same can't be had before
-        super().__init__(cast(Any, stage), spec, kind, speed)
+        self.ports: dict[DispatcherClient, Any] = {}
+        self.port_numbers: dict[DispatcherClient, int] = {}
+        # Results of closing ports, which cannot be bound again before they are closed.
+        self.closing_ports: list[Deferred[object]] = []
+        super().__init__(cast(Any, platform), spec, kind, speed)
 
     def listen(self) -> None:
-        """Listen, at the same ports as before if there were any."""
-        for caller in self.stage.callers:
-            if caller in self.ports:
-                continue  # a worker host that said nothing for a while went on listening
-            factory = Factories(lambda caller=caller: WorkerLink(self, caller))  # type: ignore[misc]
-            port = self.stage.reactor.listenTCP(self.numbers.get(caller, 0), factory, interface=HOST)
-            self.ports[caller], self.numbers[caller] = port, port.getHost().port
-
-    def hush(self) -> None:
-        """Listen no more: connections are refused, as a process that is gone does."""
-        self.closing += [maybeDeferred(port.stopListening) for port in self.ports.values()]
+        """Listen, on the same ports as before if there were any."""
+        for dispatcher in self.platform.dispatcher_clients:
+            if dispatcher in self.ports:
+                continue  # a silent worker host has gone on listening
+            factory = ProtocolFactory(lambda dispatcher=dispatcher: WorkerConnection(self, dispatcher))  # type: ignore[misc]
+            port = self.platform.reactor.listenTCP(
+                self.port_numbers.get(dispatcher, 0), factory, interface=HOST
+            )
+            self.ports[dispatcher] = port
+            self.port_numbers[dispatcher] = port.getHost().port
+
+    def stop_listening(self) -> None:
+        """Stop listening, so that connections are refused as by a process that has ended."""
+        self.closing_ports += [maybeDeferred(port.stopListening) for port in self.ports.values()]
         self.ports.clear()
 
     def die(self) -> None:
-        """Lose the process."""
+        """End the worker's process."""
         super().die()
         self.attempts.clear()
         if not self.silent:
-            self.hush()
+            self.stop_listening()
 
     def fell(self) -> None:
-        """Stay down after a fall."""
+        """Stop listening after the worker was brought down by overload."""
         super().fell()
-        self.hush()
+        self.stop_listening()
 
     def start(self, cold_share: float | None = None) -> None:
-        """Start a new process."""
-        closing, self.closing = self.closing, []
-        gatherResults(closing).addCallback(lambda _: self.listen() if self.model.up else None)
+        """Start a new process, which listens once the former ports are closed."""
+        closing_ports, self.closing_ports = self.closing_ports, []
+        gatherResults(closing_ports).addCallback(lambda _: self.listen() if self.model.up else None)
         super().start(cold_share)
 
     def cancel(self, attempt: Any) -> None:
-        """Hear that an attempt is given up; what runs on has nobody to report to, and is forgotten here."""
+        """Cancel an attempt and forget it; a task that runs on has nobody to report to."""
         super().cancel(attempt)
         request_id: str = attempt.request_id
         if self.attempts.get(request_id) is attempt:
             del self.attempts[request_id]
 
     def load_json(self, report: tuple[float, ...]) -> dict[str, float]:
-        """Write a load report with its fields' names."""
+        """Return a load report by the names of its fields."""
         return dict(zip(self.world.scenario.reports.fields, report, strict=False))
 
 
-class Stage:
-    """Everything but dispatchers and clients; what worker hosts, faults and the list ask of their world."""
+class SimulatedPlatform:
+    """Everything except dispatchers and clients; the world of the worker hosts, the faults and the list."""
 
     def __init__(
         self,
@@ -129,20 +134,25 @@
         dispatchers: list[tuple[str, int]],
         seed: int | None = None,
     ) -> None:
-        self.scenario, self.reactor = scenario, reactor
+        self.scenario = scenario
+        self.reactor = reactor
         self.seed = scenario.seed if seed is None else seed
-        self.loop, self.draws, self.epoch = RealTime(reactor, seconds), Draws(self.seed), unix_ms
-        self.audit = self.tally = self.books = Books()
+        self.loop = RealTime(reactor, seconds)
+        self.draws = Draws(self.seed)
+        self.epoch = unix_ms
+        self.audit = self.tally = self.execution_counts = ExecutionCounts()
         self.cut: Counter[tuple[int, str]] = Counter()
         self.struck: dict[int, list[str]] = {}
         self.absent: set[str] = set()
-        self.links = 0
+        self.connection_count = 0
         self.classes = {c.cls.name: c for c in scenario.classes}
-        self.works = {
+        self.work_draws = {
             c.cls.name: self.draws.work(c.distribution, c.work, c.spread, "work", c.cls.name)
             for c in scenario.classes
         }
-        self.callers = [Caller(self, rank, host, port) for rank, (host, port) in enumerate(dispatchers)]
+        self.dispatcher_clients = [
+            DispatcherClient(self, rank, host, port) for rank, (host, port) in enumerate(dispatchers)
+        ]
         self.dispatcher_hosts: list[Any] = []
         kinds = {kind.name: kind for kind in scenario.kinds}
         self.worker_hosts: dict[str, SocketWorkerHost] = {}
@@ -151,79 +161,83 @@
             drawn = next(self.draws.spread(kind.speed_spread, "speed", spec.name)) * kind.speed
             self.worker_hosts[spec.name] = SocketWorkerHost(self, spec, kind, spec.speed or drawn)
         self.listing = ListService(cast(Any, self), scenario.listing, self.draws.uniform("list"))
-        self.lists: dict[Caller, Any] = {}
-        self.left_out = [t.kind for t in scenario.faults if t.kind in ELSEWHERE]
+        self.list_ports: dict[DispatcherClient, Any] = {}
+        self.unsupported_faults = [
+            fault.kind for fault in scenario.faults if fault.kind in UNSUPPORTED_FAULTS
+        ]
 
     def begin(self) -> None:
-        """Listen everywhere, and plan the faults that strike what stands here."""
+        """Make the workers and the list listen, and schedule the faults that can be simulated here."""
         faults = Faults(cast(Any, self))
-        for n, fault in enumerate(self.scenario.faults):
-            if fault.kind not in ELSEWHERE:
-                faults.acts[fault.kind](fault, n)
+        for number, fault in enumerate(self.scenario.faults):
+            if fault.kind not in UNSUPPORTED_FAULTS:
+                faults.acts[fault.kind](fault, number)
         for name, worker_host in self.worker_hosts.items():
             if name in self.absent:
-                worker_host.listen()  # its ports are known from the first
-                worker_host.hush()
+                worker_host.listen()  # so that its ports are known from the start
+                worker_host.stop_listening()
                 worker_host.model.die(self.loop.now)
             else:
                 worker_host.listen()
         self.listing.begin(list(self.worker_hosts.values()))
-        for caller in self.callers:
-            factory = Factories(lambda caller=caller: ListLink(self, caller))  # type: ignore[misc]
-            self.lists[caller] = self.reactor.listenTCP(0, factory, interface=HOST)
+        for dispatcher in self.dispatcher_clients:
+            factory = ProtocolFactory(lambda dispatcher=dispatcher: ListConnection(self, dispatcher))  # type: ignore[misc]
+            self.list_ports[dispatcher] = self.reactor.listenTCP(0, factory, interface=HOST)
 
     def close(self) -> None:
-        """Listen no more, and drop every connection."""
+        """Stop listening, and drop every connection."""
         for worker_host in self.worker_hosts.values():
-            worker_host.hush()
+            worker_host.stop_listening()
             for link in list(worker_host.links):
                 link.close()
-        for port in self.lists.values():
+        for port in self.list_ports.values():
             port.stopListening()
-        for caller in self.callers:
-            if caller.link is not None:
-                caller.link.transport.abortConnection()
+        for dispatcher in self.dispatcher_clients:
+            if dispatcher.link is not None:
+                dispatcher.link.transport.abortConnection()
 
-    # ---- what is asked of a world ----
+    # ---- the world of worker hosts, faults and list ----
 
-    def reaches(self, caller: Caller, worker_host: WorkerHost) -> bool:
-        """Say whether anything said between a dispatcher and a worker host arrives."""
-        return not worker_host.silent and self.cut[caller.rank, worker_host.name] <= 0
+    def reaches(self, dispatcher: DispatcherClient, worker_host: WorkerHost) -> bool:
+        """Return whether a dispatcher and a worker host reach each other."""
+        return not worker_host.silent and self.cut[dispatcher.rank, worker_host.name] <= 0
 
     def count(self) -> int:
-        """Give a new connection its number."""
-        self.links += 1
-        return self.links
+        """Return the number of a new connection."""
+        self.connection_count += 1
+        return self.connection_count
 
-    def addresses(self, caller: Caller) -> dict[str, str]:
-        """Give the workers' addresses as one dispatcher reaches them."""
-        return {name: f"{HOST}:{host.numbers[caller]}" for name, host in self.worker_hosts.items()}
+    def addresses(self, dispatcher: DispatcherClient) -> dict[str, str]:
+        """Return the workers' addresses for one dispatcher, by name."""
+        return {name: f"{HOST}:{host.port_numbers[dispatcher]}" for name, host in self.worker_hosts.items()}
 
     def job(self, load: ClassLoad, message: http.Message) -> SocketJob:
-        """Work out what a job costs: by its hint, or drawn. Raises ValueError where the hint is no number."""
+        """Return a job, its work given by the hint or drawn. Raises ValueError for a malformed hint."""
         cost = message.headers.get("X-Call-Cost")
-        work = float(cost) / 1000 if cost else next(self.works[load.cls.name])
-        pairs = dict(
-            part.strip().partition("=")[::2]
-            for part in (message.headers.get("X-Call-Info") or "").split(",")
-            if part.strip()
+        work = float(cost) / 1000 if cost else next(self.work_draws[load.cls.name])
+        info = dict(
+            field.strip().partition("=")[::2]
+            for field in (message.headers.get("X-Call-Info") or "").split(",")
+            if field.strip()
         )
-        slots = next((int(float(pairs[name])) for name in INFO_SLOTS if name in pairs), 1)
+        slots = next((int(float(info[name])) for name in INFO_SLOTS if name in info), 1)
         if not 0 <= work < 1e9 or not 1 <= slots < 1_000:
-            raise ValueError("out of range")
+            raise ValueError("work or slots out of range")
         return SocketJob(load, min(work, load.longest), slots)
 
     def ends(self, message: http.Message) -> float:
-        """Say when its sender stops waiting. Raises ValueError where the budget is no number."""
+        """Return when the sender stops waiting (ms). Raises ValueError where the budget is not a number."""
         budget = message.headers.get("X-Budget-Ms")
         return self.loop.now + float(budget) if budget else float("inf")
 
-    # ---- for a dispatcher's start ----
+    # ---- configuration of dispatchers ----
 
-    def platform(self, caller: Caller) -> dict[str, Any]:
-        """Give the object that a dispatcher is started with, as the platform would."""
-        scenario, rules, reports = self.scenario, self.scenario.rules, self.scenario.reports
-        free = {f"report_{reports.free_slots}": "free slots"}
+    def dispatcher_config(self, dispatcher: DispatcherClient) -> dict[str, Any]:
+        """Return the configuration that a dispatcher is started with."""
+        scenario = self.scenario
+        rules = self.scenario.rules
+        reports = self.scenario.reports
+        free_slots_field = {f"report_{reports.free_slots}": "free slots"}
         settings = {
             "classes": [
                 {
@@ -235,8 +249,8 @@
                 }
                 for c in scenario.classes
             ],
-            "balancers": len(self.callers),
-            "rank": caller.rank,
+            "balancers": len(self.dispatcher_clients),
+            "rank": dispatcher.rank,
             "locality": scenario.workers[0].zone,
             "projects": [
                 {"name": t.name, "portion": t.share, "quota_per_s": t.quota} for t in scenario.tenants
@@ -250,7 +264,7 @@
             "specifics": {
                 "class_stretch": [c.cls.stretch for c in scenario.classes],
                 "tells_start": reports.starts_told,
-                **free,
+                **free_slots_field,
             },
             "rules": {
                 "answer_slack": rules.slack,
@@ -271,39 +285,44 @@
             },
         }
         entries = tuple(self.listing.entries.values())
-        port = self.lists[caller].getHost().port
+        port = self.list_ports[dispatcher].getHost().port
         return {
-            "name": f"n{caller.rank + 1}",
-            "listen": f"{caller.host}:{caller.port}",
+            "name": f"n{dispatcher.rank + 1}",
+            "listen": f"{dispatcher.host}:{dispatcher.port}",
             "discovery": f"{HOST}:{port}",
-            "seed": f"{self.draws.number('module', str(caller.rank)):x}",
-            "known": encode_list(self.listing.version, entries, self.addresses(caller)),
+            "seed": f"{self.draws.number('module', str(dispatcher.rank)):x}",
+            "known": encode_list(self.listing.version, entries, self.addresses(dispatcher)),
             "settings": settings,
         }
 
     def write(self, folder: Path) -> list[Path]:
-        """Write a configuration for each dispatcher; gives the files."""
+        """Write a configuration for each dispatcher, and return the files."""
         folder.mkdir(parents=True, exist_ok=True)
         paths = []
-        for caller in self.callers:
-            path = folder / f"n{caller.rank + 1}.json"
-            write_text_atomically(path, json.dumps(self.platform(caller), indent=1) + "\n")
+        for dispatcher in self.dispatcher_clients:
+            path = folder / f"n{dispatcher.rank + 1}.json"
+            write_text_atomically(path, json.dumps(self.dispatcher_config(dispatcher), indent=1) + "\n")
             paths.append(path)
         return paths
 
     def figures(self) -> dict[str, Any]:
-        """Say what ran."""
-        runs, unsafe = self.books.runs, self.books.unsafe
-        repeated = sorted(request_id for request_id, n in runs.items() if n > 1)
+        """Return the numbers of executions and call-backs."""
+        runs = self.execution_counts.runs
+        unsafe = self.execution_counts.unsafe
+        repeated = sorted(request_id for request_id, executions in runs.items() if executions > 1)
         return {
             "jobs": len(runs),
             "runs": sum(runs.values()),
             "repeated": len(repeated),
             "broken": [request_id for request_id in repeated if request_id in unsafe],
-            "fallen": self.books.fallen,
-            "core_s": round(self.books.core_ms / 1000, 3),
+            "fallen": self.execution_counts.fallen,
+            "core_s": round(self.execution_counts.core_ms / 1000, 3),
             "call_backs": {
-                f"n{c.rank + 1}": {"delivered": c.delivered, "failed": c.failed, "dropped": c.dropped}
-                for c in self.callers
+                f"n{dispatcher.rank + 1}": {
+                    "delivered": dispatcher.delivered,
+                    "failed": dispatcher.failed,
+                    "dropped": dispatcher.dropped,
+                }
+                for dispatcher in self.dispatcher_clients
             },
         }
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -1,7 +1,7 @@
 """The worker model on loopback sockets: requests, call-backs and the list in the published protocol.
 
-The same worker hosts, faults and list as in virtual time, hosted in real time. What HTTP needs stands here;
-what a worker does with a job stands in ``worker.py``.
+The worker hosts, faults and list are those of virtual time, run in real time. This module has the HTTP side;
+``worker.py`` models what a worker does with a job.
 """
 
 from __future__ import annotations
@@ -28,9 +28,10 @@
     from elderstall.simulation.listing import ListService
     from elderstall.simulation.worker_host import WorkerHost
 
-HEARTBEAT = 2_000.0  # ms between the empty lines of a watch
-CALL_WAIT = 2_000.0  # ms that a dispatcher may take over a call-back
-CALLS_MOST = 10_000  # call-backs that wait for one dispatcher; of more the oldest are dropped, and counted
+HEARTBEAT_INTERVAL_MS = 2_000.0  # between the empty lines that keep a watch alive
+CALLBACK_TIMEOUT_MS = 2_000.0  # for a dispatcher to answer a call-back
+CALLBACK_RETRY_DELAY_MS = 300.0
+MAX_WAITING_CALLBACKS = 10_000  # per dispatcher; beyond it the oldest call-back is dropped and counted
 STATES = {
     Ending.SERVED: "done",
     Ending.ERROR: "failed",
@@ -40,66 +41,76 @@
 
 
 class RealCall:
-    """A call to come, as the worker hosts use it."""
+    """A scheduled call, with the interface that worker hosts use."""
 
     def __init__(self, when: float, call: Any) -> None:
-        self.when, self.call = when, call
+        self.when = when
+        self.call = call
 
     def active(self) -> bool:
-        """Say whether it is still to come."""
+        """Return whether the call is still to come."""
         return bool(self.call.active())
 
     def stop(self) -> None:
-        """Forget it if it is still to come."""
+        """Cancel the call if it is still to come."""
         if self.call.active():
             self.call.cancel()
 
 
 class RealTime:
-    """A clock in milliseconds since the start, and a reactor's calls on it."""
+    """A clock in milliseconds since the start, with calls scheduled by a reactor."""
 
     def __init__(self, reactor: Any, seconds: Callable[[], float]) -> None:
-        self.reactor, self.seconds = reactor, seconds
-        self.began = seconds()
+        self.reactor = reactor
+        self.seconds = seconds
+        self.started_at = seconds()
 
     @property
     def now(self) -> float:
-        """Read the clock."""
-        return (self.seconds() - self.began) * 1000
+        """Milliseconds since the start."""
+        return (self.seconds() - self.started_at) * 1000
 
     def after(self, delay: float, function: Callable[..., object], *args: Any) -> RealCall:
-        """Call after so many milliseconds."""
+        """Schedule a call after a delay in milliseconds."""
         delay = max(0.0, delay)
         return RealCall(self.now + delay, self.reactor.callLater(delay / 1000, function, *args))
 
     def at(self, when: float, function: Callable[..., object], *args: Any) -> RealCall:
-        """Call at a reading of ``now``."""
+        """Schedule a call at a reading of ``now``."""
         return self.after(when - self.now, function, *args)
 
 
 class SocketJob:
-    """What a worker host asks of the request behind an attempt."""
+    """The request behind an attempt, with the interface that worker hosts use."""
 
     def __init__(self, load: ClassLoad, work: float, slots: int) -> None:
-        self.load, self.work, self.slots, self.saved, self.runs = load, work, slots, 0.0, 0
+        self.load = load
+        self.work = work
+        self.slots = slots
+        self.saved = 0.0
+        self.runs = 0
 
     @property
     def safe(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Whether the job may be executed more than once."""
         return self.load.cls.effect is Effect.IDEMPOTENT
 
 
 class SocketAttempt:
-    """One attempt that came over a socket."""
-
-    def __init__(self, link: WorkerLink, request_id: str, job: SocketJob, ends: float) -> None:
-        self.link, self.request_id, self.job, self.ends = link, request_id, job, ends
-        self.worker_host, self.upstream = link.worker_host, link.caller
+    """One attempt that arrived over a socket."""
+
+    def __init__(self, link: WorkerConnection, request_id: str, job: SocketJob, ends: float) -> None:
+        self.link = link
+        self.request_id = request_id
+        self.job = job
+        self.ends = ends
+        self.worker_host = link.worker_host
+        self.upstream = link.dispatcher
         self.task: Task | None = None
         self.number = 0
 
     def answered(self, outcome: Outcome | None) -> None:
-        """Answer on its connection: taken, or turned away."""
+        """Answer on the attempt's connection: accepted with 202, or rejected with 503."""
         if outcome is None:
             self.link.answer(202)
         else:
@@ -109,12 +120,12 @@
             self.link.answer(503, (("X-Rejected", "1"), *report))
 
     def broke(self) -> None:
-        """Reset its connection."""
+        """Reset the attempt's connection."""
         self.link.transport.abortConnection()
 
 
-class SocketSurroundings(Interface):
-    """What connections need of the socket simulation that they are part of."""
+class SocketContext(Interface):
+    """The attributes of the simulated platform that connections use."""
 
     reactor: Any
     loop: RealTime
@@ -122,43 +133,47 @@
     listing: ListService
 
     def count(self) -> int:
-        """Give a new connection its number."""
+        """Return the number of a new connection."""
 
-    def addresses(self, caller: Caller) -> dict[str, str]:
-        """Give the workers' addresses as one dispatcher reaches them."""
+    def addresses(self, dispatcher: DispatcherClient) -> dict[str, str]:
+        """Return the workers' addresses for one dispatcher, by name."""
 
     def job(self, load: ClassLoad, message: http.Message) -> SocketJob:
-        """Work out what a job costs."""
+        """Return a job with its work and slots. Raises ValueError for a malformed hint."""
 
     def ends(self, message: http.Message) -> float:
-        """Say when its sender stops waiting."""
+        """Return when the sender stops waiting (ms). Raises ValueError for a malformed budget."""
 
 
-class WorkerLink(Protocol):
+class WorkerConnection(Protocol):
     """One connection that a dispatcher has opened to a worker host."""
 
     transport: Any
 
-    def __init__(self, worker_host: WorkerHost, caller: Caller) -> None:
-        self.worker_host, self.caller, self.stage = worker_host, caller, caller.stage
+    def __init__(self, worker_host: WorkerHost, dispatcher: DispatcherClient) -> None:
+        self.worker_host = worker_host
+        self.dispatcher = dispatcher
+        self.platform = dispatcher.platform
         self.parser = http.Parser()
         self.body: list[bytes] = []
         self.message: http.Message | None = None
         self.number = 0
-        self.open, self.deaf, self.busy = True, False, False
-        self.ready_at = 0.0  # when its handshake is done
+        self.open = True
+        self.deaf = False
+        self.busy = False
+        self.ready_at = 0.0  # ms; when its handshake is complete
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         worker_host = self.worker_host
-        self.number = self.stage.count()
+        self.number = self.platform.count()
         self.transport.setTcpNoDelay(True)
         if len(worker_host.links) >= worker_host.kind.connections:
             self.transport.abortConnection()
             return
         worker_host.links.add(self)  # type: ignore[arg-type]
         worker_host.model.connections = len(worker_host.links)
-        worker_host.poke(worker_host.model.charge(self.stage.loop.now, worker_host.kind.connection_work))
-        self.ready_at = self.stage.loop.now + worker_host.model.backlog()
+        worker_host.poke(worker_host.model.charge(self.platform.loop.now, worker_host.kind.connection_work))
+        self.ready_at = self.platform.loop.now + worker_host.model.backlog()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
         if self.worker_host.silent or self.deaf:
@@ -172,12 +187,12 @@
                     self.body.append(event.data)
                 elif self.message is not None:
                     message, self.message, self.busy = self.message, None, True
-                    self.stage.loop.at(self.ready_at, self.take, message)
+                    self.platform.loop.at(self.ready_at, self.handle_request, message)
         except http.MessageError as error:
             self.answer(error.status, close=True)
 
-    def take(self, message: http.Message) -> None:
-        """Take a request: a job, or the end of one."""
+    def handle_request(self, message: http.Message) -> None:
+        """Handle a request: a job, or its cancellation."""
         if not self.open:
             return
         path = urlsplit(message.target).path
@@ -187,13 +202,16 @@
                 self.worker_host.cancel(attempt)
             self.answer(204)
             return
-        request_id, name = message.headers.get("X-Call-Id"), path.lstrip("/").split("/", 1)[0]
-        load = self.stage.classes.get(name)
+        request_id = message.headers.get("X-Call-Id")
+        class_name = path.lstrip("/").split("/", 1)[0]
+        load = self.platform.classes.get(class_name)
         if message.method != "POST" or load is None or not request_id:
             self.answer(404)
             return
         try:
-            attempt = SocketAttempt(self, request_id, self.stage.job(load, message), self.stage.ends(message))
+            attempt = SocketAttempt(
+                self, request_id, self.platform.job(load, message), self.platform.ends(message)
+            )
         except ValueError:
             self.answer(400)
             return
@@ -201,7 +219,7 @@
         self.worker_host.receive(attempt, self)  # type: ignore[arg-type]
 
     def answer(self, status: int, headers: tuple[tuple[str, str], ...] = (), close: bool = False) -> None:
-        """Write an answer and go on to the next request."""
+        """Write an answer and continue with the next request."""
         if not self.open or self.worker_host.silent:
             return
         self.busy = False
@@ -212,11 +230,11 @@
             self.dataReceived(b"")
 
     def close(self) -> None:
-        """Reset it; see ``upstream.Link``."""
+        """Reset the connection; see ``upstream.Link``."""
         self.transport.abortConnection()
 
     def reset(self) -> None:
-        """Reset it; see ``upstream.Link``."""
+        """Reset the connection; see ``upstream.Link``."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
@@ -225,11 +243,11 @@
         self.worker_host.model.connections = len(self.worker_host.links)
         for attempt in list(self.worker_host.attempts.values()):  # type: ignore[attr-defined]
             if attempt.link is self and self.busy and attempt.task is not None:
-                self.worker_host.cancel(attempt)  # closed before the 202: given up
+                self.worker_host.cancel(attempt)  # closed before the 202: cancelled
 
 
-class Factories(Factory):
-    """Makes protocols by a function."""
+class ProtocolFactory(Factory):
+    """Builds protocols with a function."""
 
     noisy = False
 
@@ -240,17 +258,20 @@
         return self.make()
 
 
-class Caller:
-    """Calls one dispatcher back: one call at a time, in order, over a connection that is kept."""
+class DispatcherClient:
+    """Sends call-backs to one dispatcher: one at a time, in order, over a persistent connection."""
 
-    alive = True  # what worker hosts ask of a dispatcher's process
+    alive = True  # read by worker hosts, which take this for the dispatcher's process
 
-    def __init__(self, stage: SocketSurroundings, rank: int, host: str, port: int) -> None:
-        self.stage, self.rank, self.host, self.port = stage, rank, host, port
+    def __init__(self, platform: SocketContext, rank: int, host: str, port: int) -> None:
+        self.platform = platform
+        self.rank = rank
+        self.host = host
+        self.port = port
         self.process = self.dispatcher_host = self
         self.waiting: deque[tuple[dict[str, Any], int]] = deque()
         self.dropped = self.delivered = self.failed = 0
-        self.link: CallLink | None = None
+        self.link: CallbackConnection | None = None
         self.connecting = False
         self.timer: RealCall | None = None
 
@@ -270,76 +291,86 @@
         self.queue(call)
 
     def noted(self, attempt: SocketAttempt, share: float, started: bool = False) -> None:
-        """Report a start, or progress."""
+        """Report that a job started, or its progress."""
         state = {"state": "started"} if started else {"state": "running", "share": round(share, 4)}
         self.queue({"id": attempt.request_id, "from": attempt.worker_host.name, **state})
 
-    def queue(self, call: dict[str, Any], tries: int = 10) -> None:
-        """Have a call made; bounded, as a dispatcher may be gone for long."""
-        if len(self.waiting) >= CALLS_MOST:
+    def queue(self, call: dict[str, Any], attempts_left: int = 10) -> None:
+        """Queue a call-back; the queue is bounded, as a dispatcher may be down for long."""
+        if len(self.waiting) >= MAX_WAITING_CALLBACKS:
             self.waiting.popleft()
             self.dropped += 1
-        self.waiting.append((call, tries))
-        self.next()
+        self.waiting.append((call, attempts_left))
+        self.send_next()
 
-    def next(self) -> None:
-        """Make the next call, if none is being made."""
+    def send_next(self) -> None:
+        """Send the next call-back unless one is in progress."""
         if not self.waiting or self.connecting or (self.link is not None and self.link.call is not None):
             return
         if self.link is not None:
-            call, tries = self.waiting.popleft()
-            self.timer = self.stage.loop.after(CALL_WAIT, self.link.transport.abortConnection)
-            self.link.send(call, tries)
+            call, attempts_left = self.waiting.popleft()
+            self.timer = self.platform.loop.after(CALLBACK_TIMEOUT_MS, self.link.transport.abortConnection)
+            self.link.send(call, attempts_left)
             return
         self.connecting = True
-        endpoint: Any = TCP4ClientEndpoint(self.stage.reactor, self.host, self.port, timeout=CALL_WAIT / 1000)
-        endpoint.connect(Factories(lambda: CallLink(self))).addCallbacks(self.up, self.down)
+        endpoint: Any = TCP4ClientEndpoint(
+            self.platform.reactor, self.host, self.port, timeout=CALLBACK_TIMEOUT_MS / 1000
+        )
+        endpoint.connect(ProtocolFactory(lambda: CallbackConnection(self))).addCallbacks(
+            self.connected, self.connect_failed
+        )
 
-    def up(self, link: CallLink) -> None:
-        """Go on over a connection that has come up."""
-        self.connecting, self.link = False, link
-        self.next()
+    def connected(self, link: CallbackConnection) -> None:
+        """Send the next call-back over the new connection."""
+        self.connecting = False
+        self.link = link
+        self.send_next()
 
-    def down(self, _: Failure) -> None:
-        """Count a try of the call at the head, and try again a moment later."""
+    def connect_failed(self, _: Failure) -> None:
+        """Count an attempt of the first call-back, and connect again after a delay."""
         self.connecting = False
         if self.waiting:
-            call, tries = self.waiting.popleft()
-            if tries > 1:
-                self.waiting.appendleft((call, tries - 1))
+            call, attempts_left = self.waiting.popleft()
+            if attempts_left > 1:
+                self.waiting.appendleft((call, attempts_left - 1))
             else:
                 self.failed += 1
-        self.stage.loop.after(300.0, self.next)
+        self.platform.loop.after(CALLBACK_RETRY_DELAY_MS, self.send_next)
 
-    def over(self, good: bool, call: dict[str, Any], tries: int) -> None:
-        """Take a call's answer."""
+    def call_ended(self, succeeded: bool, call: dict[str, Any], attempts_left: int) -> None:
+        """Handle the end of a call-back, retry it if it failed, and send the next."""
         if self.timer is not None:
             self.timer.stop()
-        if good:
+        if succeeded:
             self.delivered += 1
-        elif tries > 1:
-            self.stage.loop.after(300.0, self.queue, call, tries - 1)
+        elif attempts_left > 1:
+            self.platform.loop.after(CALLBACK_RETRY_DELAY_MS, self.queue, call, attempts_left - 1)
         else:
             self.failed += 1
-        self.next()
+        self.send_next()
 
 
-class CallLink(Protocol):
+class CallbackConnection(Protocol):
     """A connection to a dispatcher, for call-backs."""
 
     transport: Any
 
-    def __init__(self, caller: Caller) -> None:
-        self.caller, self.parser = caller, http.Parser(responses=True)
+    def __init__(self, dispatcher: DispatcherClient) -> None:
+        self.dispatcher = dispatcher
+        self.parser = http.Parser(responses=True)
         self.call: tuple[dict[str, Any], int] | None = None
         self.status = 0
 
-    def send(self, call: dict[str, Any], tries: int) -> None:
-        """Write one call."""
-        self.call = call, tries
+    def send(self, call: dict[str, Any], attempts_left: int) -> None:
+        """Write one call-back."""
+        self.call = call, attempts_left
         self.transport.write(
             http.request(
-                "POST", "/callback", f"{self.caller.host}:{self.caller.port}", (), json.dumps(call).encode()
+                "POST",
+                "/callback",
+                f"{self.dispatcher.host}:{self.dispatcher.port}",
+                (),
+                json.dumps(call).encode(),
             )
         )
 
@@ -350,43 +381,47 @@
                 if isinstance(event, http.Head):
                     self.status = event.message.status
                 elif isinstance(event, http.End) and self.call is not None:
-                    (call, tries), self.call = self.call, None
-                    self.caller.over(self.status in (200, 204), call, tries)
+                    (call, attempts_left), self.call = self.call, None
+                    self.dispatcher.call_ended(self.status in (200, 204), call, attempts_left)
         except http.MessageError:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
-        if self.caller.link is self:
-            self.caller.link = None
+        if self.dispatcher.link is self:
+            self.dispatcher.link = None
         pending, self.call = self.call, None
         if pending is not None:
-            self.caller.over(False, *pending)
+            self.dispatcher.call_ended(False, *pending)
         else:
-            self.caller.next()
+            self.dispatcher.send_next()
 
 
-class ListLink(Protocol):
-    """One caller of the list: the whole, or a watch."""
+class ListConnection(Protocol):
+    """One connection to the list: a call for the whole list, or a watch."""
 
     transport: Any
 
-    def __init__(self, stage: SocketSurroundings, caller: Caller) -> None:
-        self.stage, self.caller = stage, caller
+    def __init__(self, platform: SocketContext, dispatcher: DispatcherClient) -> None:
+        self.platform = platform
+        self.dispatcher = dispatcher
         self.parser = http.Parser()
-        self.alive, self.version, self.watch, self.begun = True, 0, False, False
+        self.alive = True
+        self.version = 0
+        self.watch = False
+        self.headers_sent = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
         self.parser.feed(data)
         try:
             while (event := self.parser.next()) is not None:
                 if isinstance(event, http.Head):
-                    self.ask(event.message)
+                    self.handle_request(event.message)
         except http.MessageError as error:
             self.transport.write(http.response(error.status, close=True))
             self.transport.loseConnection()
 
-    def ask(self, message: http.Message) -> None:
-        """Take a call."""
+    def handle_request(self, message: http.Message) -> None:
+        """Handle a request for the list."""
         url = urlsplit(message.target)
         query = parse_qs(url.query)
         if message.method != "GET" or url.path != "/discovery/hosts":
@@ -395,38 +430,38 @@
         self.watch = query.get("watch") == ["1"]
         since = query.get("from", ["0"])[0]
         version = int(since) if since.isdigit() else 0
-        self.version = version if self.watch and version <= self.stage.listing.version else 0
-        self.stage.listing.follow(self)  # type: ignore[arg-type]
+        self.version = version if self.watch and version <= self.platform.listing.version else 0
+        self.platform.listing.follow(self)  # type: ignore[arg-type]
 
     def notified(self, scope: ListScope, entries: tuple[Endpoint, ...], version: int) -> None:
-        """Write news of the list; a call that failed, or a watch that ends, says so."""
+        """Write an update of the list; close the connection where the call failed or the watch ended."""
         if not self.alive:
             return
         if scope in (ListScope.FAILED, ListScope.SILENT):
-            if not self.begun:
+            if not self.headers_sent:
                 self.transport.write(http.response(503, close=True))
             self.transport.loseConnection()
             return
-        value = encode_list(version, entries, self.stage.addresses(self.caller))
+        value = encode_list(version, entries, self.platform.addresses(self.dispatcher))
         value["snapshot"] = scope is ListScope.WHOLE
         line = json.dumps(value).encode() + b"\n"
         if not self.watch:
-            self.stage.listing.forget(self)  # type: ignore[arg-type]
+            self.platform.listing.forget(self)  # type: ignore[arg-type]
             self.transport.write(http.response(200, line, (("Content-Type", "application/json"),)))
             return
         self.version = version
-        if not self.begun:
-            self.begun = True
+        if not self.headers_sent:
+            self.headers_sent = True
             self.transport.write(http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")]))
-            self.stage.loop.after(HEARTBEAT, self.beat)
+            self.platform.loop.after(HEARTBEAT_INTERVAL_MS, self.send_heartbeat)
         self.transport.write(http.chunk(line))
 
-    def beat(self) -> None:
-        """Say that the list lives."""
-        if self.alive and not self.stage.listing.outages:
+    def send_heartbeat(self) -> None:
+        """Write an empty line, which shows that the list is in service."""
+        if self.alive and not self.platform.listing.outages:
             self.transport.write(http.chunk(b"\n"))
-            self.stage.loop.after(HEARTBEAT, self.beat)
+            self.platform.loop.after(HEARTBEAT_INTERVAL_MS, self.send_heartbeat)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, D102
         self.alive = False
-        self.stage.listing.forget(self)  # type: ignore[arg-type]
+        self.platform.listing.forget(self)  # type: ignore[arg-type]
--- a/tests/serve_trial.py
+++ b/tests/serve_trial.py
@@ -1,4 +1,4 @@
-"""A trial in a process of its own: a real dispatcher on sockets, and the workers and list around it."""
+"""A trial in its own process: a real dispatcher on sockets with simulated workers and list around it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from elderstall.app import App
 from elderstall.config import config_of
 from elderstall.simulation.scenario import Fault
-from elderstall.simulation.serve import Stage
+from elderstall.simulation.serve import SimulatedPlatform
 from tests.simulation_scenarios import scenario
 
 JOBS = 60
 
 
-def ask(port: int, number: int) -> int:
-    """Send one job and give the status of its answer; connections of clients are not kept."""
+def send_job(port: int, number: int) -> int:
+    """Send one job over a new connection, and return the status of its answer."""
     name = ("fetch", "purchase")[number % 2]
-    there = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
-    there.request(
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
+    connection.request(
         "POST",
         f"/{name}?obj=7",
         b"card",
@@ -37,9 +37,9 @@
             "X-Call-Cost": "60000",
         },
     )
-    answer = there.getresponse()
+    answer = connection.getresponse()
     body = answer.read().decode()
-    there.close()
+    connection.close()
     if answer.status == 200 and body.split(" ")[:2] != [name, f"job-{number}"]:
         raise AssertionError(f"the answer to job {number} is {body!r}")
     return answer.status
@@ -54,24 +54,31 @@
         "drain": [Fault("drain", 300.0, 900.0, workers=("w-1", "w-2", "w-3"))],
         "vanish": [Fault("vanish", 300.0, 900.0, workers=("w-1",))],
     }[fault]
-    stage = Stage(scenario(*faults), loop, time.monotonic, time.time() * 1000, [("127.0.0.1", 1)], 3)
-    stage.begin()
-    app = App(config_of({**stage.platform(stage.callers[0]), "listen": "127.0.0.1:0"}, {}), loop)
+    platform = SimulatedPlatform(
+        scenario(*faults), loop, time.monotonic, time.time() * 1000, [("127.0.0.1", 1)], 3
+    )
+    platform.begin()
+    app = App(
+        config_of(
+            {**platform.dispatcher_config(platform.dispatcher_clients[0]), "listen": "127.0.0.1:0"}, {}
+        ),
+        loop,
+    )
     statuses: list[int] = []
 
     def begin() -> None:
         app.start()
         port = app.port.getHost().port
-        stage.callers[0].port = port
-        asked = [deferToThread(ask, port, n) for n in range(JOBS)]
-        gatherResults(asked, consumeErrors=True).addCallback(statuses.extend).addErrback(
+        platform.dispatcher_clients[0].port = port
+        answers = [deferToThread(send_job, port, number) for number in range(JOBS)]
+        gatherResults(answers, consumeErrors=True).addCallback(statuses.extend).addErrback(
             lambda failure: print(failure, file=sys.stderr)
         ).addBoth(lambda _: settle())
 
     def settle() -> None:
-        """Wait until no worker has anything left: whatever would run twice has done so."""
-        if any(m.model.held or m.model.paused for m in stage.worker_hosts.values()) or any(
-            c.waiting for c in stage.callers
+        """Wait until no worker has a task left, so that any duplicate execution has been counted."""
+        if any(host.model.held or host.model.paused for host in platform.worker_hosts.values()) or any(
+            client.waiting for client in platform.dispatcher_clients
         ):
             loop.callLater(0.05, settle)
         else:
@@ -79,8 +86,8 @@
 
     loop.callWhenRunning(begin)
     loop.run()
-    stage.close()
-    print(json.dumps({**stage.figures(), "statuses": statuses}))
+    platform.close()
+    print(json.dumps({**platform.figures(), "statuses": statuses}))
 
 
 if __name__ == "__main__":
--- a/tests/simulation_scenarios.py
+++ b/tests/simulation_scenarios.py
@@ -36,7 +36,7 @@
 
 
 def scenario(*faults: Fault, **changes: Any) -> Scenario:
-    """Describe a short scenario."""
+    """Return a short scenario with these faults and changed fields."""
     workers = tuple(Worker(f"w-{n}", "fast" if n % 2 else "slow", "a", n // 2) for n in range(6))
     values: dict[str, Any] = {
         "name": "small",
@@ -56,13 +56,19 @@
 
 
 def shorter(base: Scenario, length: float) -> Scenario:
-    """Cut a scenario short, and its faults with it."""
-    part = length / base.length
+    """Return a scenario of this length, with the times of its faults scaled likewise."""
+    fraction = length / base.length
     return replace(
         base,
         length=length,
         faults=tuple(
-            replace(t, at=t.at * part, length=t.length * part, ramp=t.ramp * part, apart=t.apart * part)
-            for t in base.faults
+            replace(
+                fault,
+                at=fault.at * fraction,
+                length=fault.length * fraction,
+                ramp=fault.ramp * fraction,
+                apart=fault.apart * fraction,
+            )
+            for fault in base.faults
         ),
     )
--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -16,7 +16,7 @@
 
 from elderstall.atomic_file import write_bytes_atomically, write_text_atomically
 from elderstall.cli import group, output
-from elderstall.simulation.serve import Stage
+from elderstall.simulation.serve import SimulatedPlatform
 from tests.test_simulation_script import TEXT
 
 FORMER, NEW = "former\n", "new " * 1_000
@@ -179,16 +179,20 @@
 def test_a_configuration_that_cannot_be_written_is_an_error_and_leaves_the_former_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stage: Any = SimpleNamespace(callers=[SimpleNamespace(rank=0)], platform=lambda caller: {"name": NEW})
+    platform: Any = SimpleNamespace(
+        dispatcher_clients=[SimpleNamespace(rank=0)], dispatcher_config=lambda dispatcher: {"name": NEW}
+    )
     (tmp_path / "n1.json").write_text(FORMER)
     write = os.write
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda fd, data: write(fd, data[:100]))  # so it fails half-way
         failing(patch, "write", OSError(errno.EIO, os.strerror(errno.EIO)), after=1)
         with pytest.raises(OSError, match=r"n1\.json"):
-            Stage.write(stage, tmp_path)
+            SimulatedPlatform.write(platform, tmp_path)
     assert (os.listdir(tmp_path), (tmp_path / "n1.json").read_text()) == (["n1.json"], FORMER)
-    assert [json.loads(path.read_text()) for path in Stage.write(stage, tmp_path)] == [{"name": NEW}]
+    assert [json.loads(path.read_text()) for path in SimulatedPlatform.write(platform, tmp_path)] == [
+        {"name": NEW}
+    ]
 
 
 def test_a_dispatchers_start_imports_none_of_it() -> None:
--- a/tests/test_simulation_serve.py
+++ b/tests/test_simulation_serve.py
@@ -1,4 +1,4 @@
-"""The worker model on sockets: a real dispatcher among stand-in workers, with runs counted at the workers."""
+"""A real dispatcher with simulated workers on sockets; executions are counted at the workers."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 def test_every_job_is_served_and_runs_once() -> None:
-    told = trial("none")
-    assert Counter(told["statuses"])[200] > 0 and set(told["statuses"]) <= {200, 503}
-    assert len(told["statuses"]) == 60
-    assert told["runs"] == told["jobs"] == told["statuses"].count(200) and not told["broken"]
-    assert told["call_backs"]["n1"]["failed"] == told["call_backs"]["n1"]["dropped"] == 0
+    figures = trial("none")
+    assert Counter(figures["statuses"])[200] > 0 and set(figures["statuses"]) <= {200, 503}
+    assert len(figures["statuses"]) == 60
+    assert figures["runs"] == figures["jobs"] == figures["statuses"].count(200) and not figures["broken"]
+    assert figures["call_backs"]["n1"]["failed"] == figures["call_backs"]["n1"]["dropped"] == 0
 
 
 @pytest.mark.parametrize("fault", ["restart", "pause", "drain", "vanish"])
-def test_with_trouble_all_are_answered_and_nothing_unsafe_runs_twice(fault: str) -> None:
-    told = trial(fault)
-    assert len(told["statuses"]) == 60 and not told["broken"] and not told["fallen"]
-    assert told["statuses"].count(200) > 20
+def test_with_a_fault_all_are_answered_and_nothing_unsafe_runs_twice(fault: str) -> None:
+    figures = trial(fault)
+    assert len(figures["statuses"]) == 60 and not figures["broken"] and not figures["fallen"]
+    assert figures["statuses"].count(200) > 20
