--- a/elderstall/simulation/compare.py
+++ b/elderstall/simulation/compare.py
@@ -56,7 +56,7 @@
     first: float
     second: float
     difference: float
-    half: float | None  # half the width of the interval
+    half: float | None  # the width of the interval, halved
 
     @property
     def clear(self) -> bool:
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -67,7 +67,7 @@
         self.requests = self.tries = self.retries = self.attempts = self.connections = self.probes = 0
         self.core_ms = self.useful_ms = 0.0
         self.work_requested = self.late_weight = 0.0  # standard work; priority weight
-        # a heap of the requests that were not served, those with the most priority weight
+        # Heap of the requests that were not served, limited to those with the most priority weight.
         self.lost: list[tuple[float, int, str, str, float]] = []
 
     def bin_of(self, request: Request) -> Bin:
@@ -126,14 +126,16 @@
 
 def worst_window(bins: list[Bin], length: int = WORST_WINDOW_BINS) -> tuple[float | None, int]:
     """Return the lowest service over this many consecutive bins, and the index of the first of them."""
-    worst, start = None, 0
+    worst = None
+    start = 0
     for index in range(max(1, len(bins) - length + 1)):
         window_bins = bins[index : index + length]
         requested = sum(b.priority_weight.requested for b in window_bins)
         if requested > 0:
             service = sum(b.priority_weight.earned for b in window_bins) / requested
             if worst is None or service < worst:
-                worst, start = service, index
+                worst = service
+                start = index
     return worst, start
 
 
@@ -298,15 +300,13 @@
 
 def window(bins: list[Bin], start: int, workers: tuple[Worker, ...]) -> dict[str, Any]:
     """Return the figures of the window of consecutive bins that starts at this second."""
-    requested, earned = (
-        sum(b.priority_weight.requested for b in bins),
-        sum(b.priority_weight.earned for b in bins),
-    )
+    requested = sum(b.priority_weight.requested for b in bins)
+    earned = sum(b.priority_weight.earned for b in bins)
     endings: Counter[str] = Counter()
     classes: dict[str, PriorityWeight] = {}
-    for b in bins:
-        endings.update(b.endings)
-        for name, priority_weight in b.classes.items():
+    for second in bins:
+        endings.update(second.endings)
+        for name, priority_weight in second.classes.items():
             total = classes.setdefault(name, PriorityWeight())
             total.requested += priority_weight.requested
             total.earned += priority_weight.earned
--- a/elderstall/simulation/reading.py
+++ b/elderstall/simulation/reading.py
@@ -39,15 +39,8 @@
 )
 
 SCHEMA = Path(__file__).with_name("schema.xml")
-SINGLE_SECTIONS = (
-    "network",
-    "rules",
-    "list",
-    "reports",
-    "clients",
-    "dispatchers",
-    "goal",
-)  # sections that may occur once
+# Sections that may occur at most once.
+SINGLE_SECTIONS = ("network", "rules", "list", "reports", "clients", "dispatchers", "goal")
 UNUSED_OVERRIDE = "a section or key that it names is not in the scenario file"
 OVERRIDE_SOURCE = "--set"  # stands for a file name at overridden values
 MAX_WORKERS = 5_000  # a mistyped larger number is rejected before it exhausts the machine's memory
--- a/tests/test_simulation_script.py
+++ b/tests/test_simulation_script.py
@@ -46,7 +46,7 @@
 
 
 @pytest.fixture
-def script(tmp_path: Path) -> Path:
+def scenario_file(tmp_path: Path) -> Path:
     path = tmp_path / "test.conf"
     path.write_text(TEXT)
     return path
@@ -75,41 +75,41 @@
     ],
 )
 def test_errors_name_file_line_and_key(
-    script: Path, old: str, new: str, line: int, key: str, reason: str
+    scenario_file: Path, old: str, new: str, line: int, key: str, reason: str
 ) -> None:
-    script.write_text(TEXT.replace(old, new, 1))
+    scenario_file.write_text(TEXT.replace(old, new, 1))
     with pytest.raises(ScriptError) as caught:
-        read(script)
+        read(scenario_file)
     assert (caught.value.line, caught.value.key) == (line, key) and reason in str(caught.value)
     assert f"test.conf:{line}" in str(caught.value)
 
 
-def test_an_error_in_an_included_file_names_that_file(script: Path) -> None:
-    (script.parent / "more.inc").write_text("<tenant a>\n  share x\n  quota 1\n</tenant>\n")
-    script.write_text(TEXT + "%include more.inc\n")
+def test_an_error_in_an_included_file_names_that_file(scenario_file: Path) -> None:
+    (scenario_file.parent / "more.inc").write_text("<tenant a>\n  share x\n  quota 1\n</tenant>\n")
+    scenario_file.write_text(TEXT + "%include more.inc\n")
     with pytest.raises(ScriptError, match=r"more\.inc:2: <tenant a> share"):
-        read(script)
+        read(scenario_file)
 
 
-def test_unusual_values_are_warnings(script: Path) -> None:
-    script.write_text(TEXT.replace("for 2s", "for 30s").replace("rate 20", "rate 2000"))
-    _, warnings = read(script)
+def test_unusual_values_are_warnings(scenario_file: Path) -> None:
+    scenario_file.write_text(TEXT.replace("for 2s", "for 30s").replace("rate 20", "rate 2000"))
+    _, warnings = read(scenario_file)
     assert [w.split(": ")[1] for w in warnings] == ["<load> rate", "<slow> for"]
 
 
-def test_overrides_replace_values_and_are_checked(script: Path) -> None:
-    scenario, _ = read(script, ["load/rate=5", "slow/factor=2", "seed=9"])
+def test_overrides_replace_values_and_are_checked(scenario_file: Path) -> None:
+    scenario, _ = read(scenario_file, ["load/rate=5", "slow/factor=2", "seed=9"])
     assert (scenario.load.rate, scenario.faults[0].factor, scenario.seed) == (5.0, 2.0, 9)
-    scenario, _ = read(script, ["clients/retries=3", "rules/max-attempts=2", "load/rate=6"])
+    scenario, _ = read(scenario_file, ["clients/retries=3", "rules/max-attempts=2", "load/rate=6"])
     assert (scenario.clients.retries, scenario.rules.max_attempts, scenario.load.rate) == (3.0, 2, 6.0)
     for change in ("load/rate=x", "nobody/rate=1", "load/rate", "slow/at=99s", "clients/nothing=1"):
         with pytest.raises(ScriptError):
-            read(script, [change])
+            read(scenario_file, [change])
 
 
-def test_a_level_is_a_share_of_the_fleets_capacity(script: Path) -> None:
-    script.write_text(TEXT.replace("rate 20", "level 50%"))
-    scenario, _ = read(script)
+def test_a_level_is_a_share_of_the_fleets_capacity(scenario_file: Path) -> None:
+    scenario_file.write_text(TEXT.replace("rate 20", "level 50%"))
+    scenario, _ = read(scenario_file)
     assert scenario.load.rate == pytest.approx(
         0.5 * 3 * 2 * 2.0 / 0.1
     )  # workers x cores x speed / s of a job
@@ -134,10 +134,11 @@
 
 
 def test_run_prints_tables_and_writes_json_and_a_report(
-    script: Path, capsys: pytest.CaptureFixture[str]
+    scenario_file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    out, report = script.with_name("out.json"), script.with_name("out.html")
-    assert run_main(["simulate", "run", str(script), "--json", str(out), "--report", str(report)]) == 0
+    out = scenario_file.with_name("out.json")
+    report = scenario_file.with_name("out.html")
+    assert run_main(["simulate", "run", str(scenario_file), "--json", str(out), "--report", str(report)]) == 0
     figures = json.loads(out.read_text())
     assert figures["night"] == "test" and sum(figures["endings"].values()) == figures["requests"] > 40
     shown = capsys.readouterr().out
@@ -146,31 +147,36 @@
     assert page.count("<svg") == 2 and "All four kept" in page
 
 
-def test_json_is_the_only_text_on_standard_output(script: Path) -> None:
-    done = run("run", str(script), "--json", "-")
+def test_json_is_the_only_text_on_standard_output(scenario_file: Path) -> None:
+    done = run("run", str(scenario_file), "--json", "-")
     assert json.loads(done.output)["rules"]["broken"] == 0
 
 
-def test_exit_status_and_messages(script: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert run_main(["simulate", "check", str(script)]) == 0
+def test_exit_status_and_messages(scenario_file: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert run_main(["simulate", "check", str(scenario_file)]) == 0
     assert run_main(["simulate", "check", "no-such-night"]) == 2
     assert "no such file" in capsys.readouterr().err
-    script.write_text(TEXT.replace("factor 3", "factor 0"))
-    assert run_main(["simulate", "run", str(script)]) == 2
+    scenario_file.write_text(TEXT.replace("factor 3", "factor 0"))
+    assert run_main(["simulate", "run", str(scenario_file)]) == 2
     assert "test.conf:25: <slow> factor" in capsys.readouterr().err
     assert run_main(["simulate", "run"]) == 2
     assert run_main(["simulate", "nonsense"]) == 2
     assert run_main(["nonsense"]) == 2
-    script.write_text(TEXT)
-    assert run_main(["simulate", "run", str(script), "--json", str(script.parent / "no" / "x.json")]) == 1
+    scenario_file.write_text(TEXT)
+    assert (
+        run_main(
+            ["simulate", "run", str(scenario_file), "--json", str(scenario_file.parent / "no" / "x.json")]
+        )
+        == 1
+    )
 
 
 def test_the_former_command_works_with_one_line_of_notice(
-    script: Path, capsys: pytest.CaptureFixture[str]
+    scenario_file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert run_main(["simulate", "run", str(script), "--json", "-"]) == 0
+    assert run_main(["simulate", "run", str(scenario_file), "--json", "-"]) == 0
     current = capsys.readouterr()
-    assert run_main(["rehearse", "run", str(script), "--json", "-"]) == 0
+    assert run_main(["rehearse", "run", str(scenario_file), "--json", "-"]) == 0
     former = capsys.readouterr()
     notice = "elderstall: 'rehearse' is now 'simulate'; the old name works for this version only\n"
     assert "core_time" in current.out and without_times(current.out) == without_times(former.out)
@@ -188,9 +194,9 @@
 
 
 def test_a_broken_rule_is_printed_with_its_history_and_exit_status_1(
-    script: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+    scenario_file: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    script.write_text(
+    scenario_file.write_text(
         TEXT.replace("tail 5s", "tail 5s\n<rules>\n  slack 0ms\n</rules>")
         .replace("factor 3", "factor 60")
         .replace("deadline 2s", "deadline 400ms")
@@ -198,13 +204,13 @@
     monkeypatch.setattr("elderstall.engine.answers.Answers._overdue", lambda self, job: None)
     monkeypatch.setattr("elderstall.engine.attempts.Attempts.timed_out", lambda self, a: None)
     monkeypatch.setattr("elderstall.decisions.urgency.Urgency.out_of_time", lambda self, job: False)
-    assert run_main(["simulate", "run", str(script)]) == 1
+    assert run_main(["simulate", "run", str(scenario_file)]) == 1
     errors = capsys.readouterr().err
     assert "rule 1 broken" in errors and "attempt 0 sent to w-" in errors and "try 1 of fetch at n1" in errors
 
 
-def test_explain_prints_the_whole_history_of_a_request(script: Path) -> None:
-    done = run("explain", str(script), "7", "--json")
+def test_explain_prints_the_whole_history_of_a_request(scenario_file: Path) -> None:
+    done = run("explain", str(scenario_file), "7", "--json")
     request = json.loads(done.output)
     assert request["request"] == 7 and request["class"] == "fetch" and request["ending"] == "served"
     assert [line.split("s  ")[1].split(" ")[0] for line in request["history"]] == [
@@ -214,7 +220,7 @@
         "attempt",
         "try",
     ]
-    assert run("explain", str(script), "99999").return_value == 1
+    assert run("explain", str(scenario_file), "99999").return_value == 1
 
 
 def test_list_names_the_scenarios_that_come_with_the_program() -> None:
@@ -231,11 +237,11 @@
     assert all(row["describe"] and row["workers"] for row in rows)
 
 
-def test_compare_pairs_by_seed(script: Path) -> None:
+def test_compare_pairs_by_seed(scenario_file: Path) -> None:
     done = run(
         "compare",
-        str(script),
-        str(script),
+        str(scenario_file),
+        str(scenario_file),
         "--set-second",
         "slow/factor=30",
         "--seeds",
@@ -248,7 +254,7 @@
     comparison = json.loads(done.output)
     service = next(m for m in comparison["measures"] if m["name"] == "service, whole")
     assert len(comparison["pairs"]) == 3 and service["difference"] < 0
-    same = run("compare", str(script), str(script), "--seeds", "2", "--json", "-")
+    same = run("compare", str(scenario_file), str(scenario_file), "--seeds", "2", "--json", "-")
     assert all(m["difference"] == 0 and m["half"] is None for m in json.loads(same.output)["measures"])
     assert "neither a seed nor a range" in str(run("compare", "a", "b", "--seeds", "x").exception)
 
