--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -16,7 +16,7 @@
 
 from elderstall.atomic_file import write_bytes_atomically, write_text_atomically
 from elderstall.cli import group, output
-from elderstall.simulation.serve import Stage
+from elderstall.simulation.serve import SimulatedPlatform
 from tests.test_simulation_script import TEXT
 
 PREVIOUS, NEW = "former\n", "new " * 1_000
@@ -181,16 +181,20 @@
 def test_a_configuration_that_cannot_be_written_is_an_error_and_the_previous_one_is_kept(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stage: Any = SimpleNamespace(callers=[SimpleNamespace(rank=0)], platform=lambda caller: {"name": NEW})
+    platform: Any = SimpleNamespace(
+        dispatcher_clients=[SimpleNamespace(rank=0)], dispatcher_config=lambda dispatcher: {"name": NEW}
+    )
     (tmp_path / "n1.json").write_text(PREVIOUS)
     write = os.write
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda fd, data: write(fd, data[:100]))  # so it fails half-way
         make_fail(patch, "write", OSError(errno.EIO, os.strerror(errno.EIO)), after=1)
         with pytest.raises(OSError, match=r"n1\.json"):
-            Stage.write(stage, tmp_path)
+            SimulatedPlatform.write(platform, tmp_path)
     assert (os.listdir(tmp_path), (tmp_path / "n1.json").read_text()) == (["n1.json"], PREVIOUS)
-    assert [json.loads(path.read_text()) for path in Stage.write(stage, tmp_path)] == [{"name": NEW}]
+    assert [json.loads(path.read_text()) for path in SimulatedPlatform.write(platform, tmp_path)] == [
+        {"name": NEW}
+    ]
 
 
 def test_the_dispatcher_does_not_import_the_module() -> None:
