--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults; every error names its key."""
+"""Reading, checking and defaults of the configuration; every error message begins with the key at fault."""
 
 from __future__ import annotations
 
@@ -14,19 +14,23 @@
 from elderstall.net.discovery import ListError, parse_list
 from elderstall.settings import parse_settings
 
-IDLE_PART = 0.8  # of the workers' conn_idle that our connections stay idle: clearly earlier
-OWN_PART = 16  # one descriptor in so many, and 16 at least, is for the program itself
-CONSOLE_OWN = MAX_CONSOLE_CONNECTIONS + 1  # descriptors reserved for the console, its listener included
-WORKER_PART = 0.3  # of the others are for connections to workers
-SOFT_PART = 0.8  # of the clients' descriptors are used before connections are shed
+# Connections to workers are closed after this fraction of the workers' own conn_idle, so that the dispatcher
+# closes first and never writes to a connection that the worker is closing.
+IDLE_TIMEOUT_FRACTION = 0.8
+OWN_DESCRIPTORS_DIVISOR = 16  # one descriptor in 16, and at least 16, is for the program itself
+CONSOLE_DESCRIPTORS = MAX_CONSOLE_CONNECTIONS + 1  # reserved for the console, its listener included
+WORKER_DESCRIPTORS_FRACTION = 0.3  # of the remaining descriptors, for connections to workers
+CLIENT_SHEDDING_FRACTION = 0.8  # of the clients' descriptors are used before connections are shed
 MIN_SOCKETS = 64
-PORT_MOST, PORT_DIGITS = 65_535, 5
-FOOTPRINT = 24.0  # MiB that the program takes with nothing to do, measured
-READING_PART = 0.125  # of the memory beyond it may go to requests not whole yet; jobs may hold as much
-LIST_PART = 0.5  # of the memory beyond it may go to the list of workers, also while a new one is read
-ENTRY_BYTES = 1_700  # an entry: 1,360 after a start, 1,800 after a later whole list (docs/CAPACITY.md)
-MIN_LIST_ENTRIES = 1_024  # of a list are held whatever the limit
-READING_LEAST = 1.0  # MiB for them, however little there is
+MAX_PORT = 65_535
+MAX_PORT_DIGITS = 5
+IDLE_MEMORY_MIB = 24.0  # used by the program without jobs or a list
+# Of the memory beyond IDLE_MEMORY_MIB, for requests that are not complete yet; jobs may hold as much again.
+KEPT_BYTES_FRACTION = 0.125
+LIST_MEMORY_FRACTION = 0.5  # of the memory beyond IDLE_MEMORY_MIB, for the list, also while a new one is read
+LIST_ENTRY_BYTES = 1_700  # an entry: 1,360 after a start, 1,800 after a later whole list (docs/CAPACITY.md)
+MIN_LIST_ENTRIES = 1_024  # accepted whatever the memory limit
+MIN_KEPT_MIB = 1.0  # for incomplete requests, whatever the memory limit
 
 
 class ConfigError(Exception):
@@ -34,22 +38,22 @@
 
 
 class UnreadableError(ConfigError):
-    """A file that could not be read; a moment later it may be."""
+    """A file that could not be read; a later attempt may succeed."""
 
 
 @dataclass(frozen=True)
 class Progress:
-    """The front with server-sent events, as an operator's file sets it up."""
+    """Settings of the listener with server-sent events, from an operator's file."""
 
     enabled: bool = False
-    retry_ms: int = 1_000  # told to clients in the stream
-    remember: int = 4_096  # ids of begun streams, so that a reconnect does not run a job again
+    retry_ms: int = 1_000  # reconnection time sent to clients in the stream
+    remember: int = 4_096  # ids of begun streams retained, so that a reconnect does not run a job again
     coalesce_bytes: int = 16_384  # unread bytes of a slow client from which progress is coalesced
 
 
 @dataclass(frozen=True)
 class Config:
-    """Everything the program is told at its start."""
+    """The whole configuration of a dispatcher, checked and completed with defaults."""
 
     name: str
     host: str
@@ -69,41 +73,45 @@
     max_client_connections: int
     kept_bytes_limit: int
     progress: Progress = Progress()
-    console: tuple[str, int] | None = None  # the second address to listen on
-    folder: str | None = None  # where this dispatcher's processes find each other
-    max_list_entries: int = 1_000_000  # of one list of workers, by the memory limit
-    raw: Any = field(default=None, compare=False, repr=False)  # the file, as it was read
+    console: tuple[str, int] | None = None  # address of the operators' console
+    folder: str | None = None  # where the processes of this dispatcher find each other during an upgrade
+    max_list_entries: int = 1_000_000  # in one list of workers; follows from the memory limit
+    raw: Any = field(default=None, compare=False, repr=False)  # the parsed file
 
 
-def address_of(text: Any, key: str) -> tuple[str, int]:
-    """Read ``host:port``."""
+def parse_address(text: Any, key: str) -> tuple[str, int]:
+    """Return host and port of ``host:port``."""
     host, colon, port = str(text).rpartition(":")
-    known = isinstance(text, str) and colon and host and port.isdecimal() and len(port) <= PORT_DIGITS
-    if not known or int(port) > PORT_MOST:
+    is_address = (
+        isinstance(text, str) and colon and host and port.isdecimal() and len(port) <= MAX_PORT_DIGITS
+    )
+    if not is_address or int(port) > MAX_PORT:
         raise ConfigError(f"{key}: {text!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
-def number(at: Mapping[str, Any], name: str, default: float, key: str, least: float = 0.0) -> float:
-    """Read a number that is at least so much."""
-    value = at.get(name)
+def read_number(
+    section: Mapping[str, Any], name: str, default: float, key: str, minimum: float = 0.0
+) -> float:
+    """Return the number under ``name``, or the default; raise ConfigError below ``minimum``."""
+    value = section.get(name)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e15:
-        raise ConfigError(f"{key}.{name}: {value!r} is no number from {least:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 1e15:
+        raise ConfigError(f"{key}.{name}: {value!r} is not a number of at least {minimum:g}")
     return float(value)
 
 
-def table(at: Mapping[str, Any], name: str, key: str = "") -> Mapping[str, Any]:
-    """Read a part that may be missing."""
-    value = at.get(name)
+def read_section(section: Mapping[str, Any], name: str, key: str = "") -> Mapping[str, Any]:
+    """Return the object under ``name``, empty where it is missing."""
+    value = section.get(name)
     if value is not None and not isinstance(value, dict):
         raise ConfigError(f"{key}{name}: must be an object")
     return value or {}
 
 
-def progress_of(path: str | None) -> Progress:
-    """Read the operator's file of the second front; with none it is off."""
+def load_progress(path: str | None) -> Progress:
+    """Read the operator's file for the listener with progress; without a file it is disabled."""
     if not path:
         return Progress()
     try:
@@ -112,44 +120,48 @@
         raise UnreadableError(f"front: {path}: {error}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"front: {path}: {error}") from None
-    part = table(raw, "progress", "front.")
+    section = read_section(raw, "progress", "front.")
     known = ("enabled", "retry_ms", "remember", "coalesce_bytes")
-    for name in [*(n for n in raw if n != "progress"), *(f"progress.{n}" for n in part if n not in known)]:
+    for name in [*(n for n in raw if n != "progress"), *(f"progress.{n}" for n in section if n not in known)]:
         raise ConfigError(f"front.{name}: unknown key")
-    enabled = part.get("enabled", False)
+    enabled = section.get("enabled", False)
     if not isinstance(enabled, bool):
         raise ConfigError(f"front.progress.enabled: {enabled!r} is not true or false")
-    base = Progress()
-    figures = {name: int(number(part, name, getattr(base, name), "front.progress", 1)) for name in known[1:]}
-    return Progress(enabled, **figures)
+    defaults = Progress()
+    values = {
+        name: int(read_number(section, name, getattr(defaults, name), "front.progress", 1))
+        for name in known[1:]
+    }
+    return Progress(enabled, **values)
 
 
 def max_list_entries(memory: float) -> int:
-    """Give how many entries of the list of workers a memory limit of so many MiB can hold."""
-    room = max(0.0, memory - FOOTPRINT) * LIST_PART * 1024 * 1024
-    return max(MIN_LIST_ENTRIES, int(room / ENTRY_BYTES))
+    """Return how many entries of the endpoint list fit into a memory limit of ``memory`` MiB."""
+    available_bytes = max(0.0, memory - IDLE_MEMORY_MIB) * LIST_MEMORY_FRACTION * 1024 * 1024
+    return max(MIN_LIST_ENTRIES, int(available_bytes / LIST_ENTRY_BYTES))
 
 
 def config_of(raw: Any, env: Mapping[str, str], front: str | None = None) -> Config:
-    """Check the platform's object; what it lacks may come from the environment."""
+    """Return the checked configuration; keys that ``raw`` lacks may come from the environment."""
     if not isinstance(raw, dict):
         raise ConfigError("config: must be an object")
 
-    def told(name: str) -> Any:
+    def required_text(name: str) -> Any:
         value = raw.get(name, env.get(f"RELAY_{name.upper()}"))
         if not value or not isinstance(value, str):
-            raise ConfigError(f"{name}: is missing or no text")
+            raise ConfigError(f"{name}: is missing or not a string")
         return value
 
     settings_raw = raw.get("settings")
     if not isinstance(settings_raw, dict):
-        raise ConfigError("settings: is missing or no object")
-    rules, limits = table(settings_raw, "rules", "settings."), table(settings_raw, "limits", "settings.")
-    report = table(settings_raw, "load_report", "settings.")
+        raise ConfigError("settings: is missing or not an object")
+    rules = read_section(settings_raw, "rules", "settings.")
+    limits = read_section(settings_raw, "limits", "settings.")
+    report = read_section(settings_raw, "load_report", "settings.")
     try:
         settings = parse_settings(settings_raw)
-        # On sockets a watch is the only way to changes, also where an agent pushes them: what it has counts
-        # as told whether or not we watch.
+        # On sockets, changes of the list arrive only over a watch, so the dispatcher also watches where an
+        # agent pushes the list; list_is_pushed still records that the agent does.
         settings = replace(settings, watches_list=True, list_is_pushed=not settings.watches_list)
     except KeyError as error:
         raise ConfigError(f"settings: {error} is missing") from None
@@ -161,67 +173,74 @@
         parse_list(known, live)
     except ListError as error:
         raise ConfigError(f"known: {error}") from None
-    host, port = address_of(told("listen"), "listen")
-    address_of(told("discovery"), "discovery")
+    host, port = parse_address(required_text("listen"), "listen")
+    parse_address(required_text("discovery"), "discovery")
     seed = raw.get("seed", "0")
     try:
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (ValueError, TypeError, OverflowError):
-        raise ConfigError(f"seed: {seed!r} is no hexadecimal number") from None
-    sockets = int(number(table(raw, "limits"), "sockets", 1_024, "limits", MIN_SOCKETS))
-    memory = number(table(raw, "limits"), "memory_mb", 128.0, "limits", 1)
+        raise ConfigError(f"seed: {seed!r} is not a hexadecimal number") from None
+    sockets = int(read_number(read_section(raw, "limits"), "sockets", 1_024, "limits", MIN_SOCKETS))
+    memory = read_number(read_section(raw, "limits"), "memory_mb", 128.0, "limits", 1)
     console = raw.get("console", env.get("RELAY_CONSOLE")) or None
-    usable = sockets - max(16, sockets // OWN_PART) - (CONSOLE_OWN if console else 0)
-    workers = int(usable * WORKER_PART)
+    usable = sockets - max(16, sockets // OWN_DESCRIPTORS_DIVISOR) - (CONSOLE_DESCRIPTORS if console else 0)
+    workers = int(usable * WORKER_DESCRIPTORS_FRACTION)
     fields = report.get("fields") or []
     if not isinstance(fields, list) or not all(isinstance(f, str) for f in fields):
-        raise ConfigError("settings.load_report.fields: must be names")
+        raise ConfigError("settings.load_report.fields: must be a list of names")
     return Config(
-        name=told("name"),
+        name=required_text("name"),
         host=host,
         port=port,
-        discovery=told("discovery"),
+        discovery=required_text("discovery"),
         seed=seed,
         settings=settings,
         known=known,
         live_weights=live,
         report_fields=tuple(fields),
-        answer_slack_ms=number(rules, "answer_slack", 0.0, "settings.rules"),
-        idle_timeout_ms=number(limits, "conn_idle", 10_000.0, "settings.limits", 1) * IDLE_PART,
-        connect_timeout_ms=number(limits, "connect_timeout", 250.0, "settings.limits") or 250.0,
-        max_open=int(number(limits, "max_open", 20_000, "settings.limits", 1)),
+        answer_slack_ms=read_number(rules, "answer_slack", 0.0, "settings.rules"),
+        idle_timeout_ms=read_number(limits, "conn_idle", 10_000.0, "settings.limits", 1)
+        * IDLE_TIMEOUT_FRACTION,
+        connect_timeout_ms=read_number(limits, "connect_timeout", 250.0, "settings.limits") or 250.0,
+        max_open=int(read_number(limits, "max_open", 20_000, "settings.limits", 1)),
         worker_connections=workers,
-        client_shedding_threshold=int((usable - workers) * SOFT_PART),
+        client_shedding_threshold=int((usable - workers) * CLIENT_SHEDDING_FRACTION),
         max_client_connections=usable - workers,
-        kept_bytes_limit=int(max(READING_LEAST, (memory - FOOTPRINT) * READING_PART) * 1024 * 1024),
-        progress=progress_of(front),
-        console=address_of(console, "console") if console else None,
+        kept_bytes_limit=int(
+            max(MIN_KEPT_MIB, (memory - IDLE_MEMORY_MIB) * KEPT_BYTES_FRACTION) * 1024 * 1024
+        ),
+        progress=load_progress(front),
+        console=parse_address(console, "console") if console else None,
         folder=env.get("TMPDIR") or None,
         max_list_entries=max_list_entries(memory),
         raw={**raw, "known": None} if "known" in raw else raw,
-    )  # the list is not kept a second time
+    )  # raw without the list, which is kept only once
 
 
-FIXED = {"name": "name", "listen": "host port", "console": "console"}  # what the sockets were made with
+# Key of the file -> fields of Config that the open sockets depend on.
+FIXED_FIELDS = {"name": "name", "listen": "host port", "console": "console"}
 
 
-def fixed_keys(old: Config, new: Config) -> list[str]:
-    """Name the keys that differ and that a running program cannot change."""
+def changed_fixed_keys(old: Config, new: Config) -> list[str]:
+    """Return the keys that differ and that only a restart can change."""
     keys = [
         key
-        for key, names in FIXED.items()
+        for key, names in FIXED_FIELDS.items()
         if any(getattr(old, name) != getattr(new, name) for name in names.split())
     ]
     return keys + ["front.progress.enabled"] * (old.progress.enabled is not new.progress.enabled)
 
 
-def lacking(old: Any, new: Any, key: str = "") -> str | None:
-    """Name a key that a file lacks and the one in use has; of lists, what every old entry has."""
+def find_missing_key(old: Any, new: Any, key: str = "") -> str | None:
+    """Return a key of ``old`` that is missing from ``new``, None if there is none.
+
+    New entries of a list must have the keys that all old entries have.
+    """
     if isinstance(old, dict) and isinstance(new, dict):
         for name, value in old.items():
             if name not in new:
                 return f"{key}{name}"
-            if name != "known" and (found := lacking(value, new[name], f"{key}{name}.")) is not None:
+            if name != "known" and (found := find_missing_key(value, new[name], f"{key}{name}.")) is not None:
                 return found
     elif isinstance(old, list) and isinstance(new, list):
         entries = [e for e in old if isinstance(e, dict)]
@@ -231,21 +250,22 @@
             for name, value in e.items()
             if all(name in other for other in entries)
         }
-        for n, entry in enumerate(new if entries else ()):
-            if (found := lacking(shared, entry, f"{key[:-1]}[{n}].")) is not None:
+        for index, entry in enumerate(new if entries else ()):
+            if (found := find_missing_key(shared, entry, f"{key[:-1]}[{index}].")) is not None:
                 return found
     elif isinstance(old, dict | list):
         return key[:-1]
     return None
 
 
-def reloaded(old: Config, new: Config) -> Config:
-    """Give the configuration of a program that runs on: all is new but what its sockets were made with.
+def merge_reloaded(old: Config, new: Config) -> Config:
+    """Return ``new`` with the fields of ``old`` that cannot change without a restart.
 
-    Guards against a file cut short, or with a key left out: defaults and the environment would fill the gap.
+    Raises ConfigError if a key of the configuration in use is missing: a truncated file would otherwise be
+    completed silently with defaults and the environment.
     """
-    if (key := lacking(old.raw, new.raw)) is not None:
-        raise ConfigError(f"{key}: is missing, the file in use has it")
+    if (key := find_missing_key(old.raw, new.raw)) is not None:
+        raise ConfigError(f"{key}: is missing; the configuration in use has it")
     return replace(
         new,
         name=old.name,
@@ -257,18 +277,18 @@
     )
 
 
-def no_number(text: str) -> float:
-    """Turn down NaN and Infinity, which JSON does not know and Python's reader takes."""
-    raise ValueError(f"{text} is no JSON")
+def reject_constant(text: str) -> float:
+    """Raise ValueError for NaN and Infinity, which Python's parser accepts but JSON does not allow."""
+    raise ValueError(f"{text} is not valid JSON")
 
 
 def load(path: str | None, env: Mapping[str, str], front: str | None = None) -> Config:
-    """Read the file that the platform names."""
+    """Read and check the configuration file at ``path`` or in RELAY_CONFIG."""
     path = path or env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG: is not set, and no --config was given")
     try:
-        raw = json.loads(Path(path).read_text(encoding="utf-8"), parse_constant=no_number)
+        raw = json.loads(Path(path).read_text(encoding="utf-8"), parse_constant=reject_constant)
     except OSError as error:
         raise UnreadableError(f"RELAY_CONFIG: {path}: {error}") from None
     except (ValueError, RecursionError) as error:
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -11,7 +11,7 @@
 
 from twisted.internet.defer import Deferred
 
-from elderstall.config import IDLE_PART
+from elderstall.config import IDLE_TIMEOUT_FRACTION
 from elderstall.interface import Ending, Endpoint, WorkerState
 from elderstall.messages import JobRequest, Outcome
 from elderstall.net.upstream.cancel_exchange import CANCEL_TIMEOUT_MS
@@ -37,7 +37,7 @@
     def __init__(self, process: UpstreamOwner) -> None:
         self.process, self.world = process, process.world
         self.loop, self.network = process.world.loop, process.world.scenario.network
-        self.keep = self.network.idle_close * IDLE_PART
+        self.keep = self.network.idle_close * IDLE_TIMEOUT_FRACTION
         self.pools: dict[str, Pool] = {}
         self.attempts: dict[str, SimulatedAttempt] = {}  # the newest of each id
         self.count = self.opening = 0
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from elderstall.config import ConfigError, config_of, progress_of
+from elderstall.config import ConfigError, config_of, load_progress
 from elderstall.deadlines import Deadlines
 from elderstall.log import Log
 from elderstall.net import http
@@ -234,6 +234,6 @@
     ):
         path.write_text(text)
         with pytest.raises(ConfigError, match=key):
-            progress_of(str(path))
-    assert progress_of("deploy/progress.toml").enabled
-    assert not progress_of(None).enabled
+            load_progress(str(path))
+    assert load_progress("deploy/progress.toml").enabled
+    assert not load_progress(None).enabled
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -27,7 +27,12 @@
 
 from twisted.internet.error import CannotListenError
 
-from elderstall.app import LISTEN_RETRY, LISTEN_TRIES, RELOAD_RETRY, RELOAD_TRIES
+from elderstall.app import (
+    LISTEN_RETRY_INTERVAL_MS,
+    MAX_LISTEN_RETRIES,
+    MAX_RELOAD_RETRIES,
+    RELOAD_RETRY_INTERVAL_MS,
+)
 from elderstall.config import Config, ConfigError, UnreadableError, config_of, load
 from elderstall.log import MAX_LINE_BYTES, Log, StandardError
 from elderstall.net import http, peer
@@ -97,13 +102,13 @@
             with self.subTest(errno.errorcode[number]):
                 error = system_error(number)
                 self.begin_with(CannotListenError("127.0.0.1", 0, error), error, error)  # type: ignore[no-untyped-call]
-                self.wait(4 * LISTEN_RETRY)
+                self.wait(4 * LISTEN_RETRY_INTERVAL_MS)
                 self.served()
                 self.assertEqual(1, len([line for line in self.lines if line.startswith("listen ")]))
 
     def test_the_operators_listener_is_waited_for_too(self) -> None:
         self.begin_with(system_error(errno.ENFILE), console=True)
-        self.wait(2 * LISTEN_RETRY)
+        self.wait(2 * LISTEN_RETRY_INTERVAL_MS)
         self.served()
         self.assertIsNotNone(self.app.console_acceptor)
 
@@ -119,17 +124,17 @@
                 self.assertIn("127.0.0.1:7", said[0])
 
     def test_a_lack_that_does_not_pass_ends_it(self) -> None:
-        self.begin_with(*[system_error(errno.ENFILE)] * (LISTEN_TRIES + 1))
-        self.wait((LISTEN_TRIES - 1) * LISTEN_RETRY)
+        self.begin_with(*[system_error(errno.ENFILE)] * (MAX_LISTEN_RETRIES + 1))
+        self.wait((MAX_LISTEN_RETRIES - 1) * LISTEN_RETRY_INTERVAL_MS)
         self.assertFalse(self.app.failed)
-        self.wait(10 * LISTEN_RETRY)
+        self.wait(10 * LISTEN_RETRY_INTERVAL_MS)
         self.assertTrue(self.app.failed and self.loop.stopped)
         self.assertLessEqual(len([line for line in self.lines if line.startswith("listen ")]), 7)
 
     def test_sigterm_while_it_waits_ends_it_without_listening(self) -> None:
         self.begin_with(system_error(errno.ENOMEM))
         self.app.sigterm()
-        self.wait(2 * LISTEN_RETRY)
+        self.wait(2 * LISTEN_RETRY_INTERVAL_MS)
         self.assertIsNone(self.app.port)
         self.assertTrue(self.loop.stopped)
 
@@ -199,7 +204,7 @@
         self.adopt_port_fails(system_error(errno.EMFILE), system_error(errno.ENOMEM))
         self.hand_over()
         self.assertIsNone(self.app.port)
-        self.wait(3 * LISTEN_RETRY)
+        self.wait(3 * LISTEN_RETRY_INTERVAL_MS)
         self.assertIsNotNone(self.app.port)
         self.assertIn(b'"serving"', self.link.recv(1_000))
         self.assertIsNone(self.app.inherited)
@@ -462,7 +467,7 @@
         self.assertEqual(
             (1, 0), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
         )
-        self.wait(4 * RELOAD_RETRY)
+        self.wait(4 * RELOAD_RETRY_INTERVAL_MS)
         self.assertEqual(
             (1, 1), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
         )
@@ -470,10 +475,10 @@
         self.assertEqual(1, len([line for line in self.lines if "nothing changed" in line]))
 
     def test_one_that_stays_unreadable_is_given_up_and_the_next_signal_reads_it_anew(self) -> None:
-        self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EIO")] * (RELOAD_TRIES + 1))
+        self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EIO")] * (MAX_RELOAD_RETRIES + 1))
         self.app.sighup()
-        self.wait(RELOAD_RETRY * (RELOAD_TRIES + 5))
-        self.assertEqual(RELOAD_TRIES + 1, self.reads)
+        self.wait(RELOAD_RETRY_INTERVAL_MS * (MAX_RELOAD_RETRIES + 5))
+        self.assertEqual(MAX_RELOAD_RETRIES + 1, self.reads)
         self.assertEqual(
             (1, 0), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
         )
@@ -487,7 +492,7 @@
         for _ in range(5):
             self.app.sighup()
         self.assertEqual(5, self.reads)
-        self.wait(4 * RELOAD_RETRY)
+        self.wait(4 * RELOAD_RETRY_INTERVAL_MS)
         self.assertEqual((6, 1), (self.reads, self.app.engine.counters.settings_loads))
 
 
