--- a/elderstall/client/__init__.py
+++ b/elderstall/client/__init__.py
@@ -1,6 +1,6 @@
-"""The client library: deadlines, retries and reconnects, once for all client processes.
+"""The client library: deadlines, retries and reconnects, shared by all client processes.
 
-What may enter: decisions without I/O (``policy``, ``budget``, ``targets``, ``reconnect``), the protocol they
-need, and thin skins for Twisted, threads and asyncio that carry them out. Time and random numbers are handed
-in. Nothing here is imported by a dispatcher.
+It holds decisions without I/O (``policy``, ``budget``, ``targets``, ``reconnect``), the protocol they need,
+and thin I/O layers for Twisted, threads and asyncio that carry them out. The caller passes in time and random
+numbers. Dispatchers import nothing from here.
 """
--- a/elderstall/client/policy.py
+++ b/elderstall/client/policy.py
@@ -1,9 +1,9 @@
-"""What to do next for a call: a state machine without I/O, clock or randomness of its own.
+"""Retry decisions for a call: a state machine without I/O, clock or randomness of its own.
 
-A call goes out as tries. After each the skin says what came of it, and is told to send again, to wait, or how
-the call ends. What may follow hangs on what is *proven* about the try, never on hope: a class that must not
-repeat is tried again only after a try that was never sent or was turned away. Times are milliseconds of one
-clock.
+A call consists of attempts. After each, the I/O layer reports the result, and gets back whether to send
+again, to wait, or how the call ends. A retry depends on what is *proven* about the attempt: a class that must
+not repeat is retried only after an attempt that was never sent or that the dispatcher refused. Times are
+milliseconds of one clock.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 from elderstall.client.budget import RetryBudget
 
-REFUSALS = (429, 503)
-SECONDS = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+REFUSAL_STATUSES = (429, 503)
+SECONDS_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 class Proof(Enum):
-    """What is proven about a try."""
+    """What is proven about an attempt."""
 
-    UNSENT = "unsent"  # no byte of it can have been read
-    TURNED_AWAY = "turned away"  # answered 429 or 503: trying again is harmless
+    UNSENT = "unsent"  # the dispatcher cannot have read a byte of it
+    REFUSED = "turned away"  # answered 429 or 503: a retry is harmless
     MAY_HAVE_RUN = "may have run"
-    ANSWERED = "answered"  # with a result, or with what will not change when asked again
+    ANSWERED = "answered"  # with a result, or with an error that a retry would not change
 
 
 class Ending(Enum):
     """How a call ended."""
 
     DONE = "done"
-    REFUSED = "refused"  # turned away, and no further try was due
+    REFUSED = "refused"  # answered 429 or 503, without a further attempt
     REJECTED = "rejected"  # the request itself is wrong: 4xx
     FAILED = "failed"
     TIMED_OUT = "timed out"
@@ -42,213 +42,223 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class CallClass:
     """A class of calls."""
 
     name: str
-    deadline: float  # ms that a caller waits, over all tries
-    repeatable: bool = False  # whether running it twice does no harm
+    deadline: float  # ms that a caller waits, over all attempts
+    repeatable: bool = False  # whether running it twice is harmless
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
-    """How calls are tried again. Raises ValueError, naming the field, for what makes no sense."""
+class RetryPolicy:
+    """Limits of retries and backoff. Raises ValueError, naming the field, for invalid values."""
 
-    max_tries: int = 3
-    backoff: float = 50.0  # ms: the first wait is anywhere up to it, doubling with each try
-    backoff_most: float = 2_000.0
-    least_left: float = 20.0  # ms of the deadline under which a further try is not worth sending
+    max_attempts: int = 3
+    backoff_ms: float = 50.0  # the first wait is random up to it; it doubles with each attempt
+    max_backoff_ms: float = 2_000.0
+    min_time_left_ms: float = 20.0  # with less time to the deadline, no further attempt is made
 
     def __post_init__(self) -> None:
-        if self.max_tries < 1:
-            raise ValueError("max_tries: must be at least 1")
-        if not 0 < self.backoff <= self.backoff_most < math.inf:
-            raise ValueError("backoff: must be above 0 and at most backoff_most")
-        if not 0 <= self.least_left < math.inf:
-            raise ValueError("least_left: must not be negative")
+        if self.max_attempts < 1:
+            raise ValueError("max_attempts: must be at least 1")
+        if not 0 < self.backoff_ms <= self.max_backoff_ms < math.inf:
+            raise ValueError("backoff_ms: must be above 0 and at most max_backoff_ms")
+        if not 0 <= self.min_time_left_ms < math.inf:
+            raise ValueError("min_time_left_ms: must not be negative")
 
 
-# ---- what a skin reports ----
+# ---- results that the I/O layer reports ----
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer came."""
+    """A complete answer."""
 
     status: int
     body: bytes = b""
-    retry_after: str | None = None  # the header, as it stood
+    retry_after: str | None = None  # the header's text
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """No whole answer came: the connection never came up, broke, or fell silent."""
+class NoAnswer:
+    """No complete answer: the connection failed, broke or stayed silent."""
 
-    unsent: bool  # proven: no byte of the request can have been read
+    unsent: bool  # proven: the dispatcher cannot have read a byte of the request
 
 
-# ---- what a skin is told ----
+# ---- actions for the I/O layer ----
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a try now."""
+    """Send an attempt now."""
 
     call_id: str
-    budget: float  # ms, for X-Budget-Ms; the try is given up after it
-    again: bool  # X-Again: 1
+    budget_ms: float  # for X-Budget-Ms; the attempt is cancelled after it
+    is_retry: bool  # X-Again: 1
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Ask again at this time."""
+    """Call ``on_wait_over`` at this time."""
 
     until: float
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The call is over; said once."""
+    """The call has ended; returned once."""
 
     ending: Ending
     may_have_run: bool
     body: bytes = b""
     status: int | None = None
-    retry_after: float | None = None  # ms: when it may be worth asking anew
+    retry_after: float | None = None  # ms after which a new call may succeed
 
 
 Action = Send | Wait | End
 
 
-class CallOverError(Exception):
-    """A skin spoke of a call that had ended, or of a try that was not out."""
+class CallStateError(Exception):
+    """The I/O layer reported something that is impossible in the call's state."""
 
 
-def retry_after_of(text: str | None) -> float | None:
-    """Read Retry-After in seconds, whole or decimal (RFC 9110, 10.2.3), as ms; None if absent or bad.
+def parse_retry_after(text: str | None) -> float | None:
+    """Return Retry-After (RFC 9110, 10.2.3; whole or decimal seconds) in ms; None if absent or invalid.
 
-    A date is taken for bad: dispatchers send none, and reading one needs a clock that both sides share.
+    A date is invalid here: dispatchers send none, and it would need a clock that both sides share.
     """
-    if text is None or SECONDS.fullmatch(text.strip()) is None:
+    if text is None or SECONDS_PATTERN.fullmatch(text.strip()) is None:
         return None
     return float(text) * 1000
 
 
 class Call:
-    """One call, from its first try to its one end."""
+    """One call, from its first attempt to its end."""
 
     def __init__(
         self,
-        rule: Rule,
-        habits: Habits,
+        call_class: CallClass,
+        retry_policy: RetryPolicy,
         budget: RetryBudget,
         now: float,
         new_id: Callable[[], str],
         uniform: Iterator[float],
         time_left: float | None = None,
     ) -> None:
-        self.rule, self.habits, self.budget = rule, habits, budget
-        self.new_id, self.uniform = new_id, uniform
-        self.deadline = now + (rule.deadline if time_left is None else min(time_left, rule.deadline))
-        self.tries = 0
-        self.out = False  # a try is under way
-        self.may_have_run = False  # any of them
-        self.due: float | None = None  # when the next goes out
-        self.last: End | None = None  # how it would end if no further try were made
+        self.call_class = call_class
+        self.retry_policy = retry_policy
+        self.budget = budget
+        self.new_id = new_id
+        self.uniform = uniform
+        self.deadline = now + (
+            call_class.deadline if time_left is None else min(time_left, call_class.deadline)
+        )
+        self.attempts = 0
+        self.attempt_in_progress = False
+        self.may_have_run = False  # any attempt
+        self.retry_at: float | None = None  # when the next attempt is sent
+        self.end_without_retry: End | None = None  # the result if no further attempt is made
         self.end: End | None = None
 
-    # ---- what a skin calls ----
+    # ---- called by the I/O layer ----
 
     def begin(self, now: float) -> Action:
-        """Start the first try."""
-        if self.tries or self.end is not None:
-            raise CallOverError("begun already")
-        self.budget.called(now)
+        """Start the first attempt."""
+        if self.attempts or self.end is not None:
+            raise CallStateError("the call has already begun")
+        self.budget.record_call(now)
         if self.deadline - now <= 0:
-            return self._over(End(Ending.TIMED_OUT, False))
+            return self._finish(End(Ending.TIMED_OUT, False))
         return self._send(now)
 
-    def woken(self, now: float) -> Action:
-        """Go on after a wait."""
-        if self.end is not None or self.out or self.due is None:
-            raise CallOverError("no wait is under way")
-        if now < self.due:
-            return Wait(self.due)
-        assert self.last is not None
-        if self.deadline - now <= self.habits.least_left or not self.budget.spend(now):
-            return self._over(self.last)
+    def on_wait_over(self, now: float) -> Action:
+        """Send the planned retry, wait further, or end the call if time or budget has run out."""
+        if self.end is not None or self.attempt_in_progress or self.retry_at is None:
+            raise CallStateError("the call is not waiting for a retry")
+        if now < self.retry_at:
+            return Wait(self.retry_at)
+        assert self.end_without_retry is not None
+        if self.deadline - now <= self.retry_policy.min_time_left_ms or not self.budget.take_token(now):
+            return self._finish(self.end_without_retry)
         return self._send(now)
 
-    def heard(self, now: float, result: Answer | Lost) -> Action:
-        """Take what came of the try that is out."""
-        if self.end is not None or not self.out:
-            raise CallOverError("no try is out")
-        self.out = False
-        proof, end = self._read(result)
+    def on_result(self, now: float, result: Answer | NoAnswer) -> Action:
+        """Handle the result of the attempt in progress."""
+        if self.end is not None or not self.attempt_in_progress:
+            raise CallStateError("no attempt is in progress")
+        self.attempt_in_progress = False
+        proof, end = self._evaluate(result)
         if proof is Proof.MAY_HAVE_RUN:
             self.may_have_run = True
         if proof is Proof.ANSWERED:
-            return self._over(end)
-        if proof is Proof.MAY_HAVE_RUN and not self.rule.repeatable:
-            return self._over(end)  # guards against a second charge: nobody knows that it did not run
-        return self._again(now, end)
+            return self._finish(end)
+        if proof is Proof.MAY_HAVE_RUN and not self.call_class.repeatable:
+            return self._finish(end)  # it may have run, and a second run could charge twice
+        return self._plan_retry(now, end)
 
     def timed_out(self, now: float, unsent: bool = False) -> End:
-        """End it at its deadline; the skin gives up what is out. ``unsent``: that try is proven unsent."""
+        """End the call at its deadline; the I/O layer cancels the attempt in progress.
+
+        ``unsent``: that attempt is proven unsent.
+        """
         if self.end is not None:
-            raise CallOverError("over already")
-        if self.out and not unsent:
+            raise CallStateError("the call has already ended")
+        if self.attempt_in_progress and not unsent:
             self.may_have_run = True
-        self.out = False
-        return self._over(End(Ending.TIMED_OUT, self.may_have_run))
+        self.attempt_in_progress = False
+        return self._finish(End(Ending.TIMED_OUT, self.may_have_run))
 
     def cancelled(self, unsent: bool = False) -> End:
-        """End it at its caller's wish."""
+        """End the call because its caller cancelled it."""
         if self.end is not None:
-            raise CallOverError("over already")
-        if self.out and not unsent:
+            raise CallStateError("the call has already ended")
+        if self.attempt_in_progress and not unsent:
             self.may_have_run = True
-        self.out = False
-        return self._over(End(Ending.CANCELLED, self.may_have_run))
+        self.attempt_in_progress = False
+        return self._finish(End(Ending.CANCELLED, self.may_have_run))
 
-    # ---- how it is decided ----
+    # ---- decisions ----
 
-    def _read(self, result: Answer | Lost) -> tuple[Proof, End]:
-        """Say what a result proves, and how the call ends on it if nothing follows."""
-        if isinstance(result, Lost):
+    def _evaluate(self, result: Answer | NoAnswer) -> tuple[Proof, End]:
+        """Return what a result proves, and how the call ends on it without a retry."""
+        if isinstance(result, NoAnswer):
             if result.unsent:
                 return Proof.UNSENT, End(Ending.UNREACHABLE, self.may_have_run)
             return Proof.MAY_HAVE_RUN, End(Ending.FAILED, True)
         status = result.status
         if status == 200:
             return Proof.ANSWERED, End(Ending.DONE, True, result.body, status)
-        if status in REFUSALS:
-            advice = retry_after_of(result.retry_after)
-            return Proof.TURNED_AWAY, End(Ending.REFUSED, self.may_have_run, result.body, status, advice)
+        if status in REFUSAL_STATUSES:
+            retry_after = parse_retry_after(result.retry_after)
+            return Proof.REFUSED, End(Ending.REFUSED, self.may_have_run, result.body, status, retry_after)
         if 400 <= status < 500:
             return Proof.ANSWERED, End(Ending.REJECTED, self.may_have_run, result.body, status)
         return Proof.MAY_HAVE_RUN, End(Ending.FAILED, True, result.body, status)
 
-    def _again(self, now: float, end: End) -> Action:
-        """Plan a further try, or end where none is due."""
-        self.last = end
-        if self.tries >= self.habits.max_tries:
-            return self._over(end)
-        doubled = self.habits.backoff * 2.0 ** min(self.tries - 1, 30)
-        spread = min(self.habits.backoff_most, doubled) * next(self.uniform)
-        due = now + (end.retry_after or 0.0) + spread  # advice is a floor; the spread keeps clients apart
-        if self.deadline - due <= self.habits.least_left:
-            return self._over(end)  # at once: nothing is gained by waiting for a deadline
-        if not self.budget.left(now):
-            return self._over(end)
-        self.due = due
+    def _plan_retry(self, now: float, end: End) -> Action:
+        """Plan a further attempt, or end the call if none may follow."""
+        self.end_without_retry = end
+        if self.attempts >= self.retry_policy.max_attempts:
+            return self._finish(end)
+        backoff_ms = self.retry_policy.backoff_ms * 2.0 ** min(self.attempts - 1, 30)
+        jitter = min(self.retry_policy.max_backoff_ms, backoff_ms) * next(self.uniform)
+        due = now + (end.retry_after or 0.0) + jitter  # Retry-After is a minimum; jitter spreads the clients
+        if self.deadline - due <= self.retry_policy.min_time_left_ms:
+            return self._finish(end)  # at once, as waiting for the deadline gains nothing
+        if not self.budget.can_retry(now):
+            return self._finish(end)
+        self.retry_at = due
         return Wait(due)
 
     def _send(self, now: float) -> Send:
-        self.tries += 1
-        self.out, self.due = True, None
-        return Send(self.new_id(), self.deadline - now, self.tries > 1)
-
-    def _over(self, end: End) -> End:
-        self.end, self.due = end, None
+        self.attempts += 1
+        self.attempt_in_progress = True
+        self.retry_at = None
+        return Send(self.new_id(), self.deadline - now, self.attempts > 1)
+
+    def _finish(self, end: End) -> End:
+        self.end = end
+        self.retry_at = None
         return end
--- a/elderstall/client/reconnect.py
+++ b/elderstall/client/reconnect.py
@@ -1,8 +1,8 @@
-"""When a new connection may be opened: spread over time, and those with the oldest deadline first.
+"""Pacing of new connections: a bounded rate, earliest deadline first.
 
-After a restart every client of a process would connect at once, and a dispatcher that has just begun would
-spend its first second on handshakes. A token bucket bounds the rate of a process; where connects fail, full
-jitter (a wait drawn from all of the back-off's length) spreads the next try of each process.
+After a restart every client of a process would otherwise connect at once, and a dispatcher that has just
+started would spend its first second on handshakes. A token bucket limits the rate of a process; after a
+failed connect, full jitter (a random wait up to the backoff) spreads the next attempt of each process.
 """
 
 from __future__ import annotations
@@ -14,86 +14,91 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    """How fast connections may be opened. Raises ValueError for what makes no sense."""
+class ConnectPacing:
+    """Limits on opening connections. Raises ValueError for invalid values."""
 
-    rate: float = 20.0  # a second
+    rate: float = 20.0  # connections a second
     burst: float = 5.0
-    backoff: float = 100.0  # ms
-    backoff_most: float = 5_000.0
-    waiting_most: int = 10_000  # who waits for one; further ones are turned down at once
+    backoff_ms: float = 100.0
+    max_backoff_ms: float = 5_000.0
+    max_waiting: int = 10_000  # callers that wait for a connection; further ones are rejected at once
 
     def __post_init__(self) -> None:
-        for name in ("rate", "backoff", "backoff_most"):
+        for name in ("rate", "backoff_ms", "max_backoff_ms"):
             if not 0 < getattr(self, name) < math.inf:
                 raise ValueError(f"{name}: must be above 0")
         if not 1 <= self.burst < math.inf:
             raise ValueError("burst: must be at least 1")
-        if self.waiting_most < 1:
-            raise ValueError("waiting_most: must be at least 1")
+        if self.max_waiting < 1:
+            raise ValueError("max_waiting: must be at least 1")
 
 
-class Connects:
-    """Who may connect, and when; one for each dispatcher that a process asks."""
+class ConnectQueue:
+    """Callers that wait for a connection to one dispatcher, and when each may connect."""
 
-    def __init__(self, pace: Pace, uniform: Iterator[float], now: float = 0.0) -> None:
-        self.pace, self.uniform = pace, uniform
-        self.tokens, self.at = pace.burst, now
+    def __init__(self, pacing: ConnectPacing, uniform: Iterator[float], now: float = 0.0) -> None:
+        self.pacing = pacing
+        self.uniform = uniform
+        self.tokens = pacing.burst
+        self.refilled_at = now
         self.failures = 0  # in a row
-        self.shut_until = -math.inf
-        self.heap: list[tuple[float, int, Hashable]] = []
+        self.blocked_until = -math.inf
+        self.queue: list[tuple[float, int, Hashable]] = []
         self.waiting: dict[Hashable, int] = {}
-        self.count = 0
+        self.last_number = 0
 
-    def ask(self, key: Hashable, deadline: float) -> bool:
-        """Stand in line for a connection; says no where the line is full, or the key stands there already."""
-        if len(self.waiting) >= self.pace.waiting_most or key in self.waiting:
+    def enqueue(self, key: Hashable, deadline: float) -> bool:
+        """Wait for a connection; return False if the queue is full or already has ``key``."""
+        if len(self.waiting) >= self.pacing.max_waiting or key in self.waiting:
             return False
-        self.count += 1
-        self.waiting[key] = self.count
-        heapq.heappush(self.heap, (deadline, self.count, key))
+        self.last_number += 1
+        self.waiting[key] = self.last_number
+        heapq.heappush(self.queue, (deadline, self.last_number, key))
         return True
 
-    def leave(self, key: Hashable) -> None:
-        """Leave the line."""
+    def remove(self, key: Hashable) -> None:
+        """Remove a waiting caller."""
         self.waiting.pop(key, None)
 
-    def _count(self, now: float) -> None:
-        if now > self.at:
-            self.tokens = min(self.pace.burst, self.tokens + (now - self.at) / 1000 * self.pace.rate)
-            self.at = now
-
-    def granted(self, now: float) -> list[Hashable]:
-        """Name those that connect now, the oldest deadline first; whose deadline has passed is left out."""
-        self._count(now)
-        out: list[Hashable] = []
-        while self.heap:
-            deadline, serial, key = self.heap[0]
-            if self.waiting.get(key) != serial or deadline <= now:
-                heapq.heappop(self.heap)
-                if self.waiting.get(key) == serial:
+    def _refill(self, now: float) -> None:
+        if now > self.refilled_at:
+            self.tokens = min(
+                self.pacing.burst, self.tokens + (now - self.refilled_at) / 1000 * self.pacing.rate
+            )
+            self.refilled_at = now
+
+    def take_granted(self, now: float) -> list[Hashable]:
+        """Remove and return the callers that may connect now, earliest deadline first; drop expired ones."""
+        self._refill(now)
+        granted: list[Hashable] = []
+        while self.queue:
+            deadline, number, key = self.queue[0]
+            if self.waiting.get(key) != number or deadline <= now:
+                heapq.heappop(self.queue)
+                if self.waiting.get(key) == number:
                     del self.waiting[key]
-            elif now < self.shut_until or self.tokens < 1:
+            elif now < self.blocked_until or self.tokens < 1:
                 break
             else:
-                heapq.heappop(self.heap)
+                heapq.heappop(self.queue)
                 del self.waiting[key]
                 self.tokens -= 1
-                out.append(key)
-        return out
+                granted.append(key)
+        return granted
 
-    def next(self, now: float) -> float | None:
-        """Say when to ask again who connects; None where nobody waits."""
+    def next_grant_at(self, now: float) -> float | None:
+        """Return when to call ``take_granted`` again; None if no caller waits."""
         if not self.waiting:
             return None
-        self._count(now)
-        return max(now, self.shut_until, now + max(0.0, 1 - self.tokens) / self.pace.rate * 1000)
+        self._refill(now)
+        return max(now, self.blocked_until, now + max(0.0, 1 - self.tokens) / self.pacing.rate * 1000)
 
-    def outcome(self, now: float, good: bool) -> None:
-        """Take how a connect went."""
+    def record_result(self, now: float, good: bool) -> None:
+        """Record whether a connect succeeded; after a failure, block connects for the backoff."""
         if good:
-            self.failures, self.shut_until = 0, -math.inf
+            self.failures = 0
+            self.blocked_until = -math.inf
             return
-        length = min(self.pace.backoff_most, self.pace.backoff * 2.0 ** min(self.failures, 30))
+        max_wait_ms = min(self.pacing.max_backoff_ms, self.pacing.backoff_ms * 2.0 ** min(self.failures, 30))
         self.failures += 1
-        self.shut_until = max(self.shut_until, now + length * next(self.uniform))
+        self.blocked_until = max(self.blocked_until, now + max_wait_ms * next(self.uniform))
--- a/elderstall/client/targets.py
+++ b/elderstall/client/targets.py
@@ -1,8 +1,9 @@
-"""Which dispatcher takes the next try: two at random, the less busy one; those that fail stand aside.
+"""Choice of the dispatcher for the next attempt, with ejection of failing ones.
 
-Power of two choices (Mitzenmacher 1996) by calls out. A dispatcher that fails several times in a row is
-ejected, ever longer, and put back only when its ``/up`` has answered 200; never more than a set part of them
-at once, as with most gone the fault is likely elsewhere. No I/O: probes are asked for, their outcome is told.
+Power of two choices (Mitzenmacher 1996) by attempts in progress. A dispatcher that fails several times in a
+row is ejected, for longer each time, and used again only once its ``/up`` has answered 200. At most a fixed
+fraction is ejected at once: if most fail, the fault is likely elsewhere. No I/O: the caller sends the probes
+that are due and reports their results.
 """
 
 from __future__ import annotations
@@ -10,85 +11,92 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-EJECT_AFTER = 3  # failures in a row
-EJECT_FIRST, EJECT_MOST = 1_000.0, 30_000.0  # ms it stands aside at least; doubles with each ejection
-EJECT_PART = 0.5  # of the dispatchers may stand aside
+FAILURES_TO_EJECT = 3  # failures in a row
+MIN_EJECTION_MS = 1_000.0  # doubles with each ejection
+MAX_EJECTION_MS = 30_000.0
+MAX_EJECTED_FRACTION = 0.5  # of the dispatchers
 
 
 @dataclass(slots=True)
 class Target:
-    """One dispatcher as its clients see it."""
+    """State of one dispatcher as seen by a client."""
 
     address: str
-    out: int = 0  # calls under way
+    active_attempts: int = 0
     failures: int = 0  # in a row
     ejections: int = 0
-    aside_until: float | None = None  # not asked before, and then by a probe first
+    ejected_until: float | None = None  # gets no attempts before, and then a probe first
     probing: bool = False
 
 
 class Targets:
-    """All dispatchers that a client may ask. Raises ValueError without any, or where one is named twice."""
+    """All dispatchers that a client may use. Raises ValueError for none or a repeated address."""
 
     def __init__(self, addresses: Sequence[str], uniform: Iterator[float]) -> None:
         if not addresses or len(set(addresses)) != len(addresses):
             raise ValueError("dispatchers: at least one is needed, each named once")
-        self.all = [Target(address) for address in addresses]
-        self.by_address = {target.address: target for target in self.all}
+        self.targets = [Target(address) for address in addresses]
+        self.by_address = {target.address: target for target in self.targets}
         self.uniform = uniform
 
     def pick(self, avoid: str | None = None) -> Target:
-        """Choose one for a try, another than that of the last try where there is one; count it as busy."""
-        ready = [t for t in self.all if t.aside_until is None] or self.all
+        """Return a dispatcher for an attempt, if possible not the one at ``avoid``; count the attempt."""
+        ready = [t for t in self.targets if t.ejected_until is None] or self.targets
         others = [t for t in ready if t.address != avoid] or ready
         first = others[int(next(self.uniform) * len(others))]
         if len(others) > 1:
             rest = [t for t in others if t is not first]
             second = rest[int(next(self.uniform) * len(rest))]
-            if second.out < first.out:
+            if second.active_attempts < first.active_attempts:
                 first = second
-        first.out += 1
+        first.active_attempts += 1
         return first
 
-    def done(self, target: Target, now: float, good: bool) -> None:
-        """Take how a try there went; a refusal is a good sign of life."""
-        target.out -= 1
+    def record_result(self, target: Target, now: float, good: bool) -> None:
+        """Record the result of an attempt; a refusal counts as good, as the dispatcher is alive."""
+        target.active_attempts -= 1
         if good:
             target.failures = 0
-            if target.aside_until is None:
+            if target.ejected_until is None:
                 target.ejections = 0
             return
         target.failures += 1
-        if target.failures >= EJECT_AFTER and target.aside_until is None:
+        if target.failures >= FAILURES_TO_EJECT and target.ejected_until is None:
             self.eject(target, now)
 
     def eject(self, target: Target, now: float) -> None:
-        """Have a dispatcher stand aside, unless too many do."""
-        aside = sum(t.aside_until is not None for t in self.all)
-        if aside + 1 > EJECT_PART * len(self.all):
+        """Eject a dispatcher, unless too many are ejected."""
+        ejected = sum(t.ejected_until is not None for t in self.targets)
+        if ejected + 1 > MAX_EJECTED_FRACTION * len(self.targets):
             return
-        length = min(EJECT_MOST, EJECT_FIRST * 2.0 ** min(target.ejections, 16))
+        ejection_ms = min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2.0 ** min(target.ejections, 16))
         target.ejections += 1
-        target.aside_until, target.probing = now + length, False
+        target.ejected_until = now + ejection_ms
+        target.probing = False
 
-    def probes(self, now: float) -> list[Target]:
-        """Name those whose ``/up`` is to be asked now; each once until its outcome is told."""
-        due = [t for t in self.all if t.aside_until is not None and not t.probing and now >= t.aside_until]
+    def take_due_probes(self, now: float) -> list[Target]:
+        """Return the dispatchers to probe at ``/up`` now; each once until ``record_probe``."""
+        due = [
+            t
+            for t in self.targets
+            if t.ejected_until is not None and not t.probing and now >= t.ejected_until
+        ]
         for t in due:
             t.probing = True
         return due
 
-    def next_probe(self) -> float | None:
-        """Say when the next probe is due."""
-        due = [t.aside_until for t in self.all if t.aside_until is not None and not t.probing]
+    def next_probe_at(self) -> float | None:
+        """Return when the next probe is due; None without a dispatcher to probe."""
+        due = [t.ejected_until for t in self.targets if t.ejected_until is not None and not t.probing]
         return min(due, default=None)
 
-    def probed(self, target: Target, now: float, up: bool) -> None:
-        """Take a probe's outcome: 200 at ``/up`` puts a dispatcher back; 503 says that it ends."""
+    def record_probe(self, target: Target, now: float, up: bool) -> None:
+        """Record a probe's result: 200 at ``/up`` ends the ejection; 503 means that it shuts down."""
         target.probing = False
         if up:
-            target.aside_until, target.failures = None, 0
+            target.ejected_until = None
+            target.failures = 0
         else:
-            length = min(EJECT_MOST, EJECT_FIRST * 2.0 ** min(target.ejections, 16))
+            ejection_ms = min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2.0 ** min(target.ejections, 16))
             target.ejections += 1
-            target.aside_until = now + length
+            target.ejected_until = now + ejection_ms
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from elderstall.client.budget import RetryBudget
-from elderstall.client.policy import Action, Call, Habits, Lost, Rule, Send, Wait
+from elderstall.client.policy import Action, Call, CallClass, NoAnswer, RetryPolicy, Send, Wait
 from elderstall.client.policy import Answer as Reply
 from elderstall.messages import Answer, Failed, Rejected, Served
 from elderstall.simulation.draws import Choice, Draws
@@ -268,7 +268,7 @@
     def __init__(self, clients: Clients) -> None:
         self.clients, self.world = clients, clients.world
         spec = clients.spec
-        self.habits = Habits(max_tries=spec.max_tries)
+        self.habits = RetryPolicy(max_attempts=spec.max_tries)
         # One budget for the clients of each dispatcher, as each client process has one.
         self.budgets = [RetryBudget(spec.retry_share) for _ in clients.scenario.dispatchers.weights]
         self.calls: dict[int, Call] = {}
@@ -278,7 +278,7 @@
         cls, dispatcher_host = request.load.cls, request.dispatcher_host
         assert dispatcher_host is not None
         call = self.calls[request.number] = Call(
-            Rule(cls.name, cls.deadline, request.safe),
+            CallClass(cls.name, cls.deadline, request.safe),
             self.habits,
             self.budgets[dispatcher_host.rank],
             self.world.loop.now,
@@ -294,21 +294,21 @@
             result = Reply(503, retry_after=advice)
         else:
             result = Reply(504 if isinstance(answer, Failed) and answer.timed_out else 502)
-        self.follow(request, self.calls[request.number].heard(now, result))
+        self.follow(request, self.calls[request.number].on_result(now, result))
 
     def lost(self, request: Request, unsent: bool) -> None:
         """Take a try of which no answer came."""
-        self.follow(request, self.calls[request.number].heard(self.world.loop.now, Lost(unsent)))
+        self.follow(request, self.calls[request.number].on_result(self.world.loop.now, NoAnswer(unsent)))
 
     def woken(self, request: Request) -> None:
         """Go on after a wait, unless the client has left."""
         if request.ended is None:
-            self.follow(request, self.calls[request.number].woken(self.world.loop.now))
+            self.follow(request, self.calls[request.number].on_wait_over(self.world.loop.now))
 
     def follow(self, request: Request, action: Action) -> None:
         """Do what the library says."""
         if isinstance(action, Send):
-            self.world.tally.retries += action.again
+            self.world.tally.retries += action.is_retry
             self.clients.send(request)
         elif isinstance(action, Wait):
             self.world.loop.at(action.until, self.woken, request)
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -245,7 +245,7 @@
     assert library["rules"]["broken"] == 0 and not world.clients.library.calls  # type: ignore[union-attr]
     assert library["retries"] < naive["retries"] / 2
     for budget in world.clients.library.budgets:  # type: ignore[union-attr]
-        assert budget.retries <= budget.reserve + budget.share * budget.calls + budget.trickle * 20
+        assert budget.retries <= budget.reserve + budget.share * budget.calls + budget.refill_per_s * 20
 
 
 def test_clients_come_back_over_time_to_a_dispatcher_that_was_away() -> None:
