--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -1,4 +1,4 @@
-"""Host of many dispatchers on the simulator's wire: translation only, no decisions."""
+"""Adapter between the operators' simulator and the decisions of many dispatchers: translation only."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     "not_sent": Ending.NEVER_SENT,
 }
 STATES = {"IN": WorkerState.UP, "LAME": WorkerState.DRAINING, "OUT": WorkerState.GONE}
-LISTS = {
+LIST_SCOPES = {
     "Partial": ListScope.CHANGES,
     "Complete": ListScope.WHOLE,
     "Persisted": ListScope.WHOLE,
@@ -54,89 +54,99 @@
 
 
 class WireError(Exception):
-    """Input that does not follow the wire."""
+    """Input that violates the simulator's protocol."""
 
 
 def lookup(table: dict[str, Any], code: Any, field: str) -> Any:
-    """Translate one of the wire's words."""
+    """Return the value for one of the protocol's codes; raise WireError for an unknown code."""
     try:
         return table[code]
     except (KeyError, TypeError):
         raise WireError(f"unknown {field}: {code!r}") from None
 
 
-def listed_of(e: Fields, live: bool) -> Endpoint:
-    """Translate one line of a list; weights that are not live say nothing of the jobs held."""
+def parse_endpoint(entry: Fields, live: bool) -> Endpoint:
+    """Return one entry of a list; a rating counts as the weight only where weights follow the jobs held."""
     return Endpoint(
-        e["worker"],
-        e.get("generation_hw") or "",
-        e.get("area"),
-        e.get("cluster") or 0,
-        e.get("ready_at") or None,
-        lookup(STATES, e["lifecycle"], "lifecycle"),
-        (live and e.get("rating")) or 1.0,
+        entry["worker"],
+        entry.get("generation_hw") or "",
+        entry.get("area"),
+        entry.get("cluster") or 0,
+        entry.get("ready_at") or None,
+        lookup(STATES, entry["lifecycle"], "lifecycle"),
+        (live and entry.get("rating")) or 1.0,
     )
 
 
-def job_of(e: Fields) -> Event:
-    """Translate a request."""
+def parse_job(message: Fields) -> Event:
+    """Return the event of a new job."""
     return JobArrived(
-        e["id"],
-        e["priority"],
-        e["budget"],
-        e.get("team") or None,
-        e.get("subject"),
-        e.get("predicted"),
-        e.get("cores_needed") or 1,
+        message["id"],
+        message["priority"],
+        message["budget"],
+        message.get("team") or None,
+        message.get("subject"),
+        message.get("predicted"),
+        message.get("cores_needed") or 1,
     )
 
 
-def ended_of(e: Fields) -> Event:
-    """Translate an outcome."""
+def parse_attempt_ended(message: Fields) -> Event:
+    """Return the event of an attempt's end."""
     return AttemptEnded(
-        e["id"],
-        e["send_no"],
-        e["worker"],
-        lookup(ENDINGS, e["ending"], "ending"),
-        bool(e["terminal"]),
-        tuple(e.get("stats") or ()),
+        message["id"],
+        message["send_no"],
+        message["worker"],
+        lookup(ENDINGS, message["ending"], "ending"),
+        bool(message["terminal"]),
+        tuple(message.get("stats") or ()),
     )
 
 
-def noted_of(e: Fields) -> Event:
-    """Translate a progress note."""
-    return AttemptProgressed(e["id"], e["send_no"], e["worker"], e.get("value") or 0.0, e["what"] == 1)
+def parse_attempt_progressed(message: Fields) -> Event:
+    """Return the event of an attempt's progress."""
+    return AttemptProgressed(
+        message["id"],
+        message["send_no"],
+        message["worker"],
+        message.get("value") or 0.0,
+        message["what"] == 1,
+    )
 
 
-def probed_of(e: Fields) -> Event:
-    """Translate the answer to a question."""
-    return LoadPolled(e["worker"], lookup(ENDINGS, e["ending"], "ending"), tuple(e.get("stats") or ()))
+def parse_load_polled(message: Fields) -> Event:
+    """Return the event of a poll's result."""
+    return LoadPolled(
+        message["worker"], lookup(ENDINGS, message["ending"], "ending"), tuple(message.get("stats") or ())
+    )
 
 
 EVENTS: dict[str, Callable[[Fields], Event]] = {
-    "Request": job_of,
-    "Resolved": ended_of,
-    "Progress": noted_of,
-    "Due": lambda e: TimerFired(e["token"]),
-    "Left": lambda e: JobReleased(e["id"]),
-    "Probed": probed_of,
-    "AckFirst": lambda e: ResponseStarted(e["id"], e["send_no"], e["worker"]),
+    "Request": parse_job,
+    "Resolved": parse_attempt_ended,
+    "Progress": parse_attempt_progressed,
+    "Due": lambda message: TimerFired(message["token"]),
+    "Left": lambda message: JobReleased(message["id"]),
+    "Probed": parse_load_polled,
+    "AckFirst": lambda message: ResponseStarted(message["id"], message["send_no"], message["worker"]),
 }
-UNUSED = ("Peer",)  # peers are never listened to
-QUOTE = json.dumps
+IGNORED_EVENTS = ("Peer",)  # the dispatchers do not use messages of other dispatchers
+TO_JSON = json.dumps
 ACTIONS: dict[type, Callable[[Any], str]] = {
-    SendAttempt: lambda a: f'"m":"Issue","id":{a.job},"worker":{QUOTE(a.worker)},"try_for":{a.time_out!r}',
-    PollLoad: lambda a: f'"m":"Check","worker":{QUOTE(a.worker)}',
-    RejectJob: lambda a: f'"m":"OverloadReply","id":{a.job},"come_back":{a.retry_after!r}',
-    FailJob: lambda a: f'"m":"FinishError","id":{a.job}',
-    SetTimer: lambda a: f'"m":"SetAlarm","token":{a.token},"offset":{a.delay!r}',
-    WatchEndpoints: lambda a: '"m":"Follow","want":true',
-    LogLine: lambda a: f'"m":"SayLog","body_text":{QUOTE(a.text)}',
+    SendAttempt: lambda action: (
+        f'"m":"Issue","id":{action.job},"worker":{TO_JSON(action.worker)},"try_for":{action.time_out!r}'
+    ),
+    PollLoad: lambda action: f'"m":"Check","worker":{TO_JSON(action.worker)}',
+    RejectJob: lambda action: f'"m":"OverloadReply","id":{action.job},"come_back":{action.retry_after!r}',
+    FailJob: lambda action: f'"m":"FinishError","id":{action.job}',
+    SetTimer: lambda action: f'"m":"SetAlarm","token":{action.token},"offset":{action.delay!r}',
+    WatchEndpoints: lambda action: '"m":"Follow","want":true',
+    LogLine: lambda action: f'"m":"SayLog","body_text":{TO_JSON(action.text)}',
 }
 
 
 class Host:
-    """The dispatchers of one process; they share nothing but the numbered lists of the wire."""
+    """The dispatchers of one process; they share only the endpoint lists, which the protocol numbers."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
@@ -144,49 +154,50 @@
         self.serial = 0
         self.dispatchers: dict[int, Dispatcher] = {}
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
-        self.live = False  # whether the lists' weights follow the jobs held
+        self.live = False  # whether the weights in lists follow the jobs held
 
-    def reply(self, who: int, actions: Iterable[Action]) -> None:
+    def write_actions(self, who: int, actions: Iterable[Action]) -> None:
         """Write the actions of one dispatcher."""
-        self.out.writelines(f'{{"who":{who},{ACTIONS[type(a)](a)}}}\n' for a in actions)
+        self.out.writelines(f'{{"who":{who},{ACTIONS[type(action)](action)}}}\n' for action in actions)
 
-    def tell(self, who: int, event: Event) -> None:
-        """Hand one dispatcher its event and write what it asks for."""
+    def dispatch(self, who: int, event: Event) -> None:
+        """Pass an event to its dispatcher and write the actions that it returns; skip an ended dispatcher."""
         if (dispatcher := self.dispatchers.get(who)) is not None:
             actions = dispatcher.handle(self.now, event)
-            self.out.writelines(f'{{"who":{who},{ACTIONS[type(a)](a)}}}\n' for a in actions)
-
-    def translate(self, e: Fields) -> tuple[int, Event] | None:
-        """Take one line of a batch; give the event in it, if it is one for a dispatcher."""
-        m = e["m"]
-        if (event_of := EVENTS.get(m)) is not None:
-            return e["who"], event_of(e)
-        if m == "BeginBatch":
-            self.now, self.serial = e["time"], e["serial"]
-        elif m == "OverToYou":
+            self.out.writelines(f'{{"who":{who},{ACTIONS[type(action)](action)}}}\n' for action in actions)
+
+    def translate(self, message: Fields) -> tuple[int, Event] | None:
+        """Handle one message of a batch; return its dispatcher and event if it is for a dispatcher."""
+        message_type = message["m"]
+        if (parse_event := EVENTS.get(message_type)) is not None:
+            return message["who"], parse_event(message)
+        if message_type == "BeginBatch":
+            self.now = message["time"]
+            self.serial = message["serial"]
+        elif message_type == "OverToYou":
             self.out.write(f'{{"m":"Yield","serial":{self.serial}}}\n')
             self.out.flush()
-        elif m == "Members":
-            scope = lookup(LISTS, e["scope"], "scope")
-            return e["who"], EndpointListUpdate(
-                scope, () if scope is ListScope.FAILED else self.lists[e["slot"]]
+        elif message_type == "Members":
+            scope = lookup(LIST_SCOPES, message["scope"], "scope")
+            return message["who"], EndpointListUpdate(
+                scope, () if scope is ListScope.FAILED else self.lists[message["slot"]]
             )
-        elif m == "Roster":
-            self.lists[e["slot"]] = tuple(listed_of(item, self.live) for item in e["items"])
-        elif m == "NewInstance":
-            self.live = e["conf"].get("weight_source") == "live"
-            self.dispatchers[e["who"]] = Dispatcher(parse_settings(e["conf"]), e["salt"])
-            return e["who"], Started()
-        elif m in UNUSED:
+        elif message_type == "Roster":
+            self.lists[message["slot"]] = tuple(parse_endpoint(item, self.live) for item in message["items"])
+        elif message_type == "NewInstance":
+            self.live = message["conf"].get("weight_source") == "live"
+            self.dispatchers[message["who"]] = Dispatcher(parse_settings(message["conf"]), message["salt"])
+            return message["who"], Started()
+        elif message_type in IGNORED_EVENTS:
             pass
-        elif m == "Kill":
-            self.dispatchers.pop(e["who"], None)
+        elif message_type == "Kill":
+            self.dispatchers.pop(message["who"], None)
         else:
-            raise WireError(f"unknown event: {m!r}")
+            raise WireError(f"unknown event: {message_type!r}")
         return None
 
     def run(self, lines: Iterable[str]) -> None:
-        """Answer batches until the input ends."""
+        """Process batches until the input ends."""
         for text in lines:
             if not text.strip():
                 continue
@@ -197,17 +208,17 @@
             if not isinstance(message, dict):
                 raise WireError("a message must be an object")
             try:
-                told = self.translate(message)
+                translated = self.translate(message)
             except KeyError as err:
                 raise WireError(f"missing field {err} in {message.get('m', 'message')}") from err
             except (ValueError, TypeError, AttributeError) as err:
                 raise WireError(f"bad value in {message.get('m', 'message')}: {err}") from err
-            if told is not None:
-                self.tell(*told)
+            if translated is not None:
+                self.dispatch(*translated)
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Serve the simulator on standard input and output; return the exit status."""
     try:
         Host(sys.stdout).run(sys.stdin)
     except WireError as err:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: the wire in, the wire out, and plain words about what is malformed."""
+"""The adapter to the simulator: translation of messages, and errors that name malformed input."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from elderstall.benchlink import Host, WireError
 
-CONF: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "balancers": 2,
     "locality": "a",
     "surprise": 1,
@@ -21,7 +21,7 @@
 }
 START = [
     {"m": "BeginBatch", "time": 10.0, "serial": 1},
-    {"m": "NewInstance", "who": 3, "salt": 5, "conf": CONF},
+    {"m": "NewInstance", "who": 3, "salt": 5, "conf": SETTINGS},
     {"m": "Roster", "slot": 0, "items": [{"worker": "w", "lifecycle": "IN", "cluster": 0, "new": 1}]},
     {"m": "Members", "who": 3, "scope": "Persisted", "generation": 1, "slot": 0},
 ]
@@ -29,32 +29,32 @@
 DONE = {"m": "OverToYou"}
 
 
-def play(messages: list[Any]) -> list[dict[str, Any]]:
+def run_host(messages: list[Any]) -> list[dict[str, Any]]:
     out = io.StringIO()
     Host(out).run(m if isinstance(m, str) else json.dumps(m) for m in messages)
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
 def test_a_request_is_sent_and_the_batch_yielded() -> None:
-    replies = play([*START, REQUEST, DONE])
+    replies = run_host([*START, REQUEST, DONE])
     assert {"who": 3, "m": "Follow", "want": True} in replies
     assert {"who": 3, "m": "Issue", "id": 2**50, "worker": "w", "try_for": 900.0} in replies
     assert replies[-1] == {"m": "Yield", "serial": 1}
 
 
-def test_a_killed_instance_says_nothing_more() -> None:
-    replies = play([*START, {"m": "Kill", "who": 3}, REQUEST, DONE])
+def test_a_killed_instance_sends_nothing_more() -> None:
+    replies = run_host([*START, {"m": "Kill", "who": 3}, REQUEST, DONE])
     assert not [r for r in replies if r["m"] == "Issue"]
 
 
 def test_two_instances_share_nothing() -> None:
     other = [dict(m, who=4) if "who" in m else m for m in START[1:]]
-    replies = play([*START, *other, REQUEST, dict(REQUEST, who=4), DONE])
+    replies = run_host([*START, *other, REQUEST, dict(REQUEST, who=4), DONE])
     assert [r["who"] for r in replies if r["m"] == "Issue"] == [3, 4]
 
 
 @pytest.mark.parametrize(
-    "bad,word",
+    "malformed,word",
     [
         ("{oops", "malformed JSON"),
         ("[1]", "object"),
@@ -67,12 +67,12 @@
         ),
     ],
 )
-def test_malformed_input_is_named(bad: Any, word: str) -> None:
+def test_the_error_names_the_malformed_input(malformed: Any, word: str) -> None:
     with pytest.raises(WireError, match=word):
-        play([*START, bad])
+        run_host([*START, malformed])
 
 
-def test_the_process_ends_with_a_plain_message() -> None:
+def test_an_unknown_event_ends_the_process_with_one_message() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "elderstall.benchlink"],
         input='{"m":"Nope"}\n',
@@ -85,7 +85,7 @@
     assert run.stderr.strip() == "benchlink: unknown event: 'Nope'"
 
 
-def test_the_process_ends_quietly_with_its_input() -> None:
+def test_the_process_ends_without_errors_at_the_end_of_its_input() -> None:
     text = "".join(json.dumps(m) + "\n" for m in [*START, REQUEST, DONE])
     run = subprocess.run(
         [sys.executable, "-m", "elderstall.benchlink"],
