--- a/elderstall/cli/group.py
+++ b/elderstall/cli/group.py
@@ -1,4 +1,4 @@
-"""The click group that holds the tools, and the door that runs one."""
+"""The click group of the tools, and the function that runs one."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 
 import click
 
-from elderstall.cli.output import BAD, FAILED, GOOD, print_error
+from elderstall.cli.output import EXIT_FAILED, EXIT_OK, EXIT_USAGE, print_error
 
 
-class Lazy(click.Group):
-    """A group whose commands are imported when one is asked for."""
+class LazyGroup(click.Group):
+    """A group that imports a command only when it is used."""
 
-    words: dict[str, Callable[[], click.Command]]
+    loaders: dict[str, Callable[[], click.Command]]
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Name the commands."""
-        return sorted(self.words)
+        """Return the names of the commands."""
+        return sorted(self.loaders)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a command."""
-        load = self.words.get(cmd_name)
+        """Import and return a command; None if it is unknown."""
+        load = self.loaders.get(cmd_name)
         return load() if load is not None else None
 
 
 def simulate() -> click.Group:
-    """Import the simulator's commands."""
+    """Import and return the simulator's commands."""
     from elderstall.cli.simulate import simulate as group
 
     return group
 
 
 def rehearse() -> click.Group:
-    """Give the simulator's commands under their former name, with a notice, for one version."""
+    """Return the simulator's commands under their former name, with a notice, for one version."""
     group = simulate()
 
     def notice() -> None:
@@ -42,27 +42,27 @@
     return click.Group("rehearse", group.commands, callback=notice, help=group.help, hidden=True)
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def tools() -> None:
     """Tools around the dispatcher. Without a command, elderstall runs one dispatcher."""
 
 
-tools.words = {"simulate": simulate, "rehearse": rehearse}
+tools.loaders = {"simulate": simulate, "rehearse": rehearse}
 
 
 def main(argv: list[str]) -> int:
-    """Run a tool; gives its exit status."""
+    """Run a tool and return its exit status."""
     try:
         result = tools.main(args=argv, prog_name="elderstall", standalone_mode=False)
-    except click.exceptions.Exit as done:
-        return done.exit_code
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.Abort:
         print_error("stopped")
-        return FAILED
+        return EXIT_FAILED
     except click.ClickException as error:
         error.show(sys.stderr)
-        return BAD
+        return EXIT_USAGE
     except OSError as error:
         print_error(f"{error.filename}: {error.strerror}" if error.filename else str(error))
-        return FAILED
-    return result if isinstance(result, int) else GOOD
+        return EXIT_FAILED
+    return result if isinstance(result, int) else EXIT_OK
--- a/elderstall/cli/output.py
+++ b/elderstall/cli/output.py
@@ -1,4 +1,4 @@
-"""What the tools share: exit statuses, messages on standard error, JSON files."""
+"""Exit statuses, error messages and JSON output of the tools."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 
 from elderstall.atomic_file import write_text_atomically
 
-GOOD, FAILED, BAD = 0, 1, 2
+EXIT_OK = 0
+EXIT_FAILED = 1
+EXIT_USAGE = 2
 
 
 def print_error(message: str) -> None:
-    """Say on standard error what is wrong."""
+    """Print an error message on standard error."""
     click.echo(f"elderstall: {message}", err=True)
 
 
@@ -25,4 +27,4 @@
         return
     with click.open_file(path, "w", encoding="utf-8") as out:
         out.write(text)
-        out.flush()  # here an error still gets its message and status
+        out.flush()  # an error here still gets its message and exit status
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -16,11 +16,11 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command given; without one, a dispatcher."""
+    """Run or check a dispatcher, as the arguments say, and return the exit status."""
     parser = argparse.ArgumentParser(
         prog="elderstall",
         description="A job dispatcher.",
-        epilog="Tools, each with a --help of its own: elderstall simulate (bad nights in virtual time).",
+        epilog="Tools, each with a --help of its own: elderstall simulate (faults in virtual time).",
     )
     parser.add_argument(
         "command",
@@ -36,8 +36,8 @@
         help="an operator's file for the progress front (default: $ELDERSTALL_FRONT)",
     )
     args = parser.parse_args(argv)
-    early: list[int] = []  # signals to read the configuration again that come from its first reading on
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    early_signals: list[int] = []  # SIGHUPs since the first reading of the configuration began
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
     try:
         config = load(args.config, os.environ, args.front)
     except ConfigError as error:
@@ -49,22 +49,22 @@
             f"{len(config.known['endpoints'])} known workers, listens on {config.host}:{config.port}"
         )
         return 0
-    loop: Any = monotonic_reactor.install()  # as zope's interfaces say nothing to mypy
-    app = App(config, loop, lambda: load(args.config, os.environ, args.front))
-    # Before the program listens: from then on a signal without its handler would end it.
+    reactor: Any = monotonic_reactor.install()  # Any, as mypy does not know zope's interfaces
+    app = App(config, reactor, lambda: load(args.config, os.environ, args.front))
+    # Before the program listens: from then on a signal without a handler would end it.
     signal.signal(signal.SIGTERM, app.sigterm)
     signal.signal(signal.SIGINT, app.sigterm)
     signal.signal(signal.SIGHUP, app.sighup)
-    if early:
+    if early_signals:
         app.sighup()
 
     def observe(event: LogEvent) -> None:
         if "log_failure" in event:
             app.log.failure("twisted", event["log_failure"].value)
 
-    # Without an observer Twisted keeps events in memory and prints failures past the log's limit.
+    # Without an observer Twisted keeps events in memory and prints failures beyond the log's limit.
     observer = cast(ILogObserver, observe)
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
     app.start()
-    loop.run(installSignalHandlers=False)
+    reactor.run(installSignalHandlers=False)
     return 1 if app.failed else 0
--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``elderstall simulate``: play scenarios, compare them, explain what became of a request."""
+"""``elderstall simulate``: run scenarios, compare them, explain the history of a request."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from elderstall.cli.output import BAD, FAILED, GOOD, print_error, write_json
+from elderstall.cli.output import EXIT_FAILED, EXIT_OK, EXIT_USAGE, print_error, write_json
 from elderstall.simulation.audit import lines_of
 from elderstall.simulation.reading import ENDING, SHIPPED, ScriptError, find, read
 from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import World
 
-settings = click.option(
+override_option = click.option(
     "--set",
     "changes",
     multiple=True,
     metavar="KEY=VALUE",
-    help="lay a value over the script, such as load/rate=40 or slow/factor=3",
+    help="override a value of the scenario, such as load/rate=40 or slow/factor=3",
 )
-seed_option = click.option("--seed", type=click.IntRange(0), help="instead of the script's")
+seed_option = click.option("--seed", type=click.IntRange(0), help="instead of the scenario's")
 
 
-def opened(name: str, changes: Sequence[str]) -> Scenario:
-    """Read a script, and say what is odd about it; a faulty one ends the command."""
+def load_scenario(name: str, changes: Sequence[str]) -> Scenario:
+    """Return a checked scenario and print its warnings; an invalid one ends the command."""
     try:
         scenario, warnings = read(find(name), changes)
     except ScriptError as error:
         print_error(str(error))
-        raise click.exceptions.Exit(BAD) from None
+        raise click.exceptions.Exit(EXIT_USAGE) from None
     for warning in warnings:
         print_error(f"warning: {warning}")
     return scenario
 
 
-def shown() -> Console:
-    """Give the console for tables: standard output."""
+def make_console() -> Console:
+    """Return a console for tables on standard output."""
     return Console(highlight=False)
 
 
-def progress_bar(what: str) -> Progress:
-    """Make a progress bar on standard error, for people alone."""
+def progress_bar(description: str) -> Progress:
+    """Return a progress bar on standard error, disabled where that is no terminal."""
     console = Console(stderr=True)
     return Progress(
-        TextColumn(what),
+        TextColumn(description),
         BarColumn(),
         MofNCompleteColumn(),
         TimeRemainingColumn(),
@@ -60,35 +60,37 @@
     )
 
 
-def played(
+def run_scenario(
     scenario: Scenario, seed: int | None, explain: int | None = None
 ) -> tuple[dict[str, Any], World, float]:
-    """Play a scenario behind a progress bar; gives the CPU seconds that it took too."""
+    """Run a scenario with a progress bar; return its figures, its world and the CPU seconds used."""
     world = World(scenario, seed, explain)
-    before = time.process_time()
+    started_at = time.process_time()
     with progress_bar(scenario.name) as bar:
         task = bar.add_task("", total=100)
         figures = world.play(lambda share: bar.update(task, completed=round(100 * share)))
-    return figures, world, time.process_time() - before
+    return figures, world, time.process_time() - started_at
 
 
 def percent(value: float | None) -> str:
-    """Write a share."""
+    """Return a fraction as text in percent."""
     return "-" if value is None else f"{100 * value:.1f}%"
 
 
-def show(figures: dict[str, Any], cpu: float) -> None:
+def print_figures(figures: dict[str, Any], cpu: float) -> None:
     """Print a scenario's figures as tables."""
-    out, service, core = shown(), figures["service"], figures["core_time"]
+    out = make_console()
+    service = figures["service"]
+    core_time = figures["core_time"]
 
-    def say(*parts: str) -> None:
+    def print_line(*parts: str) -> None:
         out.print("".join(parts), soft_wrap=True)
 
-    say(
+    print_line(
         f"[bold]{figures['night']}[/bold], seed {figures['seed']}: {figures['requests']} requests, ",
         f"{figures['workers']} workers, {figures['dispatchers']} dispatchers, {figures['length_s']:g} s",
     )
-    say(
+    print_line(
         f"figure [bold]{figures['figure'] or 0:.3f}[/bold]   service {percent(service['whole'])}, ",
         f"worst 10 s {percent(service['worst_10_s'])} from {service['worst_10_s_from']} s, ",
         f"worst class {percent(service['worst_class'])}, worst tenant {percent(service['worst_tenant'])}",
@@ -96,49 +98,49 @@
     table = Table(box=None, pad_edge=False)
     for name in ("class", "service", "served", "late", "refused", "failed", "p50 ms", "p99 ms"):
         table.add_column(name, justify="left" if name == "class" else "right")
-    shown_endings = ("served", "late", "refused")
+    listed_endings = ("served", "late", "refused")
     for name, c in figures["classes"].items():
         endings, latency = c["endings"], c["latency_ms"]
-        failed = sum(n for what, n in endings.items() if what not in (*shown_endings, "left"))
+        failed = sum(n for what, n in endings.items() if what not in (*listed_endings, "left"))
         table.add_row(
             name,
             percent(c["service"]),
-            *(str(endings.get(e, 0)) for e in shown_endings),
+            *(str(endings.get(e, 0)) for e in listed_endings),
             str(failed),
             *(f"{latency[q]:.0f}" if latency else "-" for q in ("p50", "p99")),
         )
     out.print(table)
-    say(
+    print_line(
         f"{figures['attempts']} attempts, {figures['retries']} retries, ",
         f"{figures['connections']} connections; ",
-        f"cores {percent(core['busy'])} busy, {percent(core['overhead'])} connections, ",
-        f"{percent(core['down'] + core['paused'])} down or paused; ",
+        f"cores {percent(core_time['busy'])} busy, {percent(core_time['overhead'])} connections, ",
+        f"{percent(core_time['down'] + core_time['paused'])} down or paused; ",
         f"{figures['work']['wasted_s']:.0f} of {figures['work']['core_s']:.0f} core s wasted",
     )
     for t in figures["troubles"]:
-        say(
+        print_line(
             f"  {t['at_s']:g} s  {t['kind']}",
             f" for {t['for_s']:g} s" if t["for_s"] else "",
             ": " + ", ".join(t["struck"][:6]) if t["struck"] else "",
             " ..." if len(t["struck"]) > 6 else "",
         )
     if figures["most_lost"]:
-        say(
+        print_line(
             "most worth lost with requests ",
             ", ".join(
                 f"{row['request']} ({row['class']}, {row['ending']}, {percent(row['share_of_worth'])})"
                 for row in figures["most_lost"][:3]
             ),
         )
-    say(f"{1e6 * cpu / max(1, figures['requests']):.0f} us of CPU a request on this machine")
+    print_line(f"{1e6 * cpu / max(1, figures['requests']):.0f} us of CPU a request on this machine")
 
 
-def show_broken(figures: dict[str, Any]) -> None:
-    """Print the rules that were broken, each with its request's whole history."""
+def print_broken_rules(figures: dict[str, Any]) -> None:
+    """Print the first broken rules, each with the whole history of its request."""
     rules = figures["rules"]
-    for b in rules["first"]:
-        print_error(f"rule {b['rule']} broken at {b['at_s']:g} s: {b['what']}")
-        for line in b["history"]:
+    for violation in rules["first"]:
+        print_error(f"rule {violation['rule']} broken at {violation['at_s']:g} s: {violation['what']}")
+        for line in violation["history"]:
             click.echo(f"    {line}", err=True)
     print_error(
         f"{rules['broken']} times a rule was broken"
@@ -148,24 +150,24 @@
 
 @click.group()
 def simulate() -> None:
-    """Simulate bad scenarios in virtual time, with the real core and decisions inside."""
+    """Simulate faults and overload in virtual time, with the real engine and decisions."""
 
 
 @simulate.command()
 @click.argument("script")
 @seed_option
-@settings
+@override_option
 @click.option("--json", "json_path", metavar="FILE", help="write the figures there; - for standard output")
 @click.option("--report", metavar="FILE", help="write a report with plots there, as HTML")
 def run(
     script: str, seed: int | None, changes: tuple[str, ...], json_path: str | None, report: str | None
 ) -> int:
-    """Play the scenario SCRIPT, a file or the name of one that comes with the program.
+    """Run the scenario SCRIPT, a file or the name of one that comes with the program.
 
     Exit status 1 if a rule was broken.
     """
-    scenario = opened(script, changes)
-    figures, world, cpu = played(scenario, seed)
+    scenario = load_scenario(script, changes)
+    figures, world, cpu = run_scenario(scenario, seed)
     if json_path:
         write_json(figures, json_path)
     if report:
@@ -173,34 +175,34 @@
 
         write(world, figures, Path(report), cpu)
     if json_path != "-":
-        show(figures, cpu)
+        print_figures(figures, cpu)
     if figures["rules"]["broken"]:
-        show_broken(figures)
-        return FAILED
-    return GOOD
+        print_broken_rules(figures)
+        return EXIT_FAILED
+    return EXIT_OK
 
 
 @simulate.command()
 @click.argument("script")
-@settings
-@click.option("--json", "as_json", is_flag=True, help="for programs")
+@override_option
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def check(script: str, changes: tuple[str, ...], as_json: bool) -> int:
-    """Check the scenario SCRIPT and say what it holds, without playing it."""
-    scenario = opened(script, changes)
-    summary = summary_of(scenario)
+    """Check the scenario SCRIPT and print a summary, without running it."""
+    scenario = load_scenario(script, changes)
+    summary = summarize(scenario)
     if as_json:
         write_json(summary, "-")
     else:
-        shown().print(
+        make_console().print(
             f"{scenario.name}: {summary['workers']} workers, {summary['dispatchers']} dispatchers, "
             f"{summary['rate']:g} jobs a second for {summary['length_s']:g} s, "
-            f"{percent(summary['load'])} of what the fleet can do, {len(scenario.faults)} troubles"
+            f"{percent(summary['load'])} of the fleet's capacity, {len(scenario.faults)} faults"
         )
-    return GOOD
+    return EXIT_OK
 
 
-def summary_of(scenario: Scenario) -> dict[str, Any]:
-    """Say in figures what a scenario holds."""
+def summarize(scenario: Scenario) -> dict[str, Any]:
+    """Return a scenario's main figures."""
     rate = scenario.load.rate
     return {
         "name": scenario.name,
@@ -215,28 +217,29 @@
 
 
 @simulate.command(name="list")
-@click.option("--json", "as_json", is_flag=True, help="for programs")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 @click.option(
     "--folder",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
     default=SHIPPED,
-    help="where the scripts are",
+    help="where the scenarios are",
     show_default=False,
 )
-def list_scripts(as_json: bool, folder: Path) -> int:
+def list_scenarios(as_json: bool, folder: Path) -> int:
     """List the scenarios that come with the program."""
-    rows, good = [], True
+    rows = []
+    all_valid = True
     for path in sorted(folder.glob(f"*{ENDING}")):
         try:
-            rows.append({**summary_of(read(path)[0]), "name": path.stem})
+            rows.append({**summarize(read(path)[0]), "name": path.stem})
         except ScriptError as error:
             print_error(str(error))
-            good = False
+            all_valid = False
     if as_json:
         write_json(rows, "-")
     else:
         table = Table(box=None, pad_edge=False)
-        for name in ("night", "s", "workers", "jobs/s", "what happens"):
+        for name in ("scenario", "s", "workers", "jobs/s", "description"):
             table.add_column(name, justify="right" if name in ("s", "workers", "jobs/s") else "left")
         for row in rows:
             table.add_row(
@@ -246,12 +249,12 @@
                 f"{row['rate']:.0f}",
                 row["describe"],
             )
-        shown().print(table)
-    return GOOD if good else BAD
+        make_console().print(table)
+    return EXIT_OK if all_valid else EXIT_USAGE
 
 
-def seeds_of(_: click.Context, __: click.Parameter, text: str) -> list[int]:
-    """Read ``1-8`` or ``1,4,9``."""
+def parse_seeds(_: click.Context, __: click.Parameter, text: str) -> list[int]:
+    """Return the seeds in ``1-8`` or ``1,4,9``, without repeats."""
     seeds: list[int] = []
     for item in text.split(","):
         first, dash, last = item.strip().partition("-")
@@ -259,7 +262,7 @@
             raise click.BadParameter(f"{item!r} is neither a seed nor a range such as 1-8")
         seeds += range(int(first), int(last if dash else first) + 1)
     if not seeds or len(seeds) > 1_000:
-        raise click.BadParameter("wants 1 to 1000 seeds")
+        raise click.BadParameter("between 1 and 1000 seeds are needed")
     return list(dict.fromkeys(seeds))
 
 
@@ -269,20 +272,24 @@
 @click.option(
     "--seeds",
     default="1-8",
-    callback=seeds_of,
+    callback=parse_seeds,
     metavar="1-8",
     show_default=True,
-    help="each is played by both",
+    help="both scenarios run with each",
+)
+@click.option(
+    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="override a value of both scenarios"
 )
-@click.option("--set", "changes", multiple=True, metavar="KEY=VALUE", help="lay a value over both scripts")
 @click.option(
     "--set-second",
     "second_changes",
     multiple=True,
     metavar="KEY=VALUE",
-    help="lay a value over the second alone, so that two settings of one night can be compared",
+    help="override a value of the second alone, to compare two settings of one scenario",
+)
+@click.option(
+    "--processes", type=click.IntRange(1), help="simulations at a time (default: one for each core)"
 )
-@click.option("--processes", type=click.IntRange(1), help="plays at once (all cores)")
 @click.option("--json", "json_path", metavar="FILE", help="write the comparison there; - for standard output")
 def compare(
     first: str,
@@ -294,12 +301,12 @@
     json_path: str | None,
 ) -> int:
     """Compare the scenarios FIRST and SECOND, paired by seed, with 95% intervals of the difference."""
-    from elderstall.simulation.compare import compare as pair_up
+    from elderstall.simulation.compare import compare as compare_pairs
 
-    scenarios = opened(first, changes), opened(second, (*changes, *second_changes))
+    scenarios = load_scenario(first, changes), load_scenario(second, (*changes, *second_changes))
     with progress_bar(f"{scenarios[0].name}, {scenarios[1].name}") as bar:
         task = bar.add_task("", total=2 * len(seeds))
-        table, pairs = pair_up(scenarios, seeds, lambda: bar.advance(task), processes)
+        table, pairs = compare_pairs(scenarios, seeds, lambda: bar.advance(task), processes)
     broken = sum(side["rules"]["broken"] for pair in pairs for side in pair)
     if json_path:
         write_json(
@@ -326,20 +333,22 @@
                 f"{d.difference:+.4f}",
                 "-" if d.half is None else f"{low:+.4f} to {high:+.4f}{' *' if d.clear else '  '}",
             )
-        shown().print(out)
-        shown().print(f"{len(seeds)} pairs; * where the interval leaves out zero")
+        make_console().print(out)
+        make_console().print(f"{len(seeds)} pairs; * where the interval excludes zero")
     if broken:
         print_error(f"{broken} times a rule was broken")
-    return FAILED if broken else GOOD
+    return EXIT_FAILED if broken else EXIT_OK
 
 
-def address(_: click.Context, __: click.Parameter, texts: tuple[str, ...]) -> list[tuple[str, int]]:
-    """Read ``127.0.0.1:3000``."""
+def parse_addresses(_: click.Context, __: click.Parameter, texts: tuple[str, ...]) -> list[tuple[str, int]]:
+    """Return the addresses in texts such as ``127.0.0.1:3000``."""
     found = []
     for text in texts:
         host, colon, port = text.rpartition(":")
         if not colon or not port.isdigit() or not 0 < int(port) < 65536 or not host.startswith("127."):
-            raise click.BadParameter(f"{text!r} is no loopback address with a port, such as 127.0.0.1:3000")
+            raise click.BadParameter(
+                f"{text!r} is not a loopback address with a port, such as 127.0.0.1:3000"
+            )
         found.append((host, int(port)))
     return found
 
@@ -351,7 +360,7 @@
     "dispatchers",
     multiple=True,
     required=True,
-    callback=address,
+    callback=parse_addresses,
     metavar="HOST:PORT",
     help="where a dispatcher will listen; may be given several times",
 )
@@ -365,7 +374,7 @@
 )
 @click.option("--for", "seconds", type=click.FloatRange(0, min_open=True), help="stop after so many seconds")
 @seed_option
-@settings
+@override_option
 def serve(
     script: str,
     dispatchers: list[tuple[str, int]],
@@ -374,7 +383,7 @@
     seed: int | None,
     changes: tuple[str, ...],
 ) -> int:
-    """Put the workers, the list and the faults of SCRIPT on loopback sockets, in real time.
+    """Serve the workers, the list and the faults of SCRIPT on loopback sockets, in real time.
 
     Dispatchers are started by hand with the configuration written for each. At the end, or at an interrupt,
     what ran is printed as JSON; exit status 1 if a job of a class that must not repeat has run twice.
@@ -382,34 +391,34 @@
     from elderstall.net import monotonic_reactor
     from elderstall.simulation.serve import Stage
 
-    loop: Any = monotonic_reactor.install()  # in a process that has none yet
-    stage = Stage(opened(script, changes), loop, time.monotonic, time.time() * 1000, dispatchers, seed)
+    loop: Any = monotonic_reactor.install()  # this process has no reactor yet
+    stage = Stage(load_scenario(script, changes), loop, time.monotonic, time.time() * 1000, dispatchers, seed)
     stage.begin()
     for path in stage.write(folder):
         click.echo(f"elderstall --config {path}", err=True)
     for kind in stage.left_out:
-        print_error(f"warning: {kind} strikes what is real here, and is left out")
+        print_error(f"warning: {kind} is left out, as it would affect a part that is not simulated here")
     if seconds is not None:
         loop.callLater(seconds, loop.stop)
     loop.run()
     figures = stage.figures()
     write_json(figures, "-")
-    return FAILED if figures["broken"] else GOOD
+    return EXIT_FAILED if figures["broken"] else EXIT_OK
 
 
 @simulate.command()
 @click.argument("script")
 @click.argument("job", type=click.IntRange(1))
 @seed_option
-@settings
-@click.option("--json", "as_json", is_flag=True, help="for programs")
+@override_option
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def explain(script: str, job: int, seed: int | None, changes: tuple[str, ...], as_json: bool) -> int:
-    """Play SCRIPT and tell the whole history of request JOB, by its number."""
-    figures, world, _ = played(opened(script, changes), seed, job)
+    """Run SCRIPT and print the whole history of request JOB, by its number."""
+    figures, world, _ = run_scenario(load_scenario(script, changes), seed, job)
     request = world.explained
     if request is None:
-        print_error(f"there is no request {job}; the night had {figures['requests']}")
-        return FAILED
+        print_error(f"there is no request {job}; the simulation had {figures['requests']}")
+        return EXIT_FAILED
     lines = lines_of(request)
     summary = {
         "request": job,
@@ -432,4 +441,4 @@
         )
         for line in lines:
             click.echo(line)
-    return GOOD
+    return EXIT_OK
--- a/tests/test_atomic_file.py
+++ b/tests/test_atomic_file.py
@@ -171,7 +171,7 @@
 ) -> None:
     words = commands(tmp_path)[command]
     make_fail(monkeypatch, step, OSError(errno.ENOSPC, os.strerror(errno.ENOSPC)))
-    assert group.main(words) == output.FAILED
+    assert group.main(words) == output.EXIT_FAILED
     assert f"elderstall: {tmp_path / 'out'}: No space left on device" in capfd.readouterr().err
     assert os.listdir(tmp_path) == ["night.conf"]
 
