--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -122,9 +122,7 @@
         self.port: Any = None
         self.acceptor: Acceptor | None = None  # accepts on ``port``
         self.console_acceptor: Acceptor | None = None
-        self.inherited: int | None = (
-            None  # descriptor of the listening socket that the predecessor handed over
-        )
+        self.inherited: int | None = None  # descriptor of the predecessor's listening socket, if handed over
         self.reload_retry: Deadline | None = None
         self.failed = False  # the process could not start
 
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -14,8 +14,8 @@
 from elderstall.net.discovery import ListError, parse_list
 from elderstall.settings import parse_settings
 
-# Connections to workers are closed after this fraction of the workers' own conn_idle, so that the dispatcher
-# closes first and never writes to a connection that the worker is closing.
+# Idle connections to workers are closed after this fraction of the workers' conn_idle, so that the dispatcher
+# closes them clearly before the worker does.
 IDLE_TIMEOUT_FRACTION = 0.8
 OWN_DESCRIPTORS_DIVISOR = 16  # one descriptor in 16, and at least 16, is for the program itself
 CONSOLE_DESCRIPTORS = MAX_CONSOLE_CONNECTIONS + 1  # reserved for the console, its listener included
@@ -24,7 +24,7 @@
 MIN_SOCKETS = 64
 MAX_PORT = 65_535
 MAX_PORT_DIGITS = 5
-IDLE_MEMORY_MIB = 24.0  # used by the program without jobs or a list
+IDLE_MEMORY_MIB = 24.0  # used by an idle program
 # Of the memory beyond IDLE_MEMORY_MIB, for requests that are not complete yet; jobs may hold as much again.
 KEPT_BYTES_FRACTION = 0.125
 LIST_MEMORY_FRACTION = 0.5  # of the memory beyond IDLE_MEMORY_MIB, for the list, also while a new one is read
@@ -93,7 +93,7 @@
 def read_number(
     section: Mapping[str, Any], name: str, default: float, key: str, minimum: float = 0.0
 ) -> float:
-    """Return the number under ``name``, or the default; raise ConfigError below ``minimum``."""
+    """Return the number under ``name`` or the default; raise ConfigError if invalid or below ``minimum``."""
     value = section.get(name)
     if value is None:
         return default
