--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -11,7 +11,7 @@
 
 from twisted.internet.defer import Deferred
 
-from elderstall.config import IDLE_PART
+from elderstall.config import IDLE_TIMEOUT_FRACTION
 from elderstall.interface import Ending, Endpoint, WorkerState
 from elderstall.messages import JobRequest, Outcome
 from elderstall.net.upstream.cancel_exchange import CANCEL_TIMEOUT_MS
@@ -40,7 +40,7 @@
         self.world = process.world
         self.loop = process.world.loop
         self.network = process.world.scenario.network
-        self.idle_timeout_ms = self.network.idle_close * IDLE_PART
+        self.idle_timeout_ms = self.network.idle_close * IDLE_TIMEOUT_FRACTION
         self.pools: dict[str, Pool] = {}
         self.attempts: dict[str, SimulatedAttempt] = {}  # the newest of each request id
         self.count = self.opening = 0
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -247,7 +247,7 @@
     assert library["rules"]["broken"] == 0 and not world.clients.library.calls  # type: ignore[union-attr]
     assert library["retries"] < naive["retries"] / 2
     for budget in world.clients.library.budgets:  # type: ignore[union-attr]
-        assert budget.retries <= budget.reserve + budget.share * budget.calls + budget.trickle * 20
+        assert budget.retries <= budget.reserve + budget.share * budget.calls + budget.refill_per_s * 20
 
 
 def test_clients_reconnect_gradually_to_a_restarted_dispatcher() -> None:
