--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -102,7 +102,7 @@
             config.kept_bytes_limit,
         )
         if isinstance(self.server, ProgressServer):
-            self.server.setup = config.progress
+            self.server.progress_settings = config.progress
         self.upgrade = Upgrade(
             self, reactor, self.deadlines, self.log, self.engine, self.discovery, self.workers, self.server
         )
@@ -232,11 +232,11 @@
 
     def begin_as_successor(self, state: ProcessState) -> None:
         """Continue with the state that the predecessor handed over."""
-        self.upgrade.state.import_state(state)
+        self.upgrade.state_transfer.import_state(state)
         entries = self.merge_known_list(self.config.known if state.endpoints is None else state.endpoints)
         if state.discovery is not None and state.discovery != self.config.discovery:
             self.discovery.index = 0  # versions of another discovery are not comparable
-        self.upgrade.state.read_learned(state, entries)
+        self.upgrade.state_transfer.read_learned(state, entries)
         self.engine.start(entries, state.learned)
 
     def merge_known_list(self, known: Any) -> tuple[Endpoint, ...]:
@@ -352,7 +352,7 @@
         self.server.shedding_threshold = self.config.client_shedding_threshold
         self.server.kept_bytes_limit = self.config.kept_bytes_limit
         if isinstance(self.server, ProgressServer):
-            self.server.setup = self.config.progress
+            self.server.progress_settings = self.config.progress
         self.server.enforce_limits()
 
     def drain(self) -> None:
