--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -93,7 +93,7 @@
             config.kept_bytes_limit,
         )
         if isinstance(self.server, ProgressServer):
-            self.server.setup = config.progress
+            self.server.progress_settings = config.progress
         self.upgrade = Upgrade(
             self, reactor, self.deadlines, self.log, self.engine, self.discovery, self.workers, self.server
         )
@@ -214,11 +214,11 @@
 
     def begin_as_successor(self, state: ProcessState) -> None:
         """Go on from where the process that runs is."""
-        self.upgrade.state.import_state(state)
+        self.upgrade.state_transfer.import_state(state)
         entries = self.take_list(self.config.known if state.endpoints is None else state.endpoints)
         if state.discovery is not None and state.discovery != self.config.discovery:
             self.discovery.index = 0  # another one counts its versions afresh
-        self.upgrade.state.read_learned(state, entries)
+        self.upgrade.state_transfer.read_learned(state, entries)
         self.engine.start(entries, state.learned)
 
     def take_list(self, known: Any) -> tuple[Endpoint, ...]:
@@ -330,7 +330,7 @@
         )
         self.server.kept_bytes_limit = self.config.kept_bytes_limit
         if isinstance(self.server, ProgressServer):
-            self.server.setup = self.config.progress
+            self.server.progress_settings = self.config.progress
         self.server.enforce_limits()
 
     def drain(self) -> None:
--- a/elderstall/net/handover/framing.py
+++ b/elderstall/net/handover/framing.py
@@ -10,7 +10,9 @@
 from elderstall.net.buffer import Buffer
 from elderstall.net.handover.messages import Envelope, Message, decode
 
-MAX_LINE_BYTES = 8 * 1024 * 1024  # of one message: thousands of ids and a long endpoint list
+# Of an unfinished message, which may have thousands of ids and a long endpoint list. A complete one is not
+# checked.
+MAX_LINE_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(slots=True, frozen=True)
--- a/elderstall/net/handover/link.py
+++ b/elderstall/net/handover/link.py
@@ -17,19 +17,21 @@
 from elderstall.log import Log
 from elderstall.net.handover.framing import MessageReader, Received, UnconfirmedDescriptor
 from elderstall.net.handover.messages import (
-    Answer,
     ConnectionTransfer,
     Envelope,
     Got,
     Message,
     Question,
+    QuestionAnswer,
     encode,
 )
 from elderstall.net.handover.questions import OpenQuestions
 
 READ_TIMEOUT_MS = 5_000.0  # for which the peer process may leave written data unread
 
-# Errors that end a link: those of malformed or unknown messages, and failures while handling them.
+# Errors of malformed or unknown messages, and some failures while handling them, after which pending
+# confirmations are written before the link is closed. After any other exception, such as AssertionError or
+# RequestError, Twisted closes the link at once.
 LINK_ERRORS = (ValueError, KeyError, TypeError, IndexError, AttributeError, OSError)
 
 
@@ -47,7 +49,7 @@
         """Remove a link, before its open questions are answered with no."""
 
     def link_closed(self, link: Link) -> None:
-        """Handle the end of the peer process."""
+        """Handle the end of a link, as its process ended or as either side closed it."""
 
     def message_received(self, link: Link, received: Received) -> None:
         """Handle a message."""
@@ -70,21 +72,21 @@
         self.reader = MessageReader()
         self.questions = OpenQuestions(owner.deadlines)
         self.unconfirmed: deque[UnconfirmedDescriptor] = deque()  # oldest first
-        self.is_successor = False  # the peer is a new process that has requested a hand-over
-        self.serving = False  # the peer accepts clients; this process hands over
-        self.is_unresponsive = False  # the peer is alive but does not read
-        self.read_timer: Deadline | None = None  # runs while the peer does not read
+        self.is_successor = False  # the peer process is a new one that has requested a hand-over
+        self.serving = False  # the peer process accepts clients; this one hands over
+        self.is_unresponsive = False  # the peer process is alive but does not read
+        self.read_timer: Deadline | None = None  # runs while the peer process does not read
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.owner.link_opened(self)
         self.transport.registerProducer(self, True)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Start the time-out of a peer that does not read, as unread data waits in memory."""
+        """Start the time-out of a process that does not read, as unread data waits in memory."""
         self.read_timer = self.owner.deadlines.after(READ_TIMEOUT_MS, self.abort_unresponsive)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Cancel the time-out, as the peer reads again."""
+        """Cancel the time-out, as the peer process reads again."""
         if self.read_timer is not None:
             self.read_timer.cancel()
 
@@ -93,7 +95,7 @@
 
     def abort_unresponsive(self) -> None:
         """Abort the link to a process that does not read; this one continues to serve."""
-        self.owner.log.write("handover", "the other process does not read")
+        self.owner.log.write("handover", "the other process does not read; closing the link to it")
         self.is_unresponsive = True
         self.transport.abortConnection()
 
@@ -106,14 +108,14 @@
                 self.message_received(received)
         except LINK_ERRORS as error:
             self.owner.log.failure("link", error)
-            # Confirmations are written first; else the peer would take back a connection served here.
+            # Confirmations are written first; else the peer process would take back a connection served here.
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
     def message_received(self, received: Received) -> None:
         """Handle answers and confirmations here; pass other messages to the owner."""
         match received.envelope.message:
-            case Answer(number, accepted):
+            case QuestionAnswer(number, accepted):
                 self.questions.answer(number, accepted)
             case Got():
                 os.close(self.unconfirmed.popleft().descriptor)
@@ -126,7 +128,7 @@
         self.transport.write(encode(Envelope(message, number)))
 
     def send_descriptor(self, message: Message, descriptor: int) -> None:
-        """Send a message with a descriptor, which the link closes once the peer has confirmed it."""
+        """Send a message with a descriptor, which the link closes once the peer process has confirmed it."""
         self.unconfirmed.append(UnconfirmedDescriptor(descriptor, message))
         self.transport.sendFileDescriptor(descriptor)
         self.transport.write(encode(Envelope(message, has_descriptor=True)))
--- a/elderstall/net/handover/messages.py
+++ b/elderstall/net/handover/messages.py
@@ -1,7 +1,10 @@
 """The messages between the two processes of an upgrade, as typed records with one codec.
 
-Each message is a line of JSON. Its keys are fixed, as the processes may be of different versions: ``m`` names
-the message, ``n`` numbers a question that expects an answer, and ``fd`` says that a descriptor is attached.
+Each message is a line of JSON. Its keys are fixed, as the processes may run different releases of the
+program: ``m`` names the message, ``n`` numbers a question and its answer, and ``fd`` says that a descriptor
+is attached. Some names on the wire differ from those of the records: ``RequestTaken`` is "id",
+``QuestionAnswer`` is "word" with the result in "good", and "held" names both ``ConnectionsHeld`` and its
+count.
 """
 
 from __future__ import annotations
@@ -11,7 +14,8 @@
 from dataclasses import dataclass
 from typing import Any, TypeAlias
 
-VERSION = 1  # of the messages; a process with another version is answered Busy
+# Of the messages. A process with another version is answered Busy, and retries until its time-out.
+VERSION = 1
 
 
 @dataclass(slots=True, frozen=True)
@@ -91,7 +95,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class QuestionAnswer:
     """The answer to a question: yes or no."""
 
     number: int
@@ -99,7 +103,7 @@
 
 
 Question: TypeAlias = Callback | ExcludeWorker | IncludeWorker
-LinkMessage: TypeAlias = Hello | Busy | State | Serving | Released | Got | Answer
+LinkMessage: TypeAlias = Hello | Busy | State | Serving | Released | Got | QuestionAnswer
 ProgramMessage: TypeAlias = ConnectionTransfer | ConnectionsHeld | RequestTaken | Question
 Message: TypeAlias = LinkMessage | ProgramMessage
 
@@ -155,7 +159,7 @@
             fields = {"call": call}
         case ExcludeWorker(worker) | IncludeWorker(worker):
             fields = {"id": worker}
-        case Answer(number, accepted):
+        case QuestionAnswer(number, accepted):
             fields = {"n": number, "good": accepted}
         case _:
             fields = {}
@@ -175,7 +179,7 @@
     Callback: "callback",
     ExcludeWorker: "exclude",
     IncludeWorker: "include",
-    Answer: "word",
+    QuestionAnswer: "word",
 }
 _DECODERS: dict[str, Callable[[dict[str, Any]], Message]] = {
     "hello": lambda fields: Hello(fields.get("version")),
@@ -190,5 +194,5 @@
     "callback": lambda fields: Callback(fields["call"]),
     "exclude": lambda fields: ExcludeWorker(fields["id"]),
     "include": lambda fields: IncludeWorker(fields["id"]),
-    "word": lambda fields: Answer(fields["n"], bool(fields["good"])),
+    "word": lambda fields: QuestionAnswer(fields["n"], bool(fields["good"])),
 }
--- a/elderstall/net/handover/peers.py
+++ b/elderstall/net/handover/peers.py
@@ -18,7 +18,6 @@
 from elderstall.net.handover.link import Link
 from elderstall.net.handover.messages import (
     VERSION,
-    Answer,
     Busy,
     ConnectionTransfer,
     Got,
@@ -26,6 +25,7 @@
     Message,
     ProgramMessage,
     Question,
+    QuestionAnswer,
     Released,
     Serving,
     State,
@@ -36,8 +36,8 @@
 MAX_UNCONFIRMED_DESCRIPTORS = 32  # sent and not confirmed yet; each is open in both processes
 
 
-class Program(Protocol):
-    """The program's part in an upgrade, see `elderstall.upgrade`."""
+class HandoverDelegate(Protocol):
+    """The handler of the messages that are not about the listening socket, see `elderstall.upgrade`."""
 
     def make_offer(self) -> Offer:
         """Return the offer for a new process, with a copy of the listener's descriptor for it to close."""
@@ -71,7 +71,7 @@
         self.is_path_available = True  # no other process listens at the path
         self.predecessor: Link | None = None  # to the process that hands over to this one
         self.search = PredecessorSearch(deadlines, log, reactor, self, self.predecessor_found)
-        self.program: Program  # set by the program
+        self.delegate: HandoverDelegate  # set by the delegate itself
 
     def buildProtocol(self, addr: object) -> Link:  # noqa: N802, D102
         return Link(self)
@@ -91,7 +91,7 @@
     # ---- messages ----
 
     def message_received(self, link: Link, received: Received) -> None:
-        """Handle the messages about the listening socket; pass the others to the program."""
+        """Handle the messages about the listening socket; pass the others to the delegate."""
         match received.envelope.message:
             case Hello(version):
                 self.offer(link, version)
@@ -107,35 +107,35 @@
                 self.is_path_available = True
                 self.listen()
             case message:
-                self.program_message(link, cast("ProgramMessage", message), received)
+                self.delegate_message(link, cast("ProgramMessage", message), received)
 
-    def program_message(self, link: Link, message: ProgramMessage, received: Received) -> None:
-        """Pass a message to the program; a question is forwarded to a third process too, and answered."""
-        accepted = self.program.message_received(message, received.descriptor)
+    def delegate_message(self, link: Link, message: ProgramMessage, received: Received) -> None:
+        """Pass a message to the delegate; a question is forwarded to a third process too, and answered."""
+        accepted = self.delegate.message_received(message, received.descriptor)
         if received.descriptor is not None:
             link.send(Got())
         number = received.envelope.number
         if number is not None:
             others = self.ask_others(cast("Question", message), asker=link)
-            others.addCallback(lambda yes: link.send(Answer(number, accepted or yes)))
+            others.addCallback(lambda yes: link.send(QuestionAnswer(number, accepted or yes)))
 
     def offer(self, link: Link, version: object) -> None:
-        """Hand over to a new process, to one at a time."""
+        """Send the offer to a new process, or Busy if there is another successor or the version differs."""
         if version != VERSION or any(other.is_successor for other in self.links):
             link.send(Busy())
             return
         link.is_successor = True
-        offer = self.program.make_offer()
+        offer = self.delegate.make_offer()
         link.send_descriptor(State(offer.state), offer.listener)
         self.log.write("handover", "a new process asks for the listener")
-        self.program.links_changed()
+        self.delegate.links_changed()
 
     def release(self, link: Link) -> None:
         """Leave accepting and the path of the Unix socket to a new process that serves."""
         self.log.write("handover", "a new process accepts clients; handing over connections to it")
         link.serving = True
         self.stop_listening().addBoth(lambda _: link.send(Released()))
-        self.program.links_changed()
+        self.delegate.links_changed()
 
     # ---- the Unix socket ----
 
@@ -170,7 +170,11 @@
     # ---- the other processes ----
 
     def is_established(self, link: Link) -> bool:
-        """Return whether one of the two processes has handed its state over to the other."""
+        """Return whether a link counts as one to another process of this dispatcher.
+
+        A successor counts from its request on, a predecessor from the end of the search on, even
+        if that timed out.
+        """
         return link.is_successor or (link is self.predecessor and not self.search.is_active)
 
     @property
@@ -222,7 +226,7 @@
         self.links.remove(link)
 
     def link_closed(self, link: Link) -> None:
-        """Handle the end of the peer process."""
+        """Handle the end of a link, as its process ended or as either side closed it."""
         if self.closed:
             return
         if link is self.predecessor:
@@ -235,12 +239,12 @@
         elif not link.is_successor:
             return
         self.log.write("handover", f"the {'new' if link.is_successor else 'former'} process is gone")
-        self.program.links_changed()
+        self.delegate.links_changed()
 
     def descriptor_confirmed(self) -> None:
-        """Notify the program that another descriptor may be sent."""
-        self.program.descriptor_confirmed()
+        """Notify the delegate that another descriptor may be sent."""
+        self.delegate.descriptor_confirmed()
 
     def connection_returned(self, descriptor: int, transfer: ConnectionTransfer) -> None:
         """Resume serving a connection that the peer process has not received."""
-        self.program.connection_returned(descriptor, transfer)
+        self.delegate.connection_returned(descriptor, transfer)
--- a/elderstall/net/handover/process_state.py
+++ b/elderstall/net/handover/process_state.py
@@ -1,7 +1,9 @@
 """The state that a running process hands over to its successor: a record with one codec.
 
-The message's keys are fixed, as the processes may be of different versions. Times stay as encoded by the
-sender's shared clock, so that they compare with those in ``learned``; ``clock`` decodes them.
+The message's keys are fixed, as the processes may run different releases of the program. Some differ from the
+fields: "known" holds ``endpoints``, "back" ``bans_ended``, "ids" ``request_ids``, "begun" ``streamed`` and
+"held" ``connections``. Times stay as encoded by the sender's shared clock, so that they compare with those in
+``learned``; ``clock`` decodes them.
 """
 
 from __future__ import annotations
@@ -18,7 +20,8 @@
     """The state that a new process continues from. Times are as encoded by ``clock``, ms."""
 
     clock: SharedClock
-    starts: Mapping[str, Sequence[float]]  # of workers: Unix time from the list, ms, and the clock reading
+    # By worker: its start in Unix time from the endpoint list, ms, and as a reading of ``clock``.
+    starts: Mapping[str, Sequence[float]]
     endpoints: dict[str, Any] | None  # the endpoint list as discovery encodes it; None if not sent
     discovery: str | None  # the address that the list came from
     banned: Mapping[str, float]  # when each worker was banned
--- a/elderstall/net/handover/questions.py
+++ b/elderstall/net/handover/questions.py
@@ -8,7 +8,7 @@
 
 from elderstall.deadlines import Deadlines
 
-QUESTION_TIMEOUT_MS = 300.0  # for the peer's answer; operators wait 1 s for theirs
+QUESTION_TIMEOUT_MS = 300.0  # for the answer of the peer process; operators wait 1 s for a call's answer
 
 
 class OpenQuestions:
--- a/elderstall/net/handover/search.py
+++ b/elderstall/net/handover/search.py
@@ -18,7 +18,8 @@
 from elderstall.net.handover.messages import VERSION, Hello
 
 CONNECT_TIMEOUT_S = 1.0  # to connect to the running process, which is on this machine
-OFFER_TIMEOUT_MS = 5_000.0  # for it to hand over; the platform waits 6 s for the new process
+# For its offer, retries included; the platform that starts the new process waits 6 s for it.
+OFFER_TIMEOUT_MS = 5_000.0
 BUSY_RETRY_INTERVAL_MS = 100.0  # until a busy process is asked again
 MAX_SOCKET_PATH_BYTES = 107  # the system's limit for the path of a Unix socket
 
@@ -68,7 +69,7 @@
         self.path = path
         self.pending_offer = pending_offer = Deferred[Offer | None]()
         if is_path_too_long(path):
-            self.log.write("handover", f"off: the path of {path} is too long")
+            self.log.write("handover", f"hand-over disabled: the path {path} is too long for a Unix socket")
             self.settle(None)
         elif not os.path.exists(path):
             self.settle(None)
@@ -92,7 +93,7 @@
         link.send(Hello(VERSION))
 
     def retry(self) -> None:
-        """Connect again after a delay, as the peer was busy with a third process, or ended."""
+        """Connect again after a delay, as the running process sent Busy, or its link ended."""
         self.deadlines.after(BUSY_RETRY_INTERVAL_MS, self.connect)
 
     def connection_failed(self, failure: Failure) -> None:
--- a/elderstall/net/server/admission.py
+++ b/elderstall/net/server/admission.py
@@ -14,7 +14,8 @@
 from elderstall.slots import Slots
 
 MAX_SHED_CANDIDATES = 8  # connections of one activity that one search examines
-# A new client's first request may still be on its way for this long, even when this process is busy.
+# A connection that is new or lingers is not shed before this time. A new client's first request may still be
+# on its way, even when this process is busy.
 MIN_SHED_AGE_MS = 100.0
 
 
@@ -22,10 +23,10 @@
     """The activity of a connection that can be shed; the lowest is shed first."""
 
     NEW = 0  # no request yet
-    CLOSING = 1  # the last answer has been written
+    LINGERING = 1  # this side is closing; answers may still be unwritten, and there may be none at all
     HEALTH_CHECKED = 2  # between requests; it has requested only /up
     IDLE = 3  # a client or a worker between requests
-    READING = 4  # receiving a request whose head is valid
+    READING = 4  # receiving a request: the first one once its head is valid, a later one from its first byte
 
 
 class Sheddable(Protocol):
@@ -59,7 +60,7 @@
         self.peer_process_connections = 0
         # The connections that can be shed, in the order of shedding; within an activity the oldest is first.
         self.by_activity: tuple[dict[int, ConnectionT], ...] = tuple({} for _ in Activity)
-        self.closing_count = 0  # connections whose descriptor will soon be free
+        self.ending_count = 0  # connections in Stage.ENDING: their descriptor will soon be free
         # Enables or disables accepting on the listening port.
         self.accept: Callable[[bool], None] = lambda enabled: None
         self.accepting = True
@@ -83,7 +84,7 @@
         now = self.deadlines.now()
         for activity, connections in zip(Activity, self.by_activity, strict=True):
             for connection in islice(connections.values(), MAX_SHED_CANDIDATES):
-                if activity <= Activity.CLOSING and now - connection.active_since < MIN_SHED_AGE_MS:
+                if activity <= Activity.LINGERING and now - connection.active_since < MIN_SHED_AGE_MS:
                     break
                 if connection.can_shed:
                     return connection
@@ -101,12 +102,15 @@
 
     @property
     def open_count(self) -> int:
-        """The number of connections whose descriptor is not about to be freed."""
-        return len(self.connections) - self.closing_count
+        """The number of connections that are not ending; it includes those released for a hand-over."""
+        return len(self.connections) - self.ending_count
 
     @property
     def busy_count(self) -> int:
-        """The number of connections that are handling a request."""
+        """The number of connections that are not ending and cannot be shed, as they have no activity.
+
+        They are handling a request, wait for the peer to read an answer, or are released for a hand-over.
+        """
         return self.open_count - sum(map(len, self.by_activity))
 
     def enforce_limits(self) -> None:
--- a/elderstall/net/server/callbacks.py
+++ b/elderstall/net/server/callbacks.py
@@ -55,8 +55,8 @@
     @property
     def fraction_done(self) -> float:
         """The fraction of the work that is done; 0 if the callback states none."""
-        share = self.fields.get("share")
-        return float(share) if isinstance(share, int | float) and 0 <= share <= 1 else 0.0
+        fraction = self.fields.get("share")
+        return float(fraction) if isinstance(fraction, int | float) and 0 <= fraction <= 1 else 0.0
 
     @property
     def result(self) -> bytes:
--- a/elderstall/net/server/closing.py
+++ b/elderstall/net/server/closing.py
@@ -9,9 +9,12 @@
 from elderstall.net.server.state import CloseReason, ConnectionState, Stage
 
 DEPARTURE_CHECK_INTERVAL_MS = 50.0  # between checks for the end of a peer from which nothing is read
-LINGER_TIMEOUT_MS = 1_000.0  # of reading on after the last answer, so that no reset overtakes it
-MAX_BODY_PAUSE_MS = 500.0  # since its last bytes within which a body counts as slow, not abandoned
-UNREAD_DATA_GRACE_MS = 100.0  # for data that is still unread when its connection times out
+# From closing this side to ending the connection, so that no reset overtakes the last answer; also from
+# ending a connection with nothing unwritten to aborting it.
+LINGER_TIMEOUT_MS = 1_000.0
+# The longest gap between the bytes of a body before its request times out; also the interval of this check.
+MAX_BODY_PAUSE_MS = 500.0
+UNREAD_DATA_GRACE_MS = 100.0  # to read data that is still unread when its connection times out
 
 
 class ClosingConnection(ConnectionState):
@@ -20,7 +23,7 @@
     # ---- time-outs of a request ----
 
     def set_timeout(self, delay: float, reason: CloseReason) -> None:
-        """Close the connection for a reason after a delay, ms, unless its peer proceeds."""
+        """Close the connection for a reason after a delay, ms, unless the time-out is cancelled."""
         self.cancel_timeout()
         self.timeout = self.server.deadlines.after(delay, self.expire, reason)
 
@@ -40,7 +43,7 @@
         if self.message is not None and now < body_deadline:
             self.set_timeout(MAX_BODY_PAUSE_MS, reason)
         elif not self.grace_used and unread(self.transport):
-            # A request, or the rest of one, has arrived in this turn of the reactor: it is read first.
+            # A request, or the rest of one, may be unread: it is read first.
             self.grace_used = True
             self.set_timeout(UNREAD_DATA_GRACE_MS, reason)
         elif self.message is not None or not self.parser.idle:
@@ -58,7 +61,10 @@
             )
 
     def check_departure(self) -> None:
-        """End the connection if the peer has closed, which is not read while earlier data lies before it."""
+        """End the connection if the peer has closed.
+
+        While reading is paused, the end of the stream is not read, as unread data precedes it.
+        """
         self.departure_check = None
         if not self.paused:
             return
@@ -90,7 +96,7 @@
         self.server.kept.total += kept - self.kept_bytes
         self.kept_bytes = kept
         unfinished = kept and not self.busy and not self.closing
-        if unfinished and self.server.kept.over_limit:
+        if unfinished and self.server.kept.is_over_limit:
             if self.message is not None:
                 self.count_rejected()
             retry = retry_after(BUSY_RETRY_AFTER_MS)
@@ -119,12 +125,12 @@
         if not self.closing:
             self.stage = Stage.CLOSING
         self.reason = reason
-        self.server.table.set_activity(self, Activity.CLOSING)
+        self.server.table.set_activity(self, Activity.LINGERING)
         self.parser.buffer.clear()
         self.body_parts = []
         self.body_size = 0
         self.count_kept_bytes()
-        if self.paused is discard:
+        if self.paused is discard:  # reading continues only to discard
             self.paused = not discard
             (self.transport.resumeProducing if discard else self.transport.pauseProducing)()
         if self.paused:
@@ -159,11 +165,11 @@
         """Record that the descriptor will soon be free."""
         if self.stage is not Stage.ENDING:
             self.stage = Stage.ENDING
-            self.server.table.closing_count += 1
+            self.server.table.ending_count += 1
 
     def shed(self) -> None:
         """Close at once as descriptors run short; a client that is sending a request is told to retry."""
-        if self.closing:  # it has its answer; ended in the next turn, as it may be lost at once
+        if self.closing:  # ended in the next turn, as ending may call connectionLost at once
             self.server.table.set_activity(self, None)
             self.mark_ending()
             self.server.deadlines.after(0.0, self.end, self.reason)
--- a/elderstall/net/server/connection.py
+++ b/elderstall/net/server/connection.py
@@ -84,12 +84,11 @@
         self.body_size = 0
         self.count_kept_bytes()
         table.set_activity(self, None)
-        table.closing_count -= self.stage is Stage.ENDING
+        table.ending_count -= self.stage is Stage.ENDING
         table.connections.remove(self.number)
         if self.handed_descriptor is not None:
-            self.server.complete_hand_over(
-                self, closed_cleanly=isinstance(reason.value, ConnectionDone)
-            )  # False: it was lost before the hand-over
+            # Any reason but ConnectionDone means that the connection broke before it was handed over.
+            self.server.complete_hand_over(self, closed_cleanly=isinstance(reason.value, ConnectionDone))
         else:
             kind = "client" if self.is_client else "peer"
             self.server.log.ended(kind, self.number, self.reason, f"{self.requests} requests")
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -1,4 +1,15 @@
-"""Hand-over of connections and their jobs between the two processes of an upgrade."""
+"""Hand-over of connections and their jobs between the two processes of an upgrade.
+
+A connection is handed over in these steps:
+
+1. ``hand_over_idle`` or ``hand_over_job`` releases it: the job is exported, the descriptor copied, and the
+   transport closed without shutting the socket down.
+2. Once the transport has written its pending data, Twisted calls ``connectionLost``, which calls
+   ``complete_hand_over``. That sends the copy and the encoded connection to the peer process.
+3. The peer process calls ``adopt_connection``, which resumes the job or waits for the next request.
+
+A connection that cannot be sent is taken back by its own process, by the same ``adopt_connection``.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +42,8 @@
     connection.cancel_timeout()
     connection.server.table.set_activity(connection, None)
     transport.unregisterProducer()
-    # Twisted would shut the socket down for both processes; pending data is still written first.
+    # Twisted would shut the socket down for both processes, and has no public way to prevent it. Pending data
+    # is still written first.
     transport._shouldShutdown = False
     transport.loseConnection()
     return True
@@ -47,12 +59,13 @@
         self.deadlines = deadlines
         self.table = table
         self.can_hand_over: Callable[[], bool] = lambda: False  # whether a peer process accepts them
-        self.send_connection: Callable[..., bool] = lambda descriptor, **fields: False  # to the peer
-        # Resumes serving a connection that could not be sent to the peer process.
+        self.send_connection: Callable[..., bool] = lambda descriptor, **fields: False  # to that process
+        # Called with a connection that could not be sent; by default its descriptor is closed.
         self.take_back_connection: Callable[[int, dict[str, Any]], None] = lambda descriptor, fields: (
             os.close(descriptor)
         )
-        # Ids of jobs released here and not handed over yet: a worker has to repeat a callback for them.
+        # Ids of jobs released here and not sent yet, and of received ones that wait for a free descriptor. A
+        # worker has to repeat a callback for them.
         self.ids_in_transfer: set[str] = set()
 
     def hand_over_all(self) -> None:
--- a/elderstall/net/server/listener.py
+++ b/elderstall/net/server/listener.py
@@ -35,7 +35,8 @@
 
     noisy = False
 
-    # Delegated to components.
+    # Attributes and methods of components; ``enforce_limits``, ``capacity_left``, ``hand_over_all`` and
+    # ``adopt_connection`` are only read.
     connections = DelegatedAttribute[Slots[ServerConnection]]("table", "connections")
     max_connections = DelegatedAttribute[int]("table", "max_connections")
     shedding_threshold = DelegatedAttribute[int]("table", "shedding_threshold")
@@ -123,25 +124,25 @@
         connection.is_client = True
         request = replace(request, budget=max(0.0, request.budget - connection.time_since_first_byte()))
         if not self.handing_over.can_hand_over():  # else the connection is handed over with the job
-            request = self.bound_by_shutdown(request)
+            request = self.limit_by_shutdown(request)
         if self.table.busy_count > self.table.local_shedding_threshold:
             # Keeps descriptors free for workers' callbacks.
-            raise self.rejected(request, "too many connections")
+            raise self.reject_error(request, "too many connections")
         if self.kept.total > KEPT_BYTES_REJECTION_FACTOR * self.kept.limit:
-            raise self.rejected(request, "too much is kept")
+            raise self.reject_error(request, "too much is kept")
         self.submit(connection, message, request)
 
-    def bound_by_shutdown(self, request: JobRequest) -> JobRequest:
+    def limit_by_shutdown(self, request: JobRequest) -> JobRequest:
         """Limit a job's budget to the time left until the shutdown deadline."""
         time_left = self.shutdown_deadline - self.deadlines.now()
         if time_left <= 0:
-            raise self.rejected(request, "shutting down")
+            raise self.reject_error(request, "shutting down")
         if not self.limits_budgets:
             return request
         # A job that outlasts the process would be lost.
         return replace(request, budget=min(request.budget, time_left))
 
-    def rejected(self, request: JobRequest, reason: str) -> RequestError:
+    def reject_error(self, request: JobRequest, reason: str) -> RequestError:
         """Count a job as rejected, and return the error to raise."""
         self.engine.count_rejected(request.job_class)
         return RequestError(503, reason, retry_after(BUSY_RETRY_AFTER_MS))
@@ -159,7 +160,7 @@
         except RepeatedIdError:
             raise RequestError(400, "a job with this X-Call-Id is live or was answered") from None
         except TooManyJobsError:
-            raise self.rejected(request, "too many jobs") from None
+            raise self.reject_error(request, "too many jobs") from None
         if connection.busy:  # else it has been answered already
             connection.job = number
             connection.original = message
@@ -189,7 +190,7 @@
     ) -> None:
         """Answer a callback that was forwarded; its job may have been handed over to this process by now."""
         self.callbacks.apply(callback)
-        # Without the peer's confirmation, or while the job is in transfer, the worker has to retry.
+        # Without the peer process's confirmation, or while the job is in transfer, the worker has to retry.
         connection.reply(
             204 if confirmed and callback.request_id not in self.handing_over.ids_in_transfer else 503
         )
@@ -251,10 +252,10 @@
 
     def close_if_drained(self) -> bool:
         """Close connections with no unread data; return whether no open connection is left."""
-        left = [connection for connection in self.table.connections if not connection.closing]
-        for connection in [connection for connection in left if not unread(connection.transport)]:
+        open_connections = [connection for connection in self.table.connections if not connection.closing]
+        for connection in [connection for connection in open_connections if not unread(connection.transport)]:
             connection.linger(CloseReason.DRAIN, discard=False)
-        return all(connection.closing for connection in left)
+        return all(connection.closing for connection in open_connections)
 
     @property
     def is_quiescent(self) -> bool:
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -48,7 +48,7 @@
 
     def __init__(self, server: RequestHandler) -> None:
         super().__init__(server)
-        self.processing = False  # handling events of the parser; prevents reentry
+        self.is_processing = False  # handling events of the parser; prevents reentry
 
     # ---- reading ----
 
@@ -60,9 +60,9 @@
 
     def process_received(self) -> None:
         """Handle the received data while answers can be written."""
-        if self.processing:
+        if self.is_processing:
             return
-        self.processing = True
+        self.is_processing = True
         try:
             while not (self.busy or self.blocked or self.closing):
                 event = self.parser.next()
@@ -79,18 +79,18 @@
             self.server.log.failure("request", error)
             self.refuse(500, CloseReason.BUG, b"internal error\n")
         finally:
-            self.processing = False
+            self.is_processing = False
         self.count_kept_bytes()
-        self.bound_read_ahead()
+        self.limit_read_ahead()
 
     def refuse_request(self, denied: RequestError) -> None:
         """Answer a refused request with its error, and close."""
         self.refuse(denied.status, CloseReason.BAD_REQUEST, denied.body, denied.headers)
 
-    def bound_read_ahead(self) -> None:
+    def limit_read_ahead(self) -> None:
         """Pause reading while enough data is kept behind the current request."""
         max_read_ahead = (
-            MAX_READ_AHEAD_OVER_LIMIT_BYTES if self.server.kept.over_limit else MAX_READ_AHEAD_BYTES
+            MAX_READ_AHEAD_OVER_LIMIT_BYTES if self.server.kept.is_over_limit else MAX_READ_AHEAD_BYTES
         )
         full = (self.busy or self.blocked) and len(self.parser.buffer) > max_read_ahead
         if full != self.paused and not self.closing:
--- a/elderstall/net/server/state.py
+++ b/elderstall/net/server/state.py
@@ -22,7 +22,7 @@
     """The stage of a connection's life."""
 
     OPEN = auto()
-    CLOSING = auto()  # nothing more is answered
+    CLOSING = auto()  # nothing more is answered: it lingers, is released for a hand-over, or is lost
     ENDING = auto()  # as CLOSING, and the descriptor will soon be free
 
 
@@ -38,9 +38,9 @@
     BAD_REQUEST = "bad-request"
     BUG = "bug"
     MEMORY = "memory"
-    CROWDED = "crowded"
+    CROWDED = "crowded"  # shed, as descriptors ran short
     DRAIN = "drain"
-    CLOSED_AFTER = "closed-after"
+    CLOSED_AFTER = "closed-after"  # after an answer
     HANDED_OVER = "passed"  # to the peer process of an upgrade
 
 
@@ -56,7 +56,8 @@
     """The time-outs of a connection, ms."""
 
     idle: float = 75_000.0  # between requests
-    # A bad client must be answered or closed within 3 s; 0.5 s of that is left for a process under load.
+    # A bad client must be answered or closed within 3 s; 0.5 s of that is left for a process under load. A
+    # client whose body is still being received does not count as bad.
     request: float = 2_500.0  # for a complete request
     body: float = 15_000.0  # for a request whose body is still being received
     write: float = 20_000.0  # for the peer to read its answer
@@ -70,7 +71,7 @@
     total: int = 0
 
     @property
-    def over_limit(self) -> bool:
+    def is_over_limit(self) -> bool:
         """Whether the kept bytes exceed the limit."""
         return self.total > self.limit
 
@@ -131,7 +132,7 @@
         self.rejected_in_shutdown = False  # the client should use another dispatcher
         # The peer.
         self.is_client = False  # has submitted a job
-        self.is_worker = False  # has called back about a live attempt
+        self.is_worker = False  # has sent a callback that was applied to a live attempt, or forwarded
         self.requests = 0
         # An upgrade.
         self.handed_descriptor: int | None = None  # a copy for the peer process
--- a/elderstall/net/server/streams.py
+++ b/elderstall/net/server/streams.py
@@ -20,7 +20,7 @@
 
 
 def accepts_stream(message: http.Message) -> bool:
-    """Return whether a client accepts event streams by name."""
+    """Return whether the ``Accept`` header names the type of event streams; wildcards do not count."""
     types = [word.split(";", 1)[0].strip() for word in message.headers.tokens("Accept")]
     return MEDIA_TYPE in types
 
@@ -29,11 +29,11 @@
     """The client of one job that requested events."""
 
     def __init__(
-        self, connection: RequestConnection, request_id: str, setup: Progress, *, chunked: bool
+        self, connection: RequestConnection, request_id: str, progress_settings: Progress, *, chunked: bool
     ) -> None:
         self.connection = connection
         self.request_id = request_id
-        self.setup = setup
+        self.progress_settings = progress_settings
         self.chunked = chunked
         self.head_written = False
         self.count = 0
@@ -55,7 +55,7 @@
         if not self.head_written:
             self.head_written = True
             self.write_head()
-            first = f"retry: {self.setup.retry_ms}\n".encode()
+            first = f"retry: {self.progress_settings.retry_ms}\n".encode()
         self.count += 1
         self.write(first + encode_event(name, data, f"{self.request_id}/{self.count}"))
 
@@ -105,14 +105,15 @@
 class ProgressServer(Server):
     """The listener that streams progress to clients which ask for it."""
 
-    setup = Progress(enabled=True)
+    progress_settings = Progress(enabled=True)
 
     def __init__(self, *args: Any, **named: Any) -> None:
         super().__init__(*args, **named)
-        self.started_streams: OrderedDict[str, None] = OrderedDict()  # ids of the latest streamed jobs
+        # Ids of jobs submitted with a stream, the oldest first.
+        self.started_streams: OrderedDict[str, None] = OrderedDict()
 
     def streamed_ids(self) -> list[str]:
-        """Return the ids of jobs whose streams have begun."""
+        """Return the ids of jobs that were submitted with a stream, even if no event was sent."""
         return list(self.started_streams)
 
     def inherit_streamed_ids(self, streamed_ids: list[str]) -> None:
@@ -136,9 +137,10 @@
         self, connection: RequestConnection, message: http.Message, request: JobRequest
     ) -> None:
         """Submit a job whose client receives a stream."""
-        connection.transport.bufferSize = self.setup.coalesce_bytes
+        # Twisted uses bufferSize for the size of a read too. The connection's later requests keep this value.
+        connection.transport.bufferSize = self.progress_settings.coalesce_bytes
         chunked = message.version >= (1, 1)
-        stream = ClientStream(connection, request.request_id, self.setup, chunked=chunked)
+        stream = ClientStream(connection, request.request_id, self.progress_settings, chunked=chunked)
         connection.stream = stream
         try:
             self.submit_for(stream, connection, message, request)
@@ -150,5 +152,5 @@
     def retain_id(self, request_id: str) -> None:
         """Retain the id of a streamed job, and drop the oldest ids above the limit."""
         self.started_streams[request_id] = None
-        while len(self.started_streams) > self.setup.remember:
+        while len(self.started_streams) > self.progress_settings.remember:
             self.started_streams.popitem(last=False)
--- a/elderstall/upgrade/adoption.py
+++ b/elderstall/upgrade/adoption.py
@@ -25,7 +25,7 @@
 
 
 class Adoption:
-    """Adopts connections handed over by a peer process, and their jobs."""
+    """Adopts connections handed over by a peer process or taken back by this one, and their jobs."""
 
     def __init__(self, reactor: Any, deadlines: Deadlines, log: Log, engine: Engine, server: Server) -> None:
         self.reactor = reactor
@@ -48,7 +48,7 @@
         except OSError as error:
             if error.errno in RESOURCE_ERRORS and retries_left:
                 self.log.write_rate_limited("adopt", f"a connection handed over waits: {error}")
-                self.waiting += retries_left == MAX_ADOPT_RETRIES
+                self.waiting += retries_left == MAX_ADOPT_RETRIES  # counted once, at the first attempt
                 if job is not None:
                     self.server.ids_in_transfer.add(job["cid"])
                 self.deadlines.after(
@@ -56,7 +56,7 @@
                 )
                 return
             transport = None  # the client has disconnected, or the retries are used up
-        self.waiting -= retries_left < MAX_ADOPT_RETRIES
+        self.waiting -= retries_left < MAX_ADOPT_RETRIES  # counted above if it had to wait
         close_descriptor(descriptor)
         if job is not None:
             self.server.ids_in_transfer.discard(job["cid"])
--- a/elderstall/upgrade/state_transfer.py
+++ b/elderstall/upgrade/state_transfer.py
@@ -59,6 +59,6 @@
         self.server.peer_process_connections = state.connections
 
     def read_learned(self, state: ProcessState, entries: Iterable[Endpoint]) -> None:
-        """Import what the predecessor has learned of the listed endpoints; changes it in place."""
+        """Import what the predecessor has learned of the listed endpoints; decode ``learned`` in place."""
         if state.learned is not None:
             decode_learned(state.learned, entries, state.bans_ended, self.engine.view, state.clock)
--- a/elderstall/upgrade/upgrade.py
+++ b/elderstall/upgrade/upgrade.py
@@ -2,6 +2,23 @@
 
 A new process takes over the state, the listening socket and the connections of the running one. Until that
 one has ended, both share the dispatcher's limits, and operators' bans apply to both.
+
+The steps of a hand-over, with the messages of `elderstall.net.handover.messages`:
+
+1. The new process connects to the Unix socket of the running one, and sends Hello.
+2. The running process sends State with a copy of the listener's descriptor, and shares the limits from then
+   on.
+3. The new process confirms the descriptor with Got, imports the state, listens, and sends Serving.
+4. The running process, now the predecessor, stops listening on the Unix socket, stops accepting clients, and
+   begins to hand over connections. It sends Released once the Unix socket is closed.
+5. After Released the new process listens on the Unix socket, for the next upgrade.
+6. The predecessor releases connections that are between requests or whose job can move, and sends each as a
+   ConnectionTransfer with its descriptor. It tries the others again at intervals, and reports the number left
+   in ConnectionsHeld.
+7. The new process adopts each connection, or retries that while it has no free descriptor, and sends Got. The
+   predecessor then closes its copy of the descriptor, and may send a further connection.
+8. When the link ends, the predecessor resumes connections that were not confirmed, unless it is ending itself
+   or the new process stopped reading. The process that is left has the whole limits again.
 """
 
 from __future__ import annotations
@@ -41,8 +58,8 @@
 BAN_RETRY_INTERVAL_MS = 50.0  # between them
 
 
-class Program(Protocol):
-    """The parts of the program that an upgrade uses."""
+class Application(Protocol):
+    """The parts of the application that an upgrade uses."""
 
     config: Config  # the current one
     port: Any  # the listening port; None until clients are accepted
@@ -56,7 +73,7 @@
 
     def __init__(
         self,
-        program: Program,
+        application: Application,
         reactor: Any,
         deadlines: Deadlines,
         log: Log,
@@ -65,15 +82,15 @@
         workers: WorkerTransport,
         server: Server,
     ) -> None:
-        self.program = program
+        self.application = application
         self.deadlines = deadlines
         self.engine = engine
         self.workers = workers
         self.server = server
-        self.state = StateTransfer(deadlines, engine, discovery, server)
+        self.state_transfer = StateTransfer(deadlines, engine, discovery, server)
         self.adoption = Adoption(reactor, deadlines, log, engine, server)
         self.handover: Handover | None = None  # None: no folder for the Unix socket is set
-        config = program.config
+        config = application.config
         if config.folder is not None:
             name = f"elderstall-{config.host}-{config.port}"
             self.connect(Handover(deadlines, log, reactor, config.folder, name))
@@ -81,7 +98,7 @@
     def connect(self, handover: Handover) -> None:
         """Connect the hand-over link with the server and the engine."""
         self.handover = handover
-        handover.program = self
+        handover.delegate = self
         self.engine.jobs.on_accepted = lambda request_id: handover.announce(RequestTaken(request_id))
         self.server.can_hand_over = lambda: handover.can_send_connection
         self.server.send_connection = self.send_connection
@@ -95,8 +112,8 @@
     def make_offer(self) -> Offer:
         """Return the state for a new process, and a copy of the listener's descriptor."""
         return Offer(
-            self.state.export_state(self.program.config.discovery).encode(),
-            os.dup(self.program.port.fileno()),
+            self.state_transfer.export_state(self.application.config.discovery).encode(),
+            os.dup(self.application.port.fileno()),
         )
 
     def listener_opened(self, *, taken_over: bool) -> None:
@@ -120,7 +137,7 @@
     def worker_connections(self) -> int:
         """The share of the dispatcher's maximum of connections to workers that this process has."""
         others = 0 if self.handover is None else len(self.handover.others)
-        return self.program.config.worker_connections // (1 + others)
+        return self.application.config.worker_connections // (1 + others)
 
     def links_changed(self) -> None:
         """Share limits with the connected processes, and hand over to the one that serves."""
@@ -128,21 +145,24 @@
         if self.handover.predecessor is None:
             self.server.peer_process_connections = 0
         self.workers.connections.limit = self.worker_connections
-        if self.program.port is None:
+        if self.application.port is None:
             return
         has_successor = any(link.is_successor for link in self.handover.others)
         self.share_slow_start_budget(has_successor=has_successor)
         if self.has_serving_successor:
-            self.program.update_accepting()
+            self.application.update_accepting()
             self.hand_over()
             return
         if not has_successor:
             self.handover.listen()
         self.server.enforce_limits()
-        self.program.update_accepting()
+        self.application.update_accepting()
 
     def share_slow_start_budget(self, *, has_successor: bool) -> None:
-        """Set this process's fraction of the slow-start budget."""
+        """Set this process's fraction of the slow-start budget.
+
+        Each process considers its own links only: the fractions of three processes may sum to more than 1.
+        """
         assert self.handover is not None
         fraction = 1.0
         if has_successor:
@@ -219,7 +239,7 @@
     ) -> Deferred[bool]:
         """Change a ban once the predecessor's state has arrived, or after the last retry."""
         done: Deferred[bool] = Deferred()
-        if self.program.port is None and retries_left:
+        if self.application.port is None and retries_left:
             self.deadlines.after(
                 BAN_RETRY_INTERVAL_MS,
                 lambda: self.change_ban(change, retries_left - 1).addCallback(done.callback),
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,6 +1,6 @@
-"""A request that was read is always answered, whatever closes its connection.
+"""A request that was read is always answered, whatever closes its connection; another may be left unread.
 
-Each test sends a request at the moment of the close. The test drives the reactor and the clock, see
+The tests send requests around the moment of the close. A test drives the reactor and the clock, see
 tests/loopback.py.
 """
 
@@ -185,7 +185,7 @@
         self.serve(client, "a2")
 
     def test_answer_that_is_not_written_yet_delays_the_end(self) -> None:
-        """An answer written in the last turn before the process ended was lost with it."""
+        """The process ends only after an answer of the last turn is written; otherwise it would be lost."""
         self.begin()
         self.app.sigterm()
         self.wait(690)
@@ -235,7 +235,7 @@
         return client, connection, count
 
     def test_last_answers_are_not_truncated(self) -> None:
-        """They were truncated twice the linger time after the last one was written."""
+        """Guards against an abort two linger times after the last answer, while data is still unwritten."""
         client, _, count = self.client_with_unread_answers()
         self.wait(3 * LINGER_TIMEOUT_MS)
         for _ in range(count):
@@ -465,7 +465,7 @@
         return adopt
 
     def test_no_descriptor_becomes_free(self) -> None:
-        """The client's connection ends with its job, the worker is notified, and no descriptor leaks."""
+        """The client's connection ends, and no descriptor leaks."""
         self.begin()
         fields, descriptor, client = self.handed_over_job()
         self.loop.adoptStreamConnection = self.failing_adoption(errno.EMFILE)
--- a/tests/test_handover_messages.py
+++ b/tests/test_handover_messages.py
@@ -9,7 +9,6 @@
 from elderstall.clocks import SharedClock
 from elderstall.net.handover.framing import MessageReader
 from elderstall.net.handover.messages import (
-    Answer,
     Busy,
     Callback,
     ConnectionsHeld,
@@ -20,6 +19,7 @@
     Hello,
     IncludeWorker,
     Message,
+    QuestionAnswer,
     Released,
     RequestTaken,
     Serving,
@@ -44,7 +44,7 @@
     ),
     (Envelope(ExcludeWorker("w1"), number=1), b'{"m": "exclude", "n": 1, "id": "w1"}'),
     (Envelope(IncludeWorker("w1"), number=2), b'{"m": "include", "n": 2, "id": "w1"}'),
-    (Envelope(Answer(2, True)), b'{"m": "word", "n": 2, "good": true}'),
+    (Envelope(QuestionAnswer(2, True)), b'{"m": "word", "n": 2, "good": true}'),
 )
 
 
--- a/tests/test_listener_parts.py
+++ b/tests/test_listener_parts.py
@@ -30,7 +30,7 @@
     def shed(self) -> None:
         self.is_shed = True
         self.table.set_activity(self, None)
-        self.table.closing_count += 1
+        self.table.ending_count += 1
 
 
 def make_table(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,6 +1,7 @@
 """Upgrades: a second process takes over from the running one, over real sockets.
 
-Every wait is for an event, as in test_program.py.
+Every wait is for an event, as in test_program.py. Some tests poll for it in a loop without a time
+limit of its own.
 """
 
 from __future__ import annotations
