--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import signal
 import socket
@@ -113,13 +114,23 @@
         self.serve(line, "a1")
         line.sock.close()
 
+    def connect_handover(self) -> socket.socket:
+        """Return a connection to the Unix socket; during a hand-over there is none for a moment."""
+        while True:
+            for name in os.listdir(self.folder):
+                if name.endswith(".sock"):
+                    link = socket.socket(socket.AF_UNIX)
+                    link.settimeout(PATIENCE)
+                    with contextlib.suppress(FileNotFoundError, ConnectionRefusedError):
+                        link.connect(os.path.join(self.folder, name))
+                        return link
+                    link.close()
+            self.ask(http.request("GET", "/up", "x"))
+
     def test_a_callback_for_an_unknown_job_is_answered_and_malformed_data_ends_only_the_link(self) -> None:
         self.launch()
         self.call_back("nobody")
-        path = os.path.join(self.folder, next(n for n in os.listdir(self.folder) if n.endswith(".sock")))
-        with socket.socket(socket.AF_UNIX) as bad:
-            bad.settimeout(PATIENCE)
-            bad.connect(path)
+        with self.connect_handover() as bad:
             bad.sendall(b'{"m": "connection"}\n')
             self.assertEqual(b"", bad.recv(100))
         line = self.connect()
