--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -1,20 +1,21 @@
-"""Digests of all shipped rehearsals: their figures and every decision, in order.
+"""Digests of simulation runs of all shipped scenarios: their figures and every decision, in order.
 
-    python -m benchmarks.decision_digest             # play all, print a table
+    python -m benchmarks.decision_digest             # run all, print a table
     python -m benchmarks.decision_digest --check     # ... and compare with the recorded digests
-    python -m benchmarks.decision_digest --write     # ... and record them: the one re-recording command
+    python -m benchmarks.decision_digest --write     # ... and record them: the only command that does so
 
-Each takes ``--only PLAY``, ``--processes N`` and a file in place of ``tests/data/decision_digests.json``.
-``--lines FOLDER`` also writes the lines behind each digest, so that ``diff`` can compare two versions.
+All forms accept ``--only PLAY`` and ``--processes N``; ``--check`` and ``--write`` accept a file to use in
+place of ``tests/data/decision_digests.json``. ``--lines FOLDER`` also writes the lines behind each digest, so
+that ``diff`` can compare two versions.
 
-The scripts leave some paths of the decisions out (starts that are told, workers that are polled, many
-dispatchers, keys with cached data), so two of them are played under other settings too, and
-``random_events.py`` drives single dispatchers.
+The shipped scenarios do not reach some code paths of the decisions (notified starts, polled workers, many
+dispatchers, keys with cached data), so two of them also run under other settings, and ``random_events.py``
+drives single dispatchers.
 
-A change that must not alter behaviour keeps every digest. Both texts are independent of Python's hash seed
-and of names that a renaming may change: ``ACTIONS``, ``REASONS`` and ``FIGURE_KEYS`` map today's names to
-canonical ones. A renaming edits the left-hand names there, and nothing else. Numbers are exact: floats are
-written in hexadecimal.
+A change that must not alter behaviour keeps every digest. The hashed texts do not depend on Python's hash
+seed or on names in the code: ``ACTIONS``, ``REASONS`` and ``FIGURE_KEYS`` map the current names to canonical
+ones. A renaming edits the left-hand names there, and nothing else. Numbers are exact: floats are written in
+hexadecimal.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 RECORDED = Path(__file__).parent.parent / "tests" / "data" / "decision_digests.json"
 SEEDS = (1, 2)
-VARIANTS: dict[str, tuple[str, tuple[str, ...]]] = {  # name: script, values laid over it
+VARIANTS: dict[str, tuple[str, tuple[str, ...]]] = {  # run name: scenario, overridden settings
     "cold-rush+starts": ("cold-rush", ("reports/starts-told=yes",)),
     "slow-quarter+polled": (
         "slow-quarter",
@@ -47,7 +48,7 @@
     ),
 }
 
-# ---- the mapping of names: today's on the left, canonical on the right ----
+# ---- the mapping of names: current on the left, canonical on the right ----
 
 ACTIONS: dict[str, tuple[str, dict[str, str]]] = {
     "SendAttempt": ("send", {"job": "job", "worker": "worker", "time_out": "time_out"}),
@@ -58,30 +59,30 @@
     "WatchEndpoints": ("follow_list", {}),
     "LogLine": ("log", {"text": "text"}),
 }
-REASONS = {"": "", "full fleet": "full fleet"}  # the texts of ``Refuse.why``
+REASONS = {"": "", "full fleet": "full fleet"}  # the texts of ``RejectJob.why``
 REASON_FIELDS, TEXT_FIELDS = ("why",), ("text",)  # canonical names
-FIGURE_KEYS: dict[str, str] = {}  # keys of the figures that are called otherwise than at the first recording
+FIGURE_KEYS: dict[str, str] = {}  # keys of the figures renamed since the first recording
 
 NUMBER = re.compile(r"-?\d+(?:\.\d+)?")
 
 
 class UnmappedNameError(Exception):
-    """A name that the mapping lacks: enter it beside the canonical one."""
+    """A name is missing from the mapping and has to be added beside its canonical name."""
 
 
 def canonical_value(value: object) -> str:
-    """Render one value of an action exactly."""
+    """Return one value of an action as exact text."""
     if isinstance(value, bool) or value is None or isinstance(value, str):
         return json.dumps(value)
     if isinstance(value, float):
         return value.hex()
     if isinstance(value, int):
         return str(value)
-    raise UnmappedNameError(f"a value of type {type(value).__name__}: {value!r}")
+    raise UnmappedNameError(f"no canonical form for a value of type {type(value).__name__}: {value!r}")
 
 
 def canonical_field(name: str, value: object) -> str:
-    """Render one field of an action; of a log line its numbers alone, as its words may change."""
+    """Return one field of an action as text; of a log line only the numbers, as its words may change."""
     if name in REASON_FIELDS:
         if value not in REASONS:
             raise UnmappedNameError(f"REASONS has no {value!r}")
@@ -92,7 +93,7 @@
 
 
 def canonical_action(action: Any) -> str:
-    """Render an action by its canonical name and fields, in the order of the names."""
+    """Return an action as its canonical name and fields, sorted by field name."""
     kind = type(action).__name__
     if kind not in ACTIONS:
         raise UnmappedNameError(f"ACTIONS has no {kind}")
@@ -105,7 +106,7 @@
 
 
 def canonical_figures(value: Any) -> Any:
-    """Give figures with their keys by canonical names and their floats in hexadecimal."""
+    """Return figures with canonical keys and with floats in hexadecimal."""
     if isinstance(value, dict):
         return {FIGURE_KEYS.get(key, key): canonical_figures(entry) for key, entry in value.items()}
     if isinstance(value, list | tuple):
@@ -114,34 +115,37 @@
 
 
 def figures_text(figures: dict[str, Any]) -> str:
-    """Write figures as canonical JSON."""
+    """Return figures as canonical JSON."""
     return json.dumps(canonical_figures(figures), sort_keys=True, ensure_ascii=True, separators=(",", ":"))
 
 
-# ---- playing ----
+# ---- the runs ----
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """What one play came to."""
+    """The hashes and counts of one run."""
 
     figures: str  # SHA-256 of the canonical figures
-    decisions: str  # SHA-256 of the lines, one an action
+    decisions: str  # SHA-256 of the lines, one per action
     actions: int
     requests: int
 
 
 class Recorder:
-    """Takes every action that any dispatcher's decision module returns."""
+    """Hashes every action that the decisions of any dispatcher return."""
 
     def __init__(self, write: Callable[[str], object] | None = None) -> None:
-        self.hash, self.actions = hashlib.sha256(), 0
+        self.hash = hashlib.sha256()
+        self.actions = 0
         self.write = write
-        self.error: UnmappedNameError | None = None  # the engine logs what is raised in an event and goes on
-        self.numbers: dict[Dispatcher, int] = {}  # in the order of their first event, restarted ones anew
+        self.error: UnmappedNameError | None = (
+            None  # kept, as the engine logs an exception of an event and continues
+        )
+        self.numbers: dict[Dispatcher, int] = {}  # by first event; a restarted dispatcher gets a new number
 
-    def take(self, dispatcher: Dispatcher, now: float, actions: Iterable[Any]) -> None:
-        """Take what one event has come to."""
+    def record(self, dispatcher: Dispatcher, now: float, actions: Iterable[Any]) -> None:
+        """Hash the actions that one event resulted in."""
         number = self.numbers.setdefault(dispatcher, len(self.numbers))
         for action in actions:
             try:
@@ -156,13 +160,13 @@
 
 
 @contextmanager
-def recorded(recorder: Recorder) -> Iterator[None]:
-    """Have a recorder take the decisions of all dispatchers meanwhile."""
+def recording(recorder: Recorder) -> Iterator[None]:
+    """Record the decisions of all dispatchers while the context is open."""
     original = Dispatcher.handle
 
     def handle(self: Dispatcher, now: float, event: Any) -> Any:
         actions = original(self, now, event)
-        recorder.take(self, now, actions)
+        recorder.record(self, now, actions)
         return actions
 
     Dispatcher.handle = handle  # type: ignore[method-assign]
@@ -172,60 +176,60 @@
         Dispatcher.handle = original  # type: ignore[method-assign]
 
 
-def scripts() -> list[str]:
-    """Name the shipped scripts."""
+def scenario_names() -> list[str]:
+    """Return the names of the shipped scenarios."""
     return sorted(path.stem for path in SHIPPED.glob(f"*{ENDING}"))
 
 
-def names() -> list[str]:
-    """Name all plays."""
-    return [*scripts(), *VARIANTS, *random_events.SETTINGS]
+def run_names() -> list[str]:
+    """Return the names of all runs."""
+    return [*scenario_names(), *VARIANTS, *random_events.SETTINGS]
 
 
 def digest(name: str, seed: int, folder: Path | None = None) -> Digest:
-    """Make a play and give its digest; its lines are written to a folder where one is given."""
+    """Return the digest of one run; write its lines to ``folder`` if that is given."""
     if folder is None:
-        return play(name, seed, Recorder())[0]
+        return run(name, seed, Recorder())[0]
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / f"{name}-{seed}.decisions").open("w", encoding="utf-8") as lines:
-        result, text = play(name, seed, Recorder(lines.write))
+        result, text = run(name, seed, Recorder(lines.write))
     (folder / f"{name}-{seed}.figures").write_text(text + "\n", encoding="utf-8")
     return result
 
 
-def play(name: str, seed: int, recorder: Recorder) -> tuple[Digest, str]:
-    """Make a play; gives its digest and the canonical figures."""
+def run(name: str, seed: int, recorder: Recorder) -> tuple[Digest, str]:
+    """Carry out one run; return its digest and its canonical figures."""
     if name in random_events.SETTINGS:
-        with recorded(recorder):
+        with recording(recorder):
             figures = random_events.drive(name, seed)
         return result_of(figures, recorder)
-    script, changes = VARIANTS.get(name, (name, ()))
-    return play_scenario(read(find(script), changes)[0], seed, recorder)
+    scenario, overrides = VARIANTS.get(name, (name, ()))
+    return run_scenario(read(find(scenario), overrides)[0], seed, recorder)
 
 
-def play_scenario(scenario: Scenario, seed: int, recorder: Recorder) -> tuple[Digest, str]:
-    """Play a scenario; gives its digest and the canonical figures."""
-    with recorded(recorder):
+def run_scenario(scenario: Scenario, seed: int, recorder: Recorder) -> tuple[Digest, str]:
+    """Run a scenario; return its digest and its canonical figures."""
+    with recording(recorder):
         figures = World(scenario, seed).play()
     return result_of(figures, recorder)
 
 
 def result_of(figures: dict[str, Any], recorder: Recorder) -> tuple[Digest, str]:
-    """Give the digest of what was played and the canonical figures."""
+    """Return the digest and the canonical figures of a finished run."""
     if recorder.error is not None:
         raise recorder.error
     text = figures_text(figures)
-    sums = hashlib.sha256(text.encode()).hexdigest(), recorder.hash.hexdigest()
-    return Digest(*sums, recorder.actions, figures["requests"]), text
+    hashes = hashlib.sha256(text.encode()).hexdigest(), recorder.hash.hexdigest()
+    return Digest(*hashes, recorder.actions, figures["requests"]), text
 
 
 # ---- the recorded digests ----
 
-Key = tuple[str, int]  # play, seed
+Key = tuple[str, int]  # run name, seed
 
 
 def read_recorded(path: Path = RECORDED) -> dict[Key, Digest]:
-    """Read recorded digests."""
+    """Return the recorded digests of a file."""
     data = json.loads(path.read_text(encoding="utf-8"))
     return {
         (name, int(seed)): Digest(**row) for name, by_seed in data.items() for seed, row in by_seed.items()
@@ -233,7 +237,7 @@
 
 
 def write_recorded(digests: dict[Key, Digest], path: Path = RECORDED) -> None:
-    """Write digests; rows of other plays that the file has stay."""
+    """Write digests; the rows of other runs in the file are kept."""
     known = read_recorded(path) if path.exists() else {}
     data: dict[str, dict[str, dict[str, Any]]] = {}
     for (name, seed), row in sorted((known | digests).items()):
@@ -243,7 +247,7 @@
 
 
 def difference(want: Digest | None, got: Digest) -> str:
-    """Say in a few words what differs; empty where nothing does."""
+    """Return a short text on what differs; empty if nothing does."""
     if want is None:
         return "not recorded"
     parts = [name for name in ("figures", "decisions") if getattr(want, name) != getattr(got, name)]
@@ -255,8 +259,8 @@
 # ---- the command ----
 
 
-def plays(keys: Sequence[Key], folder: Path | None, processes: int) -> Iterator[tuple[Key, Digest]]:
-    """Play all, in order."""
+def run_all(keys: Sequence[Key], folder: Path | None, processes: int) -> Iterator[tuple[Key, Digest]]:
+    """Yield each run with its digest, in the order of ``keys``."""
     jobs = [(name, seed, folder) for name, seed in keys]
     if processes == 1:
         yield from ((key, digest(*job)) for key, job in zip(keys, jobs, strict=True))
@@ -269,20 +273,20 @@
     parser = argparse.ArgumentParser(prog="python -m benchmarks.decision_digest")
     parser.add_argument("--write", nargs="?", type=Path, const=RECORDED, metavar="FILE")
     parser.add_argument("--check", nargs="?", type=Path, const=RECORDED, metavar="FILE")
-    parser.add_argument("--only", action="append", choices=names(), metavar="PLAY")
-    parser.add_argument("--lines", type=Path, metavar="FOLDER", help="write what the digests are made of")
-    parser.add_argument("--processes", type=int, default=1, help="plays at once")
+    parser.add_argument("--only", action="append", choices=run_names(), metavar="PLAY")
+    parser.add_argument("--lines", type=Path, metavar="FOLDER", help="also write the lines that are hashed")
+    parser.add_argument("--processes", type=int, default=1, help="concurrent runs")
     args = parser.parse_args(argv)
-    keys = [(name, seed) for name in args.only or names() for seed in SEEDS]
+    keys = [(name, seed) for name in args.only or run_names() for seed in SEEDS]
     known = read_recorded(args.check) if args.check else {}
     digests: dict[Key, Digest] = {}
-    wrong = 0
-    for key, row in plays(keys, args.lines, args.processes):
+    different = 0
+    for key, row in run_all(keys, args.lines, args.processes):
         digests[key] = row
         verdict = ""
         if args.check:
             verdict = difference(known.get(key), row)
-            wrong += bool(verdict)
+            different += bool(verdict)
             verdict = f"  DIFFERS: {verdict}" if verdict else "  equal"
         name, seed = key
         print(
@@ -293,8 +297,8 @@
     if args.write:
         write_recorded(digests, args.write)
     if args.check:
-        print(f"{len(digests) - wrong} of {len(digests)} equal")
-    return 1 if wrong else 0
+        print(f"{len(digests) - different} of {len(digests)} equal")
+    return 1 if different else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/random_events.py
+++ b/benchmarks/random_events.py
@@ -1,7 +1,7 @@
-"""Drives one dispatcher's decisions with random events, under settings that the shipped scripts do not have.
+"""Drives one dispatcher's decisions with random events, under settings that no shipped scenario uses.
 
-No fleet is modelled: workers answer at random. It is for comparing the decisions of two versions, not for
-judging them; the rules under legal random events are ``tests/test_rules.py``.
+No fleet is modelled: workers answer at random. The result serves to compare the decisions of two versions and
+does not say whether they are right; ``tests/test_rules.py`` checks the rules under valid random events.
 """
 
 from __future__ import annotations
@@ -38,7 +38,10 @@
 )
 
 STEPS = 3_000
-WORKERS, KINDS, ZONES, CELL = 30, ("large", "small"), ("a", "b"), 3
+WORKERS = 30
+KINDS = ("large", "small")
+ZONES = ("a", "b")
+CELL_SIZE = 3  # workers
 CLASSES = (
     JobClass("safe", 1.0, 100.0, 2_000.0, stretch=2.0),
     JobClass(
@@ -81,15 +84,16 @@
 
 
 class Driver:
-    """One dispatcher, what it has out, and random draws for what becomes of it."""
+    """One dispatcher with its attempts in progress, polls and timers, and a random outcome for each."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.settings, self.now = settings, 5_000.0
+        self.settings = settings
+        self.now = 5_000.0  # ms
         self.dispatcher = Dispatcher(settings, seed)
-        self.sent: dict[int, int] = {}  # attempts of each job that still waits for its answer
-        self.out: dict[tuple[int, int], str] = {}  # worker by job and attempt
-        self.probed: list[str] = []
+        self.attempts: dict[int, int] = {}  # attempts sent, by job
+        self.in_progress: dict[tuple[int, int], str] = {}  # worker, by job and attempt
+        self.polled: list[str] = []
         self.timers: list[tuple[float, int]] = []
         self.started: dict[str, float | None] = {f"w{n}": None for n in range(WORKERS)}
         self.counts = dict.fromkeys(("requests", "sends", "refused", "failed", "probes"), 0)
@@ -97,46 +101,47 @@
         self.feed(EndpointListUpdate(ListScope.WHOLE, tuple(self.entry(name) for name in self.started)))
 
     def entry(self, name: str, state: WorkerState = WorkerState.UP) -> Endpoint:
-        """Write a worker's entry of the list."""
-        n = int(name[1:])
-        place = n / WORKERS if self.settings.subset_dispatchers_per_worker else None
+        """Return a worker's entry in the list."""
+        number = int(name[1:])
+        preference_position = number / WORKERS if self.settings.subset_dispatchers_per_worker else None
         return Endpoint(
             name,
-            KINDS[n % 2],
-            ZONES[n // 2 % 2],
-            n // CELL,
+            KINDS[number % 2],
+            ZONES[number // 2 % 2],
+            number // CELL_SIZE,
             self.started[name],
             state,
             self.rng.choice((1.0, 1.0, 0.6)),
-            place,
+            preference_position,
         )
 
     def feed(self, event: Event) -> None:
-        """Hand the dispatcher an event, and note what it asks for."""
+        """Pass an event to the dispatcher and record the actions that it returns."""
         for action in self.dispatcher.handle(self.now, event):
             if isinstance(action, SendAttempt):
-                self.out[action.job, self.sent[action.job]] = action.worker
-                self.sent[action.job] += 1
+                self.in_progress[action.job, self.attempts[action.job]] = action.worker
+                self.attempts[action.job] += 1
                 self.counts["sends"] += 1
             elif isinstance(action, PollLoad):
-                self.probed.append(action.worker)
+                self.polled.append(action.worker)
                 self.counts["probes"] += 1
             elif isinstance(action, SetTimer):
                 self.timers.append((self.now + max(self.settings.tick, action.delay), action.token))
             elif isinstance(action, RejectJob | FailJob):
                 self.counts["refused" if isinstance(action, RejectJob) else "failed"] += 1
 
-    def report(self) -> tuple[float, ...]:
-        """Draw a load report: free slots."""
+    def draw_report(self) -> tuple[float, ...]:
+        """Return a random load report: free slots, or nothing if the settings have no reports."""
         return (
             (self.rng.choice((0.0, 0.0, 0.5, 1.0, 3.0)),)
             if self.settings.report_free_slots is not None
             else ()
         )
 
-    def arrive(self, job: int) -> None:
-        """Have a job come."""
-        rng, self.sent[job] = self.rng, 0
+    def add_job(self, job: int) -> None:
+        """Feed the arrival of a job."""
+        rng = self.rng
+        self.attempts[job] = 0
         cls = rng.choice(CLASSES)
         self.counts["requests"] += 1
         self.feed(
@@ -151,24 +156,28 @@
             )
         )
 
-    def end(self) -> None:
-        """End an attempt."""
-        key = self.rng.choice(list(self.out))
+    def end_attempt(self) -> None:
+        """Feed the end of a random attempt in progress."""
+        key = self.rng.choice(list(self.in_progress))
         ending = self.rng.choice(ENDINGS)
-        self.feed(AttemptEnded(*key, self.out.pop(key), ending, ending is Ending.SERVED, self.report()))
+        self.feed(
+            AttemptEnded(*key, self.in_progress.pop(key), ending, ending is Ending.SERVED, self.draw_report())
+        )
 
-    def note(self) -> None:
-        """Tell the start of an attempt."""
-        key = self.rng.choice(list(self.out))
-        self.feed(AttemptProgressed(*key, self.out[key], 0.0, started=True))
+    def start_attempt(self) -> None:
+        """Feed the start notice of a random attempt in progress."""
+        key = self.rng.choice(list(self.in_progress))
+        self.feed(AttemptProgressed(*key, self.in_progress[key], 0.0, started=True))
 
-    def answer(self) -> None:
+    def answer_poll(self) -> None:
         """Answer the oldest poll."""
         ending = self.rng.choice((Ending.SERVED, Ending.SERVED, Ending.SERVED, Ending.UNREACHABLE))
-        self.feed(LoadPolled(self.probed.pop(0), ending, self.report() if ending is Ending.SERVED else ()))
+        self.feed(
+            LoadPolled(self.polled.pop(0), ending, self.draw_report() if ending is Ending.SERVED else ())
+        )
 
     def change_list(self) -> None:
-        """Change one worker's entry, or fail the list."""
+        """Feed a change of one worker's entry, or a failure of the list."""
         name = self.rng.choice(list(self.started))
         if self.rng.random() < 0.2:
             self.feed(EndpointListUpdate(self.rng.choice((ListScope.FAILED, ListScope.SILENT))))
@@ -178,43 +187,43 @@
         state = self.rng.choice((WorkerState.UP, WorkerState.UP, WorkerState.DRAINING, WorkerState.GONE))
         self.feed(EndpointListUpdate(ListScope.CHANGES, (self.entry(name, state),)))
 
-    def advance(self, by: float) -> None:
-        """Let time pass, and timers fire."""
-        until = self.now + by
-        while due := [timer for timer in self.timers if timer[0] <= until]:
-            first = min(due)
-            self.timers.remove(first)
-            self.now = max(self.now, first[0])
-            self.feed(TimerFired(first[1]))
+    def advance(self, duration_ms: float) -> None:
+        """Advance the time and fire the timers that are due."""
+        until = self.now + duration_ms
+        while due := [entry for entry in self.timers if entry[0] <= until]:
+            timer = min(due)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            self.feed(TimerFired(timer[1]))
         self.now = until
 
     def step(self, number: int) -> None:
-        """Have something happen."""
+        """Feed one random event, or advance the time."""
         draw = self.rng.random()
         if draw < 0.30:
-            self.arrive(number)
-        elif draw < 0.45 and self.out:
-            self.note()
-        elif draw < 0.70 and self.out:
-            self.end()
-        elif draw < 0.85 and self.probed:
-            self.answer()
+            self.add_job(number)
+        elif draw < 0.45 and self.in_progress:
+            self.start_attempt()
+        elif draw < 0.70 and self.in_progress:
+            self.end_attempt()
+        elif draw < 0.85 and self.polled:
+            self.answer_poll()
         elif draw < 0.87:
             self.change_list()
-        elif draw < 0.88 and self.sent:
-            self.feed(JobReleased(self.rng.choice(list(self.sent))))
+        elif draw < 0.88 and self.attempts:
+            self.feed(JobReleased(self.rng.choice(list(self.attempts))))
         else:
             self.advance(self.rng.choice((1.0, 5.0, 30.0, 120.0)))
 
 
 def drive(name: str, seed: int) -> dict[str, Any]:
-    """Drive a dispatcher under settings by name; gives what it did in counts."""
+    """Drive a dispatcher under the settings of a name; return the counts of what it did."""
     driver = Driver(Settings(**COMMON | SETTINGS[name]), seed)
     for number in range(STEPS):
         driver.step(number)
-    half = [driver.entry(worker) for worker in list(driver.started)[::2]]
-    driver.feed(EndpointListUpdate(ListScope.WHOLE, tuple(half)))
-    driver.feed(AttemptEnded(STEPS, 0, "nobody", Ending.SERVED))  # an attempt that is not known
+    remaining = [driver.entry(worker) for worker in list(driver.started)[::2]]
+    driver.feed(EndpointListUpdate(ListScope.WHOLE, tuple(remaining)))
+    driver.feed(AttemptEnded(STEPS, 0, "nobody", Ending.SERVED))  # an unknown attempt
     driver.advance(1_000.0)
     driver.feed(SettingsChanged(Settings(**COMMON | SETTINGS[name] | {"dispatchers": 3})))
     driver.advance(10_000.0)
--- a/benchmarks/speed.py
+++ b/benchmarks/speed.py
@@ -1,9 +1,10 @@
-"""Speed of the emulator, and the module's own share of it, by the size of the fleet.
+"""Speed of the simulation, and the time spent in the decisions, by the size of the fleet.
 
     python -m benchmarks.speed [--sizes 10,100,1000,4000] [--jobs 40000] [--hour] [--profile] [--json FILE]
 
-A fleet of N workers has N / 10 dispatchers (4 at least) and 3 jobs a second a worker, or what three quarters
-of it can do. All figures are of one process on one core; compare them as ratios within one run.
+A fleet of N workers has N / 10 dispatchers (at least 4) and receives 3 jobs per second per worker, but at
+most three quarters of its capacity. All figures are of one process on one core; compare them as ratios within
+one run.
 """
 
 from __future__ import annotations
@@ -25,19 +26,19 @@
 from elderstall.simulation.scenario import Dispatchers, Scenario, TenantLoad, Traffic, Worker
 from elderstall.simulation.world import World
 
-spent = 0.0
+decisions_s = 0.0  # time spent in the decisions
 
 
-def clocked(handle: Any) -> Any:
-    """Time what the module takes."""
+def timed_handle(handle: Any) -> Any:
+    """Return a handler that adds its running time to ``decisions_s``."""
 
     def timed(self: Any, now: float, event: Any) -> Any:
-        global spent
+        global decisions_s
         before = time.perf_counter()
         try:
             return handle(self, now, event)
         finally:
-            spent += time.perf_counter() - before
+            decisions_s += time.perf_counter() - before
 
     return timed
 
@@ -45,14 +46,14 @@
 def scenario_of(
     workers: int, jobs: int, dispatchers: int | None = None, seconds: float | None = None
 ) -> Scenario:
-    """Describe a calm, busy scenario of a size."""
+    """Return a fault-free scenario under high load with a fleet of the given size."""
     base, _ = read(find("calm"))
-    posts = dispatchers or max(4, workers // 10)
+    dispatcher_count = dispatchers or max(4, workers // 10)
     rate = 3.0 * workers
     length = 1000 * (seconds or max(5.0, jobs / rate))
-    quick = round(0.6 * workers)
+    fast_workers = round(0.6 * workers)
     fleet = tuple(
-        Worker(f"w{n}", "fast-2c" if n < quick else "slow-2c", "bog-1", n // 4) for n in range(workers)
+        Worker(f"w{n}", "fast-2c" if n < fast_workers else "slow-2c", "bog-1", n // 4) for n in range(workers)
     )
     scenario = with_parts(
         base,
@@ -60,7 +61,7 @@
         workers=fleet,
         length=length,
         faults=(),
-        dispatchers=Dispatchers((1.0,) * posts),
+        dispatchers=Dispatchers((1.0,) * dispatcher_count),
     )
     capacity = scenario.capacity * 1000 / scenario.mean_work
     scenario = with_parts(scenario, load=Traffic(min(rate, 0.75 * capacity)))
@@ -71,18 +72,21 @@
 
 
 def measure(scenario: Scenario, profile: bool = False) -> dict[str, Any]:
-    """Play a scenario, and say what it took."""
-    global spent
+    """Run a scenario; return the time and memory that it used."""
+    global decisions_s
     world = World(scenario, 1)
     profiler = cProfile.Profile() if profile else None
-    spent, wall, cpu = 0.0, time.perf_counter(), time.process_time()
+    decisions_s = 0.0
+    wall = time.perf_counter()
+    cpu = time.process_time()
     if profiler is not None:
         profiler.enable()
     figures = world.play()
     if profiler is not None:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(32)
-    wall, cpu = time.perf_counter() - wall, time.process_time() - cpu
+    wall = time.perf_counter() - wall
+    cpu = time.process_time() - cpu
     jobs = max(1, figures["requests"])
     return {
         "workers": len(scenario.workers),
@@ -92,7 +96,7 @@
         "night_s": round(world.loop.now / 1000, 1),
         "wall_s": round(wall, 2),
         "us_a_job": round(1e6 * cpu / jobs, 1),
-        "module_us_a_job": round(1e6 * spent / jobs, 1),
+        "module_us_a_job": round(1e6 * decisions_s / jobs, 1),
         "calls_a_job": round(world.loop.calls_made / jobs, 2),
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
         "service": figures["service"]["whole"],
@@ -101,16 +105,18 @@
 
 
 def bytes_a_job(scenario: Scenario) -> float:
-    """Say what memory remains for each job that is over, and what an open one takes."""
+    """Return the memory that remains allocated per job between half-time and the end of the run."""
     tracemalloc.start()
     world = World(scenario, 1)
     world.begin()
     world.loop.run(scenario.length / 2)
-    first, jobs = tracemalloc.get_traced_memory()[0], world.tally.requests
+    half_bytes = tracemalloc.get_traced_memory()[0]
+    half_jobs = world.tally.requests
     world.loop.run(scenario.length)
-    second, more = tracemalloc.get_traced_memory()[0], world.tally.requests
+    end_bytes = tracemalloc.get_traced_memory()[0]
+    end_jobs = world.tally.requests
     tracemalloc.stop()
-    return (second - first) / max(1, more - jobs)
+    return (end_bytes - half_bytes) / max(1, end_jobs - half_jobs)
 
 
 def main() -> int:
@@ -119,12 +125,12 @@
     parser.add_argument("--jobs", type=int, default=30_000)
     parser.add_argument("--seconds", type=float)
     parser.add_argument("--dispatchers", type=int)
-    parser.add_argument("--hour", action="store_true", help="today's size for a simulated hour")
-    parser.add_argument("--memory", action="store_true", help="also what memory a job leaves behind")
+    parser.add_argument("--hour", action="store_true", help="10 workers for a simulated hour")
+    parser.add_argument("--memory", action="store_true", help="also the memory that a job leaves allocated")
     parser.add_argument("--profile", action="store_true")
     parser.add_argument("--json", type=Path)
     args = parser.parse_args()
-    Dispatcher.handle = clocked(Dispatcher.handle)  # type: ignore[method-assign]
+    Dispatcher.handle = timed_handle(Dispatcher.handle)  # type: ignore[method-assign]
     rows = []
     sizes = [10] if args.hour else [int(n) for n in args.sizes.split(",")]
     for n in sizes:
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -23,10 +23,10 @@
     difference,
     digest,
     figures_text,
-    names,
-    play_scenario,
     read_recorded,
-    scripts,
+    run_names,
+    run_scenario,
+    scenario_names,
     write_recorded,
 )
 from benchmarks.random_events import drive
@@ -35,14 +35,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-@pytest.mark.parametrize("name", names())
+@pytest.mark.parametrize("name", run_names())
 def test_decisions_and_figures_are_as_recorded(name: str, seed: int) -> None:
     assert difference(read_recorded().get((name, seed)), digest(name, seed)) == ""
 
 
 def test_every_shipped_scenario_is_recorded_with_every_seed() -> None:
-    assert set(read_recorded()) == {(name, seed) for name in names() for seed in SEEDS}
-    assert set(scripts()) <= set(names())
+    assert set(read_recorded()) == {(name, seed) for name in run_names() for seed in SEEDS}
+    assert set(scenario_names()) <= set(run_names())
 
 
 @pytest.mark.parametrize(
@@ -77,8 +77,8 @@
 
 def test_one_changed_decision_changes_the_digest(monkeypatch: pytest.MonkeyPatch) -> None:
     small = scenario(length=3_000.0)
-    before, _ = play_scenario(small, 1, Recorder())
-    assert play_scenario(small, 1, Recorder())[0] == before
+    before, _ = run_scenario(small, 1, Recorder())
+    assert run_scenario(small, 1, Recorder())[0] == before
     original = SendAttempt.__init__
     seen = 0
 
@@ -88,7 +88,7 @@
         original(self, job, worker, time_out + (1e-9 if seen == 20 else 0.0))
 
     monkeypatch.setattr(SendAttempt, "__init__", later)
-    after, _ = play_scenario(small, 1, Recorder())
+    after, _ = run_scenario(small, 1, Recorder())
     assert seen >= 20
     assert after.decisions != before.decisions
     assert "decisions" in difference(before, after)
@@ -124,7 +124,7 @@
 ) -> None:
     monkeypatch.delitem(ACTIONS, "SetTimer")
     with pytest.raises(UnmappedNameError, match="ACTIONS has no SetTimer"):
-        play_scenario(scenario(length=1_000.0), 1, Recorder())
+        run_scenario(scenario(length=1_000.0), 1, Recorder())
 
 
 def test_figures_do_not_depend_on_the_order_of_their_keys() -> None:
