--- a/benchmarks/fidelity.py
+++ b/benchmarks/fidelity.py
@@ -1,11 +1,11 @@
-"""Fidelity of the emulator: days of the operators' simulator, described as scripts and played by both.
+"""Fidelity of the simulation: days of the operators' simulator, written as scenarios and run by both.
 
     python -m benchmarks.fidelity --reference COMMAND --days FOLDER [--noises 4] [--seeds 8] [--json FILE]
 
-FOLDER holds day files as the simulator draws them; COMMAND runs one of them and prints its figures as JSON.
-Each day is played under several noises there and under several seeds here, as one play of a heavy-tailed day
-says little. Calibrated are the arrival rate, which is that of the reference's own plays, and where long jobs
-are cut: what is compared is what becomes of the jobs.
+FOLDER holds day files as the reference simulator generates them; COMMAND runs one of them and prints its
+figures as JSON. Each day runs with several noise seeds in the reference and with several seeds here, as the
+result of a single run varies too much under a heavy-tailed load. Two inputs are calibrated: the arrival rate
+is that of the reference's runs, and job durations are capped as there. The jobs' outcomes are compared.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from elderstall.simulation.reading import read
 from elderstall.simulation.world import play
 
-NOISES = (
+NOISE_SEEDS = (
     2301020008297118,
     771020008297118,
     92301020118297,
@@ -34,59 +34,62 @@
     81230971234771,
     660120997120045,
 )
-WHY = "Reference for the fidelity of the rehearsal emulator"
+REFERENCE_REASON = "Reference for the fidelity of the rehearsal emulator"
 
 
-def ms(us: float) -> str:
-    return f"{us / 1000:.6g}ms"
+def milliseconds(duration_us: float) -> str:
+    """Return a duration in the form of a scenario file."""
+    return f"{duration_us / 1000:.6g}ms"
 
 
-def script_of(day: dict[str, Any], name: str, rate: float) -> str:
-    """Describe a day as a scenario's script."""
-    tier, clients, net = day["tiers"][0], day["clients"], day["net"]
+def scenario_text(day: dict[str, Any], name: str, rate: float) -> str:
+    """Return a day as the text of a scenario file."""
+    tier = day["tiers"][0]
+    clients = day["clients"]
+    net = day["net"]
     lines = [
         f"name {name}",
-        f"length {ms(day['length'])}",
-        f"tail {ms(day['tail'])}",
+        f"length {milliseconds(day['length'])}",
+        f"tail {milliseconds(day['tail'])}",
         "<network>",
         f"  delay {net['same'] / 1000:.6g}ms",
         f"  client-delay {net['client'] / 1000:.6g}ms",
         f"  jitter {net['jitter']:.6g}",
         f"  handshake-trips {tier['handshake_rtts']:.6g}",
-        f"  connect-timeout {ms(tier['connect_timeout'])}",
-        f"  idle-close {ms(tier['conn_idle'])}",
+        f"  connect-timeout {milliseconds(tier['connect_timeout'])}",
+        f"  idle-close {milliseconds(tier['conn_idle'])}",
         "</network>",
         "<rules>",
         "  slack 8ms",
-        f"  drain-grace {ms(day['drain_grace'])}",
+        f"  drain-grace {milliseconds(day['drain_grace'])}",
         f"  cold-share {tier['stated_cold_from']}",
-        f"  cold-for {ms(tier['stated_cold'])}",
+        f"  cold-for {milliseconds(tier['stated_cold'])}",
         f"  push-multiple {day['fall_multiple']:g}",
-        f"  push-window {ms(day['fall_for'])}",
+        f"  push-window {milliseconds(day['fall_for'])}",
         f"  max-attempts {day['allow']['max_attempts']}",
-        f"  tick {ms(day['tick'])}",
+        f"  tick {milliseconds(day['tick'])}",
         f"  cpu-per-second {day['allow']['cpu_us_per_s']:g}",
         f"  cpu-per-job {day['allow']['cpu_us_per_request']:g}",
         f"  over-share-worth {day['traffic']['over_share_worth']:g}",
         "</rules>",
         "<list>",
-        f"  notice {ms(day['discovery']['notice'])}",
-        f"  silent-notice {ms(day['discovery']['silent_notice'])}",
-        f"  add {ms(day['discovery']['add'])}",
-        f"  period {ms(day['discovery']['period'])}",
-        f"  spread {ms(day['discovery']['spread'])}",
+        f"  notice {milliseconds(day['discovery']['notice'])}",
+        f"  silent-notice {milliseconds(day['discovery']['silent_notice'])}",
+        f"  add {milliseconds(day['discovery']['add'])}",
+        f"  period {milliseconds(day['discovery']['period'])}",
+        f"  spread {milliseconds(day['discovery']['spread'])}",
         f"  lines-per-second {day['discovery']['lines_per_s']:g}",
         "</list>",
         "<reports>",
-        f"  period {ms(tier['report_period'])}",
-        f"  delay {ms(tier['report_delay'])}",
+        f"  period {milliseconds(tier['report_period'])}",
+        f"  delay {milliseconds(tier['report_delay'])}",
         f"  noise {tier['report_noise']:.6g}",
-        f"  progress {ms(day['fam']['progress'])}",
-        f"  checkpoint {ms(day['fam']['checkpoint'])}",
+        f"  progress {milliseconds(day['fam']['progress'])}",
+        f"  checkpoint {milliseconds(day['fam']['checkpoint'])}",
         "</reports>",
         "<clients>",
         f"  retries {clients['retries']:g}",
-        f"  backoff {ms(clients['backoff_us'])}",
+        f"  backoff {milliseconds(clients['backoff_us'])}",
         f"  backoff-doubles {'yes' if clients['backoff'] == 'exp' else 'no'}",
         f"  honour {clients['honour']:.6g}",
         f"  impatient {clients['impatient']:.6g}",
@@ -101,98 +104,106 @@
     if day["traffic"]["shape"]:
         lines.append("  shape " + " ".join(f"{at:.6g}s={y:.6g}" for at, y in day["traffic"]["shape"]))
     lines.append("</load>")
-    for n, k in enumerate(tier["kinds"]):
-        speeds = [s["speed"] for s in day["servers"] if s["kind"] == n]
+    for number, kind in enumerate(tier["kinds"]):
+        speeds = [s["speed"] for s in day["servers"] if s["kind"] == number]
         lines += [
-            f"<kind {k['name']}>",
-            f"  cores {k['cores']}",
-            f"  slots {k['slots']}",
-            f"  queue {k['queue']}",
-            f"  cold-share {k['cold_from']:.6g}",
-            f"  cold-for {ms(k['cold'])}",
-            f"  cancel {'waiting' if k['cancel'] == 'queued' else 'none'}",
-            f"  drops-expired {'yes' if k['drops_expired'] else 'no'}",
+            f"<kind {kind['name']}>",
+            f"  cores {kind['cores']}",
+            f"  slots {kind['slots']}",
+            f"  queue {kind['queue']}",
+            f"  cold-share {kind['cold_from']:.6g}",
+            f"  cold-for {milliseconds(kind['cold'])}",
+            f"  cancel {'waiting' if kind['cancel'] == 'queued' else 'none'}",
+            f"  drops-expired {'yes' if kind['drops_expired'] else 'no'}",
             f"  connection-work {tier['handshake_work'] / 1000:.6g}ms",
             f"  connection-tax {tier['conn_full_tax']:.6g}",
-            f"  connections {int(tier['conn_cap_per_core'] * k['cores'])}",
-            f"  errors {k['error_rate']:.8f}",
+            f"  connections {int(tier['conn_cap_per_core'] * kind['cores'])}",
+            f"  errors {kind['error_rate']:.8f}",
             "</kind>",
         ]
         if speeds:
             lines += [
-                f"<workers k{n}>",
-                f"  kind {k['name']}",
+                f"<workers k{number}>",
+                f"  kind {kind['name']}",
                 f"  count {len(speeds)}",
                 "  zone bog-1",
                 "  speeds " + " ".join(f"{x:.6g}" for x in speeds),
                 "</workers>",
             ]
-    for c, need in zip(day["classes"], day["fam"]["needs"], strict=True):
+    for job_class, need in zip(day["classes"], day["fam"]["needs"], strict=True):
         lines += [
-            f"<class {c['name']}>",
-            f"  share {c['share']:.6g}",
-            f"  work {ms(c['work'])}",
-            f"  longest {ms(c['deadline'] / 2)}",  # the reference's longest jobs are of that work
-            f"  spread {c['cv']:.6g}",
-            f"  distribution {c['dist']}",
-            f"  noise {c['attempt_noise']:.6g}",
+            f"<class {job_class['name']}>",
+            f"  share {job_class['share']:.6g}",
+            f"  work {milliseconds(job_class['work'])}",
+            f"  longest {milliseconds(job_class['deadline'] / 2)}",  # as in the reference
+            f"  spread {job_class['cv']:.6g}",
+            f"  distribution {job_class['dist']}",
+            f"  noise {job_class['attempt_noise']:.6g}",
             f"  hint-spread {day['traffic']['hint_cv']:.6g}",
-            f"  aim {ms(c['aim'])}",
+            f"  aim {milliseconds(job_class['aim'])}",
             f"  stretch {need['stretch']:g}",
-            f"  deadline {ms(c['deadline'])}",
-            f"  worth {c['worth']:g}",
-            f"  effect {c['effect']}",
+            f"  deadline {milliseconds(job_class['deadline'])}",
+            f"  worth {job_class['worth']:g}",
+            f"  effect {job_class['effect']}",
             "</class>",
         ]
-    per_job = sum(c["share"] * c["work"] for c in day["classes"]) / 1e6
-    power = sum(s["speed"] * tier["kinds"][s["kind"]]["cores"] for s in day["servers"])
-    for t in day["tenants"]:
+    work_per_job_s = sum(c["share"] * c["work"] for c in day["classes"]) / 1e6
+    capacity = sum(s["speed"] * tier["kinds"][s["kind"]]["cores"] for s in day["servers"])
+    for tenant in day["tenants"]:
         lines += [
-            f"<tenant {t['name']}>",
-            f"  share {t['traffic']:.6g}",
-            f"  quota {t['quota'] * power / per_job:.6g}",
+            f"<tenant {tenant['name']}>",
+            f"  share {tenant['traffic']:.6g}",
+            f"  quota {tenant['quota'] * capacity / work_per_job_s:.6g}",
             "</tenant>",
         ]
-    names = [
-        f"k{s['kind']}-{sum(o['kind'] == s['kind'] for o in day['servers'][:n]) + 1}"
-        for n, s in enumerate(day["servers"])
+    worker_names = [
+        f"k{server['kind']}-{sum(earlier['kind'] == server['kind'] for earlier in day['servers'][:n]) + 1}"
+        for n, server in enumerate(day["servers"])
     ]
-    for t in day["troubles"]:
+    for fault in day["troubles"]:
         lines += [
-            f"<{t['kind'].replace('_', '-')}>",
-            f"  at {ms(t['at'])}",
-            f"  for {ms(t['len'])}",
-            f"  factor {t['size']:.6g}",
+            f"<{fault['kind'].replace('_', '-')}>",
+            f"  at {milliseconds(fault['at'])}",
+            f"  for {milliseconds(fault['len'])}",
+            f"  factor {fault['size']:.6g}",
         ]
-        if t["kind"] == "slow":
-            lines.append("  workers " + " ".join(names[n] for n in t["on"]))
-        elif t["kind"] == "heavy_tail":
-            lines += [f"  class {day['classes'][t['which']]['name']}", f"  chance {t['extra']:.6g}"]
-        elif t["kind"] == "burst":
-            lines.append(f"  ramp {ms(min(t['extra'] * 1e6, t['len'] / 2))}")
-        lines.append(f"</{t['kind'].replace('_', '-')}>")
+        if fault["kind"] == "slow":
+            lines.append("  workers " + " ".join(worker_names[n] for n in fault["on"]))
+        elif fault["kind"] == "heavy_tail":
+            lines += [f"  class {day['classes'][fault['which']]['name']}", f"  chance {fault['extra']:.6g}"]
+        elif fault["kind"] == "burst":
+            lines.append(f"  ramp {milliseconds(min(fault['extra'] * 1e6, fault['len'] / 2))}")
+        lines.append(f"</{fault['kind'].replace('_', '-')}>")
     return "\n".join(lines) + "\n"
 
 
-def reference(command: list[str], day: dict[str, Any], folder: Path, name: str, noise: int) -> dict[str, Any]:
+def run_reference(
+    command: list[str], day: dict[str, Any], folder: Path, name: str, noise: int
+) -> dict[str, Any]:
+    """Run a day in the reference simulator; return its figures."""
     path = folder / f"{name}-{noise}.json"
     write_text_atomically(path, json.dumps({**day, "noise": noise}))
-    done = subprocess.run(
-        [*command, str(path), "--json", "--why", WHY], capture_output=True, text=True, check=False
-    )  # its status speaks of broken rules, which the figures tell too
-    figures: dict[str, Any] = json.loads(done.stdout)
+    completed = subprocess.run(
+        [*command, str(path), "--json", "--why", REFERENCE_REASON],
+        capture_output=True,
+        text=True,
+        check=False,
+    )  # its exit status reports broken rules, which the figures contain as well
+    figures: dict[str, Any] = json.loads(completed.stdout)
     if figures["fault"] or figures["breaks"]:
-        raise SystemExit(f"{name}: the reference broke off: {figures['fault']} {figures['breaks']}")
+        raise SystemExit(f"{name}: the reference run was aborted: {figures['fault']} {figures['breaks']}")
     return figures
 
 
-def emulate(args: tuple[str, int]) -> dict[str, Any]:
-    scenario, _ = read(Path(args[0]))
-    return play(scenario, args[1])
+def simulate(path_and_seed: tuple[str, int]) -> dict[str, Any]:
+    """Run a scenario file in this project's simulation; return its figures."""
+    scenario, _ = read(Path(path_and_seed[0]))
+    return play(scenario, path_and_seed[1])
 
 
-def spearman(a: list[float], b: list[float]) -> float:
-    ranks = [np.argsort(np.argsort(x)) for x in (a, b)]
+def spearman(first: list[float], second: list[float]) -> float:
+    """Return the rank correlation of two lists; equal values are ranked in an arbitrary order."""
+    ranks = [np.argsort(np.argsort(values)) for values in (first, second)]
     return float(np.corrcoef(ranks[0], ranks[1])[0, 1])
 
 
@@ -211,34 +222,43 @@
     for path in sorted(args.days.glob("*.json")):
         day = json.loads(path.read_text())
         with ThreadPoolExecutor(4) as pool:
-            theirs = list(
+            reference_runs = list(
                 pool.map(
-                    lambda noise, day=day, path=path: reference(command, day, args.work, path.stem, noise),
-                    NOISES[: args.noises],
+                    lambda noise, day=day, path=path: run_reference(
+                        command, day, args.work, path.stem, noise
+                    ),
+                    NOISE_SEEDS[: args.noises],
                 )
             )
-        rate = fmean(o["requests"] for o in theirs) / (day["length"] / 1e6)
-        script = args.work / f"{path.stem}.conf"
-        write_text_atomically(script, script_of(day, path.stem, rate))
-        with ProcessPoolExecutor() as procs:
-            ours = list(procs.map(emulate, [(str(script), seed + 1) for seed in range(args.seeds)]))
+        rate = fmean(run["requests"] for run in reference_runs) / (day["length"] / 1e6)
+        scenario_path = args.work / f"{path.stem}.conf"
+        write_text_atomically(scenario_path, scenario_text(day, path.stem, rate))
+        with ProcessPoolExecutor() as processes:
+            simulated_runs = list(
+                processes.map(simulate, [(str(scenario_path), seed + 1) for seed in range(args.seeds)])
+            )
         classes = [c["name"] for c in day["classes"]]
         row = {
             "day": path.stem,
-            "theirs": fmean(o["g"] for o in theirs),
-            "ours": fmean(o["figure"] for o in ours),
+            "theirs": fmean(run["g"] for run in reference_runs),
+            "ours": fmean(run["figure"] for run in simulated_runs),
             "rate": rate,
-            "whole": (fmean(o["whole"] for o in theirs), fmean(o["service"]["whole"] for o in ours)),
+            "whole": (
+                fmean(run["whole"] for run in reference_runs),
+                fmean(run["service"]["whole"] for run in simulated_runs),
+            ),
             "worst": (
-                fmean(o["worst_window"] for o in theirs),
-                fmean(o["service"]["worst_10_s"] for o in ours),
+                fmean(run["worst_window"] for run in reference_runs),
+                fmean(run["service"]["worst_10_s"] for run in simulated_runs),
             ),
-            "spread": float(np.std([o["g"] for o in theirs])),
-            "broken": sum(o["rules"]["broken"] for o in ours),
+            "spread": float(np.std([run["g"] for run in reference_runs])),
+            "broken": sum(run["rules"]["broken"] for run in simulated_runs),
             "classes": {
                 name: (
-                    fmean(o["classes"][n]["served"] / o["classes"][n]["offered"] for o in theirs),
-                    fmean(o["classes"][name]["service"] for o in ours),
+                    fmean(
+                        run["classes"][n]["served"] / run["classes"][n]["offered"] for run in reference_runs
+                    ),
+                    fmean(run["classes"][name]["service"] for run in simulated_runs),
                 )
                 for n, name in enumerate(classes)
             },
@@ -252,13 +272,16 @@
             f"worst {row['worst'][0]:.3f}/{row['worst'][1]:.3f}  classes {cells}  broken {row['broken']}",
             flush=True,
         )
-    theirs_all, ours_all = [r["theirs"] for r in rows], [r["ours"] for r in rows]
+    reference_values = [r["theirs"] for r in rows]
+    simulated_values = [r["ours"] for r in rows]
     result = {
         "days": len(rows),
-        "mean_abs_difference": fmean(abs(a - b) for a, b in zip(theirs_all, ours_all, strict=True)),
+        "mean_abs_difference": fmean(
+            abs(a - b) for a, b in zip(reference_values, simulated_values, strict=True)
+        ),
         "mean_abs_difference_whole": fmean(abs(r["whole"][0] - r["whole"][1]) for r in rows),
         "mean_abs_difference_class": fmean(abs(a - b) for r in rows for a, b in r["classes"].values()),
-        "spearman": spearman(theirs_all, ours_all),
+        "spearman": spearman(reference_values, simulated_values),
     }
     print(json.dumps(result))
     if args.json:
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -9,37 +9,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One size of a measurement: what varies, and the repeats."""
+    """The repeated values of a measurement at one value of the varied parameter."""
 
     size: float
     values: tuple[float, ...]
 
     @property
     def median(self) -> float:
-        """Give the middle repeat."""
+        """Return the median of the repeats."""
         return float(np.median(self.values))
 
     @property
     def spread(self) -> float:
-        """Give the range of the repeats over their median."""
+        """Return the range of the repeats divided by their median."""
         return (max(self.values) - min(self.values)) / self.median if self.median else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A straight line through the medians, with what it leaves unexplained."""
+    """A straight line fitted to the medians, with its residual."""
 
     base: float
     each: float
-    residual: float  # root mean square of what is left, over the mean of the medians
+    residual: float  # root mean square of the residuals, divided by the mean of the medians
 
 
 def slope_of(rows: list[Row]) -> Slope:
-    """Fit a line by least squares; with one size there is none."""
-    sizes, medians = np.array([row.size for row in rows]), np.array([row.median for row in rows])
+    """Return the line of least squares; with fewer than two sizes its slope is 0."""
+    sizes = np.array([row.size for row in rows])
+    medians = np.array([row.median for row in rows])
     if len(rows) < 2:
         return Slope(float(medians[0]) if len(rows) else 0.0, 0.0, 0.0)
     each, base = np.polyfit(sizes, medians, 1)
-    left = medians - (base + each * sizes)
+    residuals = medians - (base + each * sizes)
     mean = float(np.mean(np.abs(medians))) or 1.0
-    return Slope(float(base), float(each), float(np.sqrt(np.mean(left**2)) / mean))
+    return Slope(float(base), float(each), float(np.sqrt(np.mean(residuals**2)) / mean))
--- a/benchmarks/scale/fleets.py
+++ b/benchmarks/scale/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of a size, made up: names, zones, kinds, lists in discovery's form, and churn."""
+"""Generated fleets of a given size: names, zones, kinds, endpoint lists in discovery's format, and churn."""
 
 from __future__ import annotations
 
@@ -9,37 +9,39 @@
 
 from elderstall.interface import Endpoint, WorkerState
 
-REGIONS, ZONES, KINDS = 11, 41, 4
-REPLACED_A_DAY = 8_240  # worker processes, of 23,000: the target's 240 failures and 8,000 replacements
-CHANGES_EACH = 3  # draining, gone, and the one that comes in its place
-TARGET = 23_000
-DAY = 86_400_000.0  # ms
-EPOCH = 1_000_000_000.0  # ms: when simulated time begins
+REGIONS = 11
+ZONES = 41
+KINDS = 4
+REPLACEMENTS_PER_DAY = 8_240  # of the target fleet: 240 failures and 8,000 replacements
+CHANGES_PER_REPLACEMENT = 3  # the old worker draining and gone, the new one up
+TARGET_WORKERS = 23_000
+DAY_MS = 86_400_000.0
+EPOCH = 1_000_000_000.0  # ms, start of the simulated time
 
 
 def name_of(number: int) -> str:
-    """Give a worker's name, as scattered as real ones."""
+    """Return a worker's name; the hash gives consecutive numbers unrelated names, as in a real fleet."""
     return f"s-{number * 2654435761 % 2**32:08x}"
 
 
 def zone_of(number: int) -> str:
-    """Give a worker's zone; zones are spread evenly over the regions."""
+    """Return a worker's zone; zones are spread evenly over the regions."""
     zone = number % ZONES
     return f"region-{zone % REGIONS}-{zone}"
 
 
 def entry(number: int, state: WorkerState = WorkerState.UP, started: float | None = None) -> Endpoint:
-    """Give one worker's entry."""
+    """Return one worker's entry in the endpoint list."""
     return Endpoint(name_of(number), f"kind-{number % KINDS}", zone_of(number), number // 4, started, state)
 
 
 def entries(count: int) -> tuple[Endpoint, ...]:
-    """Give the whole list of a fleet."""
+    """Return the whole endpoint list of a fleet."""
     return tuple(entry(number) for number in range(count))
 
 
 def list_text(count: int, indent: int | None = None) -> bytes:
-    """Write the whole list in discovery's form."""
+    """Return the whole endpoint list as discovery sends it."""
     endpoints = [
         {
             "name": e.worker,
@@ -57,14 +59,15 @@
 
 
 def replacements(count: int, days: float, rng: random.Random) -> Iterator[tuple[float, Endpoint]]:
-    """Give the changes of so many days of churn, each with its time: workers drain, go, and others come."""
+    """Yield the time and entry of each change in a period of churn: workers drain, end and are replaced."""
     listed = list(range(count))
-    number, gap = count, DAY / (REPLACED_A_DAY * count / TARGET)
+    number = count
+    gap_ms = DAY_MS / (REPLACEMENTS_PER_DAY * count / TARGET_WORKERS)
     at = EPOCH
-    while (at := at + gap) < EPOCH + days * DAY:
-        place = rng.randrange(count)
-        old, listed[place] = listed[place], number
+    while (at := at + gap_ms) < EPOCH + days * DAY_MS:
+        index = rng.randrange(count)
+        old, listed[index] = listed[index], number
         yield at, entry(old, WorkerState.DRAINING)
-        yield at + gap / 4, entry(old, WorkerState.GONE)
-        yield at + gap / 2, replace(entry(number), started=at + gap / 2)
+        yield at + gap_ms / 4, entry(old, WorkerState.GONE)
+        yield at + gap_ms / 2, replace(entry(number), started=at + gap_ms / 2)
         number += 1
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,4 +1,4 @@
-"""A hollow dispatcher: the real core and module on virtual time, and a carrier that answers by itself."""
+"""One dispatcher under test: the real engine and decisions on virtual time, with a stub transport."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from elderstall.messages import Answer, JobRequest, Outcome
 from elderstall.simulation.loop import VirtualTime
 
-MEAN_WORK = 300.0  # ms
+MEAN_WORK_MS = 300.0
 CLASSES = (
     JobClass("short", 2.0, 400.0, 5_000.0, stretch=2.0),
     JobClass("long", 5.0, 900.0, 15_000.0, Effect.NOT_IDEMPOTENT, stretch=2.5),
@@ -24,13 +24,13 @@
 
 
 def settings_of(dispatchers: int, teams: int = 0, classes: int = len(CLASSES)) -> Settings:
-    """Give settings of a size; further classes are like the first three."""
-    more = tuple(
+    """Return settings for so many dispatchers, teams and classes; classes after the third are generated."""
+    further = tuple(
         JobClass(f"class-{n}", 1.0 + n % 7, 400.0 + n, 5_000.0, stretch=2.0)
         for n in range(classes - len(CLASSES))
     )
     return Settings(
-        CLASSES + more,
+        CLASSES + further,
         tuple(Tenant(f"team-{n}", 11.0) for n in range(teams)),
         dispatchers=dispatchers,
         rank=7,
@@ -48,14 +48,14 @@
     )
 
 
-class QuietLog(Log):
-    """Keeps what must not happen, and raises it."""
+class FailingLog(Log):
+    """A log that raises the errors reported to it and discards all other lines."""
 
     def __init__(self) -> None:
         super().__init__(lambda: 0.0)
 
     def write(self, code: str, text: str) -> None:
-        """Raise a fault of the program; leave the rest unsaid."""
+        """Raise ``AssertionError`` for a line that reports a bug; discard any other line."""
         if code == "bug":
             raise AssertionError(text)
 
@@ -64,13 +64,14 @@
         raise error or AssertionError(what)
 
 
-class HollowCarrier:
-    """Workers that take every job and end it after its work, and answer every question with room."""
+class StubTransport:
+    """A transport whose workers serve every job after its work and report free slots to every poll."""
 
     def __init__(self, deadlines: Deadlines, rng: random.Random) -> None:
-        self.deadlines, self.rng = deadlines, rng
-        self.sent = self.asked = 0
-        self.reached: set[str] = set()  # workers that anything was sent to
+        self.deadlines = deadlines
+        self.rng = rng
+        self.sent = self.polled = 0
+        self.reached: set[str] = set()  # workers that received a job or a poll
 
     def send(
         self,
@@ -80,102 +81,102 @@
         on_progress: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
-        """Run a job."""
+        """Start a job that ends after its work hint."""
         self.sent += 1
         self.reached.add(worker)
         done: Deferred[Outcome | None] = Deferred(lambda _: None)
         outcome = Outcome(Ending.SERVED, b"done", (2.0,))
-        self.deadlines.after(request.work_hint or MEAN_WORK, self.end, done, outcome)
+        self.deadlines.after(request.work_hint or MEAN_WORK_MS, self.end, done, outcome)
         return done
 
     def end(self, done: Deferred[Outcome | None], outcome: Outcome) -> None:
-        """End a job, unless it was given up."""
+        """End a job as served, unless it was cancelled."""
         if not done.called:
             done.callback(outcome)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
-        """Answer a question."""
-        self.asked += 1
+        """Answer a poll with free slots."""
+        self.polled += 1
         self.reached.add(worker)
         done: Deferred[Outcome] = Deferred()
         self.deadlines.after(1.0, done.callback, Outcome(Ending.SERVED, report=(2.0,)))
         return done
 
     def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
-        """Confirm that a job is given up."""
+        """Confirm the cancellation of a job."""
         done: Deferred[bool] = Deferred()
         self.deadlines.after(1.0, done.callback, True)
         return done
 
     def drop_idle(self, worker: str) -> None:
-        """Have no connections to drop."""
+        """Do nothing, as there are no connections."""
 
 
-class HollowClient:
-    """Waits for one answer."""
+class StubClient:
+    """A connected client that ignores its answer."""
 
     def answered(self, answer: Answer) -> None:
-        """Take it."""
+        """Ignore the answer."""
 
     def progressed(self, share: float, text: str) -> None:
-        """Take news."""
+        """Ignore progress."""
 
     def is_connected(self) -> bool:
-        """Stay."""
+        """Return that the client is connected."""
         return True
 
 
-class HollowDispatcher:
-    """One dispatcher with a fleet listed, on a clock of its own."""
+class DispatcherHarness:
+    """One dispatcher with the endpoint list of a fleet, on its own virtual clock."""
 
     def __init__(self, settings: Settings, listed: tuple[Endpoint, ...], seed: int = 5) -> None:
         self.loop = VirtualTime()
         self.deadlines = Deadlines(self.loop, self.loop.seconds, EPOCH)
         self.rng = random.Random(seed)
-        self.carrier = HollowCarrier(self.deadlines, self.rng)
-        self.engine = Engine(settings, seed, self.deadlines, self.carrier, QuietLog())
+        self.transport = StubTransport(self.deadlines, self.rng)
+        self.engine = Engine(settings, seed, self.deadlines, self.transport, FailingLog())
         self.engine.endpoints.follow = lambda: self.engine.endpoints.take(ListScope.CHANGES)
         self.jobs = 0
         self.engine.start(listed)
 
     def change(self, entry: Endpoint) -> None:
-        """Have discovery tell one change."""
+        """Apply one change of the endpoint list."""
         self.engine.endpoints.take(ListScope.CHANGES, (entry,))
 
-    def idle(self, ms: float) -> None:
-        """Let time pass."""
-        self.loop.run(self.loop.now + ms)
+    def idle(self, duration_ms: float) -> None:
+        """Advance the virtual time."""
+        self.loop.run(self.loop.now + duration_ms)
 
-    def job(self) -> None:
-        """Take a client's job."""
+    def submit_job(self) -> None:
+        """Submit a client's job of a random class and tenant."""
         self.jobs += 1
-        cls = self.rng.choices(CLASSES, (6, 3, 1))[0]
+        job_class = self.rng.choices(CLASSES, (6, 3, 1))[0]
         tenants = self.engine.settings.tenants
         tenant = self.rng.choice(tenants).name if tenants else None
         self.engine.accept(
             JobRequest(
                 f"job-{self.jobs}",
-                cls.name,
-                cls.deadline,
+                job_class.name,
+                job_class.deadline,
                 None,
                 tenant,
-                work_hint=self.rng.expovariate(1 / MEAN_WORK) + 1.0,
+                work_hint=self.rng.expovariate(1 / MEAN_WORK_MS) + 1.0,
             ),
-            HollowClient(),
+            StubClient(),
         )
 
     def load(self, jobs: int, rate: float) -> None:
-        """Take so many jobs at so many a second."""
+        """Submit jobs at random intervals, at a mean rate per second."""
         for _ in range(jobs):
             self.idle(self.rng.expovariate(rate / 1000))
-            self.job()
+            self.submit_job()
 
     @property
     def members(self) -> list[str]:
-        """Name the workers that the module knows as up."""
+        """Return the names of the workers that the decisions know to be up."""
         return [name for name, worker in self.engine.decisions.endpoints.workers.items() if worker.up]
 
     def outside(self) -> list[str]:
-        """Name listed workers that the module does not know, where there are any."""
+        """Return the names of the listed workers that the decisions do not know to be up."""
         known = set(self.members)
         return [name for name in self.engine.view.entries if name not in known]
--- a/benchmarks/scale/larger.py
+++ b/benchmarks/scale/larger.py
@@ -1,11 +1,11 @@
-"""What one dispatcher process needs as the fleet grows: the same traffic over 200 and over 3,200 workers.
+"""Resource usage of one dispatcher process as the fleet grows: equal traffic over 200 and 3,200 workers.
 
     python -m benchmarks.scale.larger [--case "same dispatchers"] [--seconds 25] [--rate 40]
 
-The real program runs as a process of its own. Discovery, workers and clients are hollow: they live in this
-process, on 127.0.0.0/8 alone. Each second one worker leaves and one joins. Every worker takes each job and
-ends it after its work; what other dispatchers do to it is a share of its slots that it reports as taken.
-What is allowed at the larger size follows from what was needed at the usual one.
+The real program runs as a separate process. Discovery, workers and clients are stubs in this process, which
+use only addresses of 127.0.0.0/8. Each second one worker leaves and one joins. A worker accepts every job and
+ends it after its work; the load of other dispatchers is a fraction of its slots that it reports as used. The
+limits at the larger size follow from the usage at the baseline size.
 """
 
 from __future__ import annotations
@@ -34,22 +34,24 @@
 from elderstall.net import http
 
 ROOT = Path(__file__).resolve().parents[2]
-USUAL, TIMES = 200, 16  # workers, and how many times as many
-FEW = 12  # dispatchers
-SLOTS = 2  # of a worker
-REPORT_EVERY = 0.5  # s for which a worker reports the same share of its slots as taken by others
-BEAT_EVERY = 2.0  # s between empty lines of a watch
-LOOK_EVERY = 0.25  # s between looks at the process
-READY_WITHIN, ANSWERS_WITHIN = 60.0, 20.0  # s
-TICKS = os.sysconf("SC_CLK_TCK")
+BASELINE_WORKERS = 200
+SIZE_FACTOR = 16  # workers of the larger fleet, as a multiple of the baseline
+FEW_DISPATCHERS = 12
+SLOTS_PER_WORKER = 2
+OTHER_LOAD_INTERVAL_S = 0.5  # time between changes of the slots that other dispatchers use
+HEARTBEAT_INTERVAL_S = 2.0  # time between empty lines of a watch
+SAMPLE_INTERVAL_S = 0.25  # time between samples of the open descriptors
+READY_TIMEOUT_S = 60.0
+ANSWER_TIMEOUT_S = 20.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 CLASSES = [
     {"name": "short", "points": 2, "aim": 400, "deadline": 5000, "effect": "safe"},
     {"name": "long", "points": 5, "aim": 900, "deadline": 15000, "effect": "unsafe"},
     {"name": "urgent", "points": 10, "aim": 500, "deadline": 4500, "effect": "unsafe"},
 ]
-REPORT = ("qps", "util", "x0")  # x0: free slots
-WORK = {"short": 80.0, "long": 200.0, "urgent": 50.0}  # ms, mean
-SHARES = {"short": 6, "long": 3, "urgent": 1}
+REPORT_FIELDS = ("qps", "util", "x0")  # x0: free slots
+MEAN_WORK_MS = {"short": 80.0, "long": 200.0, "urgent": 50.0}
+CLASS_WEIGHTS = {"short": 6, "long": 3, "urgent": 1}
 RULES = {
     "answer_slack": 8,
     "stop_sending_within": 2000,
@@ -62,23 +64,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """One run of the program."""
+class Run:
+    """Parameters of one run of the program."""
 
     workers: int
     dispatchers: int
     seconds: float = 25.0
     rate: float = 40.0  # jobs a second
-    asks: bool = True  # whether the settings allow to ask workers how they stand
-    reports: bool = True  # whether workers report their free slots
-    work: float = 1.0  # times the mean work of each class
-    busy: float = 0.0  # share of the workers' slots that other dispatchers use
+    polling_allowed: bool = True  # by the settings
+    has_reports: bool = True  # workers report their free slots
+    work_factor: float = 1.0  # multiplies the mean work of each class
+    busy_fraction: float = 0.0  # of the workers' slots, used by other dispatchers
     seed: int = 5
 
 
 @dataclass(slots=True)
-class Needs:
-    """What the program needed, and what it served."""
+class Usage:
+    """Resources that the program used, and jobs that it served."""
 
     cpu: float = 0.0  # s
     memory: float = 0.0  # MB, peak
@@ -89,32 +91,33 @@
     attempts: int = 0
     jobs: int = 0
     served: int = 0
-    workers_reached: int = 0  # different ones to which a connection was made
+    workers_reached: int = 0  # distinct workers that the program connected to
 
     @property
     def share(self) -> float:
-        """Give the share of jobs that was served."""
+        """Return the fraction of jobs that were served."""
         return self.served / max(1, self.jobs)
 
 
-def allowed(usual: Needs, workers: int) -> dict[str, float]:
-    """Give what a dispatcher may need with so many workers; of the share served, the least."""
+def limits_from(baseline: Usage, workers: int) -> dict[str, float]:
+    """Return maximum usage with so many workers; for ``share``, the minimum."""
     thousands = workers / 1000
     return {
-        "cpu": 1.4 * usual.cpu + 0.02 + 0.12 * thousands,
-        "memory": 1.5 * usual.memory + 8 + 4 * thousands,
-        "descriptors": 2 * usual.descriptors + 40,
-        "connections": 2.5 * usual.connections + 40,
-        "list_bytes": 2 * usual.list_bytes + 64e3 + 500e3 * thousands,
-        "share": 0.85 * usual.share,
+        "cpu": 1.4 * baseline.cpu + 0.02 + 0.12 * thousands,
+        "memory": 1.5 * baseline.memory + 8 + 4 * thousands,
+        "descriptors": 2 * baseline.descriptors + 40,
+        "connections": 2.5 * baseline.connections + 40,
+        "list_bytes": 2 * baseline.list_bytes + 64e3 + 500e3 * thousands,
+        "share": 0.85 * baseline.share,
     }
 
 
-class Served(asyncio.Protocol):
-    """An accepted connection: each whole request is handed on, answers are written as they come."""
+class ServerConnection(asyncio.Protocol):
+    """An accepted connection that passes each complete request to a handler."""
 
-    def __init__(self, take: Callable[[Served, http.Message], None]) -> None:
-        self.take, self.parser = take, http.Parser(max_body=1 << 20)
+    def __init__(self, on_request: Callable[[ServerConnection, http.Message], None]) -> None:
+        self.on_request = on_request
+        self.parser = http.Parser(max_body=1 << 20)
         self.message = http.Message((0, 0), http.Headers())
 
     def connection_made(self, transport: Any) -> None:
@@ -126,20 +129,21 @@
             if isinstance(event, http.Head):
                 self.message = event.message
             elif isinstance(event, http.End):
-                self.take(self, self.message)
+                self.on_request(self, self.message)
 
     def answer(self, data: bytes) -> None:
-        """Write bytes, if the connection is still there."""
+        """Write bytes, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
 
-class Caller(asyncio.Protocol):
-    """A connection to the program that carries one request at a time."""
+class ClientConnection(asyncio.Protocol):
+    """A connection to the program with at most one request in progress."""
 
     def __init__(self) -> None:
-        self.parser, self.status = http.Parser(responses=True, max_body=1 << 20), 0
-        self.waiting: asyncio.Future[int] | None = None
+        self.parser = http.Parser(responses=True, max_body=1 << 20)
+        self.status = 0
+        self.pending: asyncio.Future[int] | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -150,63 +154,64 @@
             if isinstance(event, http.Head):
                 self.status = event.message.status
             elif isinstance(event, http.End):
-                self.end(self.status)
+                self.complete(self.status)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.end(0)
+        self.complete(0)
 
-    def end(self, status: int) -> None:
-        """Give the answer's status, 0 for none."""
-        waiting, self.waiting = self.waiting, None
-        if waiting is not None and not waiting.done():
-            waiting.set_result(status)
+    def complete(self, status: int) -> None:
+        """Complete the request in progress with a status, 0 for no answer."""
+        pending, self.pending = self.pending, None
+        if pending is not None and not pending.done():
+            pending.set_result(status)
 
 
-class Callers:
-    """Connections to the program that are kept and used again."""
+class ConnectionPool:
+    """Reusable connections to the program."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.address, self.free = address, list[Caller]()
+        self.address = address
+        self.free = list[ClientConnection]()
 
     async def call(self, request: bytes) -> int:
-        """Give the status of the answer, 0 for none."""
+        """Send a request; return the status of the answer, 0 for none."""
         loop = asyncio.get_running_loop()
         while self.free and self.free[-1].transport.is_closing():
             self.free.pop()
         if self.free:
-            caller = self.free.pop()
+            connection = self.free.pop()
         else:
-            _, caller = await loop.create_connection(Caller, *self.address)
-        caller.waiting = waiting = loop.create_future()
-        caller.transport.write(request)
-        status: int = await waiting
-        self.free.append(caller)
+            _, connection = await loop.create_connection(ClientConnection, *self.address)
+        connection.pending = pending = loop.create_future()
+        connection.transport.write(request)
+        status: int = await pending
+        self.free.append(connection)
         return status
 
     def close(self) -> None:
-        """Close them."""
-        for caller in self.free:
-            caller.transport.abort()
+        """Close the connections that are not in use."""
+        for connection in self.free:
+            connection.transport.abort()
 
 
 @dataclass(slots=True)
 class Worker:
-    """A hollow worker: it takes all that comes."""
+    """A stub worker that accepts every job."""
 
     number: int
     address: str
-    since: float  # Unix ms
+    since_ms: float  # Unix time
     server: asyncio.Server
     running: int = 0
     reached: bool = False
 
     @property
     def name(self) -> str:
-        """Give its name."""
+        """Return the worker's name."""
         return name_of(self.number)
 
     def entry(self, status: str = "in_service") -> dict[str, Any]:
-        """Give its entry in discovery's list."""
+        """Return the worker's entry in discovery's list."""
         return {
             "name": self.name,
             "address": self.address,
@@ -215,62 +220,62 @@
             "group": 0,
             "status": status,
             "weight": 1.0,
-            "since_ms": self.since,
+            "since_ms": self.since_ms,
         }
 
 
 @dataclass(slots=True)
-class Surroundings:
-    """Discovery and the workers, and what the program does to them."""
+class Environment:
+    """Discovery and the workers, with counts of what the program sends to them."""
 
-    play: Play
-    needs: Needs
+    run: Run
+    usage: Usage
     workers: list[Worker] = field(default_factory=list)
-    watches: list[Served] = field(default_factory=list)
+    watches: list[ServerConnection] = field(default_factory=list)
     index: int = 41
-    made: int = 0
-    callers: Callers | None = None  # for call-backs
+    workers_created: int = 0
+    callback_connections: ConnectionPool | None = None
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     discovery: asyncio.Server | None = None
     address: str = ""
 
     async def open(self) -> None:
-        """Listen."""
-        self.discovery, self.address = await self.listen(self.watched, "127.0.0.1")
-        for _ in range(self.play.workers):
+        """Start discovery and the workers."""
+        self.discovery, self.address = await self.listen(self.start_watch, "127.0.0.1")
+        for _ in range(self.run.workers):
             self.workers.append(await self.new_worker(0.0))
 
     async def listen(
-        self, take: Callable[[Served, http.Message], None], host: str
+        self, on_request: Callable[[ServerConnection, http.Message], None], host: str
     ) -> tuple[asyncio.Server, str]:
-        """Listen at a port of the system's choice; gives the address."""
+        """Listen on a port assigned by the system; return the server and its address."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Served(take), host, 0)
+        server = await loop.create_server(lambda: ServerConnection(on_request), host, 0)
         return server, f"{host}:{server.sockets[0].getsockname()[1]}"
 
-    async def new_worker(self, since: float) -> Worker:
-        """Start a worker at an address of its own."""
-        number, self.made = self.made, self.made + 1
+    async def new_worker(self, since_ms: float) -> Worker:
+        """Start a worker on an address of its own."""
+        number, self.workers_created = self.workers_created, self.workers_created + 1
         host = f"127.1.{number >> 7}.{number % 128 + 1}"
-        known: list[Worker] = []
+        created: list[Worker] = []
 
-        class Connection(Served):
+        class Connection(ServerConnection):
             def connection_made(connection, transport: Any) -> None:  # noqa: N805
-                Served.connection_made(connection, transport)
-                self.needs.connections += 1
-                self.needs.workers_reached += not known[0].reached
-                known[0].reached = True
+                ServerConnection.connection_made(connection, transport)
+                self.usage.connections += 1
+                self.usage.workers_reached += not created[0].reached
+                created[0].reached = True
 
-        def take(connection: Served, message: http.Message) -> None:
-            self.worked(known[0], connection, message)
+        def on_request(connection: ServerConnection, message: http.Message) -> None:
+            self.handle_worker_request(created[0], connection, message)
 
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Connection(take), host, 0)
-        known.append(Worker(number, f"{host}:{server.sockets[0].getsockname()[1]}", since, server))
-        return known[0]
+        server = await loop.create_server(lambda: Connection(on_request), host, 0)
+        created.append(Worker(number, f"{host}:{server.sockets[0].getsockname()[1]}", since_ms, server))
+        return created[0]
 
     def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening and cancel the jobs in progress."""
         for server in [self.discovery, *(worker.server for worker in self.workers)]:
             if server is not None:
                 server.close()
@@ -279,84 +284,90 @@
 
     # ---- discovery ----
 
-    def whole(self) -> dict[str, Any]:
-        """Give the whole list."""
+    def whole_list(self) -> dict[str, Any]:
+        """Return the whole endpoint list."""
         return {"index": self.index, "snapshot": True, "endpoints": [w.entry() for w in self.workers]}
 
-    def watched(self, connection: Served, _: http.Message) -> None:
-        """Begin a watch with the whole list."""
+    def start_watch(self, connection: ServerConnection, _: http.Message) -> None:
+        """Start a watch with the whole list."""
         connection.answer(http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")]))
-        self.tell(connection, self.whole())
+        self.send_line(connection, self.whole_list())
         self.watches.append(connection)
 
-    def tell(self, connection: Served, value: dict[str, Any]) -> None:
+    def send_line(self, connection: ServerConnection, value: dict[str, Any]) -> None:
         """Write one line of a watch."""
         line = json.dumps(value, separators=(",", ":")).encode() + b"\n"
-        self.needs.list_bytes += len(line)
+        self.usage.list_bytes += len(line)
         connection.answer(http.chunk(line))
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Write an empty line on all watches."""
         for watch in self.watches:
             watch.answer(http.chunk(b"\n"))
 
     async def replace_one(self, rng: random.Random) -> None:
-        """Have one worker leave and another one join."""
+        """Replace a random worker by a new one and update the watches."""
         leaving = self.workers.pop(rng.randrange(len(self.workers)))
         joining = await self.new_worker(time.time() * 1000)
         self.workers.append(joining)
         self.index += 1
         entries = [leaving.entry("terminated"), joining.entry()]
         for watch in self.watches:
-            self.tell(watch, {"index": self.index, "snapshot": False, "endpoints": entries})
+            self.send_line(watch, {"index": self.index, "snapshot": False, "endpoints": entries})
         leaving.server.close()
 
     # ---- workers ----
 
-    def load_of(self, worker: Worker) -> dict[str, float]:
-        """Give a worker's report; what others take of it changes from time to time."""
-        span = int(time.monotonic() / REPORT_EVERY)
-        chances = (crc32(f"{worker.number} {span} {slot}".encode()) / 2**32 for slot in range(SLOTS))
-        taken = sum(chance < self.play.busy for chance in chances)
-        free = max(0, SLOTS - taken - worker.running)
-        return dict(zip(REPORT, (0.0, 0.0, float(free)), strict=True))
-
-    def worked(self, worker: Worker, connection: Served, message: http.Message) -> None:
-        """Answer a request to a worker."""
+    def load_report(self, worker: Worker) -> dict[str, float]:
+        """Return a worker's load report, with the slots that other dispatchers use at the moment."""
+        interval = int(time.monotonic() / OTHER_LOAD_INTERVAL_S)
+        chances = (
+            crc32(f"{worker.number} {interval} {slot}".encode()) / 2**32 for slot in range(SLOTS_PER_WORKER)
+        )
+        used_by_others = sum(chance < self.run.busy_fraction for chance in chances)
+        free = max(0, SLOTS_PER_WORKER - used_by_others - worker.running)
+        return dict(zip(REPORT_FIELDS, (0.0, 0.0, float(free)), strict=True))
+
+    def handle_worker_request(
+        self, worker: Worker, connection: ServerConnection, message: http.Message
+    ) -> None:
+        """Answer a poll, a cancellation or a job that is sent to a worker."""
         if message.method == "GET":
-            self.needs.questions += 1
-            connection.answer(http.response(200, json.dumps(self.load_of(worker)).encode()))
+            self.usage.questions += 1
+            connection.answer(http.response(200, json.dumps(self.load_report(worker)).encode()))
         elif message.method == "DELETE":
             connection.answer(http.response(204))
         else:
-            self.needs.attempts += 1
+            self.usage.attempts += 1
             connection.answer(http.response(202))
-            task = asyncio.get_running_loop().create_task(self.run(worker, message))
+            task = asyncio.get_running_loop().create_task(self.run_job(worker, message))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def run(self, worker: Worker, message: http.Message) -> None:
-        """Run a job and call back."""
+    async def run_job(self, worker: Worker, message: http.Message) -> None:
+        """Run a job and report its result to the call-back address."""
         worker.running += 1
         await asyncio.sleep(float(message.headers.get("X-Call-Cost") or 0) / 1e6)
         worker.running -= 1
-        told = {
+        result = {
             "id": message.headers.get("X-Call-Id"),
             "from": worker.name,
             "state": "done",
             "result": "x",
-            "load": self.load_of(worker),
+            "load": self.load_report(worker),
         }
-        assert self.callers is not None
-        await self.callers.call(http.request("POST", "/callback", "x", (), json.dumps(told).encode()))
+        assert self.callback_connections is not None
+        await self.callback_connections.call(
+            http.request("POST", "/callback", "x", (), json.dumps(result).encode())
+        )
 
 
-def config_of(play: Play, surroundings: Surroundings) -> dict[str, Any]:
-    """Write the program's configuration."""
+def config_object(run: Run, environment: Environment) -> dict[str, Any]:
+    """Return the program's configuration as parsed JSON."""
     settings: dict[str, Any] = {
         "classes": CLASSES,
-        "balancers": play.dispatchers,
-        "rank": 7 % play.dispatchers,
+        "balancers": run.dispatchers,
+        "rank": 7 % run.dispatchers,
         "discovery": "subscribe",
         "rules": RULES,
         "tick": 2.0,
@@ -368,147 +379,152 @@
             "connect_timeout": 250,
             "max_attempts": 5,
             "max_open": 500,
-            "probes": play.asks,
+            "probes": run.polling_allowed,
         },
     }
-    if play.reports:
-        settings["load_report"] = {"fields": list(REPORT)}
+    if run.has_reports:
+        settings["load_report"] = {"fields": list(REPORT_FIELDS)}
         settings["specifics"] = {"report_x0": "free slots"}
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
-        "discovery": surroundings.address,
+        "discovery": environment.address,
         "seed": "5",
-        "known": surroundings.whole(),
+        "known": environment.whole_list(),
         "settings": settings,
         "limits": {"sockets": 1_024},
     }
 
 
 class Process:
-    """The program, and what the system counts of it."""
+    """The program's process, and its resource usage as counted by the system."""
 
     def __init__(self, folder: Path, config: dict[str, Any], profile: Path | None = None) -> None:
-        file = folder / "config.json"
-        file.write_text(json.dumps(config))
-        env = {**os.environ, "RELAY_CONFIG": str(file), "TMPDIR": str(folder)}
+        config_path = folder / "config.json"
+        config_path.write_text(json.dumps(config))
+        env = {**os.environ, "RELAY_CONFIG": str(config_path), "TMPDIR": str(folder)}
         profiler = [] if profile is None else ["-m", "cProfile", "-o", str(profile)]
         command = [sys.executable, *profiler, "-m", "elderstall"]
         self.log = folder / "log"
         with self.log.open("wb") as log:
             self.program = subprocess.Popen(command, cwd=ROOT, env=env, stderr=log)
-        self.at = Path("/proc", str(self.program.pid))
+        self.proc_folder = Path("/proc", str(self.program.pid))
         self.descriptors = 0
 
     async def ready(self) -> tuple[str, int]:
-        """Wait for the line that says where the program listens; gives it."""
-        until = time.monotonic() + READY_WITHIN
-        while time.monotonic() < until and self.program.poll() is None:
+        """Wait until the program logs the address that it listens on; return the address."""
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline and self.program.poll() is None:
             for line in self.log.read_text().splitlines():
                 if line.split()[1:2] == ["start"]:
                     host, _, port = line.split()[-1].rpartition(":")
                     return host, int(port)
             await asyncio.sleep(0.02)
-        raise RuntimeError(f"the program is not ready: {self.log.read_text()[-500:]}")
-
-    def look(self) -> None:
-        """Note how many descriptors are open."""
-        self.descriptors = max(self.descriptors, sum(1 for _ in (self.at / "fd").iterdir()))
-
-    def needs(self, needs: Needs) -> None:
-        """Note what the process has needed so far."""
-        fields = (self.at / "stat").read_text().rpartition(")")[2].split()
-        status = dict(line.split(":", 1) for line in (self.at / "status").read_text().splitlines())
-        needs.cpu = (int(fields[11]) + int(fields[12])) / TICKS
-        needs.memory = float(status["VmHWM"].split()[0]) / 1024
-        needs.descriptors = self.descriptors
-
-    def end(self, gently: bool = False) -> None:
-        """End it."""
-        if gently:  # a profile is written at the end
+        raise RuntimeError(f"the program did not become ready; end of its log: {self.log.read_text()[-500:]}")
+
+    def sample_descriptors(self) -> None:
+        """Update the peak number of open descriptors."""
+        self.descriptors = max(self.descriptors, sum(1 for _ in (self.proc_folder / "fd").iterdir()))
+
+    def read_usage(self, usage: Usage) -> None:
+        """Store the resources that the process has used so far."""
+        fields = (self.proc_folder / "stat").read_text().rpartition(")")[2].split()
+        status = dict(line.split(":", 1) for line in (self.proc_folder / "status").read_text().splitlines())
+        usage.cpu = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
+        usage.memory = float(status["VmHWM"].split()[0]) / 1024
+        usage.descriptors = self.descriptors
+
+    def stop(self, graceful: bool = False) -> None:
+        """Stop the process."""
+        if graceful:  # the profiler writes its file at exit
             self.program.send_signal(signal.SIGTERM)
-            self.program.wait(ANSWERS_WITHIN)
+            self.program.wait(ANSWER_TIMEOUT_S)
         else:
             self.program.kill()
             self.program.wait()
 
 
-async def every(seconds: float, act: Callable[[], Any]) -> None:
-    """Do something again and again."""
+async def repeat(interval_s: float, action: Callable[[], Any]) -> None:
+    """Call an action at a fixed interval until cancelled."""
     while True:
-        await asyncio.sleep(seconds)
-        result = act()
+        await asyncio.sleep(interval_s)
+        result = action()
         if asyncio.iscoroutine(result):
             await result
 
 
-async def load(play: Play, needs: Needs, callers: Callers, rng: random.Random) -> None:
-    """Send the clients' jobs at their times, and wait for the answers."""
+async def send_jobs(run: Run, usage: Usage, clients: ConnectionPool, rng: random.Random) -> None:
+    """Send the clients' jobs at random times, and wait for the answers."""
     loop = asyncio.get_running_loop()
-    began, at = loop.time(), 0.0
-    names = list(SHARES)
+    started_at = loop.time()
+    at = 0.0
+    names = list(CLASS_WEIGHTS)
     jobs: list[asyncio.Task[int]] = []
-    while (at := at + rng.expovariate(play.rate)) < play.seconds:
-        name = rng.choices(names, list(SHARES.values()))[0]
-        work = play.work * rng.expovariate(1 / WORK[name])
+    while (at := at + rng.expovariate(run.rate)) < run.seconds:
+        name = rng.choices(names, list(CLASS_WEIGHTS.values()))[0]
+        work = run.work_factor * rng.expovariate(1 / MEAN_WORK_MS[name])
         fields = [
             ("X-Call-Id", f"job-{len(jobs)}"),
             ("X-Call-Class", name),
             ("X-Budget-Ms", "4500"),
             ("X-Call-Cost", f"{work * 1000:.0f}"),
         ]
-        await asyncio.sleep(max(0.0, began + at - loop.time()))
-        jobs.append(loop.create_task(callers.call(http.request("POST", f"/{name}", "x", fields, b"body"))))
-    statuses = await asyncio.wait_for(asyncio.gather(*jobs), ANSWERS_WITHIN)
-    needs.jobs, needs.served = len(statuses), statuses.count(200)
-
-
-async def play_once(play: Play, profile: Path | None = None) -> Needs:
-    """Run the program under the play's load; gives what it needed."""
-    needs, rng, churn = Needs(), random.Random(play.seed), random.Random(play.seed + 1)
-    surroundings = Surroundings(play, needs)
-    await surroundings.open()
+        await asyncio.sleep(max(0.0, started_at + at - loop.time()))
+        jobs.append(loop.create_task(clients.call(http.request("POST", f"/{name}", "x", fields, b"body"))))
+    statuses = await asyncio.wait_for(asyncio.gather(*jobs), ANSWER_TIMEOUT_S)
+    usage.jobs = len(statuses)
+    usage.served = statuses.count(200)
+
+
+async def run_once(run: Run, profile: Path | None = None) -> Usage:
+    """Run the program under the load of a run; return its usage."""
+    usage = Usage()
+    rng = random.Random(run.seed)
+    churn_rng = random.Random(run.seed + 1)
+    environment = Environment(run, usage)
+    await environment.open()
     tasks: list[asyncio.Task[None]] = []
     with TemporaryDirectory() as folder:
-        process = Process(Path(folder), config_of(play, surroundings), profile)
+        process = Process(Path(folder), config_object(run, environment), profile)
         try:
             address = await process.ready()
-            surroundings.callers, clients = Callers(address), Callers(address)
+            environment.callback_connections = ConnectionPool(address)
+            clients = ConnectionPool(address)
             loop = asyncio.get_running_loop()
             tasks = [
-                loop.create_task(every(LOOK_EVERY, process.look)),
-                loop.create_task(every(BEAT_EVERY, surroundings.beat)),
-                loop.create_task(every(1.0, lambda: surroundings.replace_one(churn))),
+                loop.create_task(repeat(SAMPLE_INTERVAL_S, process.sample_descriptors)),
+                loop.create_task(repeat(HEARTBEAT_INTERVAL_S, environment.send_heartbeats)),
+                loop.create_task(repeat(1.0, lambda: environment.replace_one(churn_rng))),
             ]
-            await load(play, needs, clients, rng)
-            process.look()
-            process.needs(needs)
+            await send_jobs(run, usage, clients, rng)
+            process.sample_descriptors()
+            process.read_usage(usage)
             clients.close()
-            surroundings.callers.close()
+            environment.callback_connections.close()
         finally:
             for task in tasks:
                 task.cancel()
-            process.end(gently=profile is not None)
-            surroundings.close()
-    return needs
+            process.stop(graceful=profile is not None)
+            environment.close()
+    return usage
 
 
-def measure(play: Play, profile: Path | None = None) -> Needs:
-    """Measure one size."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))  # a listener a worker
+def measure(run: Run, profile: Path | None = None) -> Usage:
+    """Return the usage of one run."""
+    soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))  # each worker has a listening socket
     try:
-        return asyncio.run(play_once(play, profile))
+        return asyncio.run(run_once(run, profile))
     finally:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
 
 
-def cases(workers: int, times: int) -> dict[str, tuple[int, int]]:
-    """Give the dispatchers in the settings at the usual and at the larger size, by case."""
+def cases(workers: int, size_factor: int) -> dict[str, tuple[int, int]]:
+    """Return the number of dispatchers in the settings at the baseline and the larger size, by case."""
     return {
-        "as many dispatchers as workers": (workers, workers * times),
+        "as many dispatchers as workers": (workers, workers * size_factor),
         "same dispatchers": (workers, workers),
-        "few dispatchers": (FEW, FEW),
+        "few dispatchers": (FEW_DISPATCHERS, FEW_DISPATCHERS),
     }
 
 
@@ -522,29 +538,37 @@
 }
 
 
-def over(needs: Needs, most: dict[str, float]) -> list[str]:
-    """Name what is over what is allowed."""
+def exceeded(usage: Usage, limits: dict[str, float]) -> list[str]:
+    """Return the names of the values that are beyond their limits."""
     return [
         name
-        for name, limit in most.items()
-        if (getattr(needs, name) < limit if name == "share" else getattr(needs, name) > limit)
+        for name, limit in limits.items()
+        if (getattr(usage, name) < limit if name == "share" else getattr(usage, name) > limit)
     ]
 
 
 @click.command(help=__doc__)
-@click.option("--case", "chosen", type=click.Choice(list(cases(1, 1))), multiple=True, help="All by default.")
-@click.option("--workers", default=USUAL, show_default=True)
-@click.option("--times", default=TIMES, show_default=True, help="How many times as many at the larger size.")
+@click.option(
+    "--case", "selected", type=click.Choice(list(cases(1, 1))), multiple=True, help="All by default."
+)
+@click.option("--workers", default=BASELINE_WORKERS, show_default=True)
+@click.option(
+    "--times", default=SIZE_FACTOR, show_default=True, help="Workers at the larger size, as a multiple."
+)
 @click.option("--seconds", default=25.0, show_default=True)
 @click.option("--rate", default=40.0, show_default=True, help="Jobs a second.")
-@click.option("--busy", default=0.0, show_default=True, help="Share of the slots that others use.")
-@click.option("--asks/--no-asks", default=True, show_default=True, help="Whether workers may be asked.")
-@click.option("--reports/--no-reports", default=True, show_default=True, help="Whether workers report slots.")
-@click.option("--work", default=1.0, show_default=True, help="Times the jobs' mean work.")
+@click.option(
+    "--busy", default=0.0, show_default=True, help="Fraction of the slots used by other dispatchers."
+)
+@click.option("--asks/--no-asks", default=True, show_default=True, help="Whether workers may be polled.")
+@click.option(
+    "--reports/--no-reports", default=True, show_default=True, help="Whether workers report free slots."
+)
+@click.option("--work", default=1.0, show_default=True, help="Factor of the jobs' mean work.")
 @click.option("--seed", default=5, show_default=True)
 @click.option("--json", "json_path", type=click.Path(path_type=Path), help="Write the figures to a file.")
 def main(
-    chosen: tuple[str, ...],
+    selected: tuple[str, ...],
     workers: int,
     times: int,
     seconds: float,
@@ -556,25 +580,28 @@
     seed: int,
     json_path: Path | None,
 ) -> None:
-    """Measure the cases and print the table."""
+    """Measure the cases and print a table of usage and limits."""
     table = Table("case", "workers", *COLUMNS.values())
     results = []
-    for case in chosen or cases(workers, times):
+    for case in selected or cases(workers, times):
         sizes = zip((workers, workers * times), cases(workers, times)[case], strict=True)
-        plays = [Play(size, each, seconds, rate, asks, reports, work, busy, seed) for size, each in sizes]
-        usual, larger = (measure(play) for play in plays)
-        most = allowed(usual, workers * times)
-        bad = over(larger, most)
-        table.add_row(case, f"{workers}", *(f"{getattr(usual, name):,.4g}" for name in COLUMNS))
+        runs = [
+            Run(size, dispatchers, seconds, rate, asks, reports, work, busy, seed)
+            for size, dispatchers in sizes
+        ]
+        baseline, larger = (measure(run) for run in runs)
+        limits = limits_from(baseline, workers * times)
+        over_limit = exceeded(larger, limits)
+        table.add_row(case, f"{workers}", *(f"{getattr(baseline, name):,.4g}" for name in COLUMNS))
         table.add_row(
             "",
             f"{workers * times}",
             *(
-                f"{getattr(larger, name):,.4g} ({'OVER ' * (name in bad)}{most[name]:,.4g})"
+                f"{getattr(larger, name):,.4g} ({'OVER ' * (name in over_limit)}{limits[name]:,.4g})"
                 for name in COLUMNS
             ),
         )
-        results.append({"case": case, "usual": asdict(usual), "larger": asdict(larger), "allowed": most})
+        results.append({"case": case, "usual": asdict(baseline), "larger": asdict(larger), "allowed": limits})
     Console(width=150).print(table)
     if json_path is not None:
         json_path.write_text(json.dumps(results, indent=1))
--- a/benchmarks/scale/measures.py
+++ b/benchmarks/scale/measures.py
@@ -1,4 +1,4 @@
-"""The measurements of one hollow dispatcher: a figure for one size each; the caller repeats and fits."""
+"""Measurements of one dispatcher: each returns a value for one size; the caller repeats and fits them."""
 
 from __future__ import annotations
 
@@ -15,65 +15,66 @@
 from pathlib import Path
 
 from benchmarks.scale.fleets import EPOCH, entries, list_text, replacements
-from benchmarks.scale.hollow import HollowDispatcher, settings_of
+from benchmarks.scale.hollow import DispatcherHarness, settings_of
 from elderstall.interface import WorkerState
 from elderstall.net.discovery import parse_list
 from elderstall.routing import subset
 
-IDLE = 60_000.0  # ms
-CHANGES = 20  # of each kind, of which the mean is taken
-JOBS, RATE = 2_000, 50.0  # jobs, and how many a second: 11,000 over 230 dispatchers
+IDLE_MS = 60_000.0
+CHANGES = 20  # changes per measurement, of which the mean is returned
+JOBS = 2_000
+RATE = 50.0  # jobs/s, about 11,000 jobs/s over 230 dispatchers
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """What a dispatcher meets."""
+    """The size of the fleet and the load that one dispatcher handles."""
 
     workers: int
     dispatchers: int = 230
     teams: int = 0
     classes: int = 3
-    running: int = 0  # tasks running at once
+    running: int = 0  # jobs in progress
     days: float = 1.0
 
 
 def know_all_workers() -> None:
-    """Have every dispatcher of this process know all workers, whatever the fleet's size."""
+    """Disable subsets, so that every dispatcher of this process knows all workers."""
     subset.MIN_SUBSET_SIZE = 10**9
 
 
-def dispatcher_of(size: Size) -> HollowDispatcher:
-    """Start one with the whole fleet listed."""
-    return HollowDispatcher(settings_of(size.dispatchers, size.teams, size.classes), entries(size.workers))
+def dispatcher_of(size: Size) -> DispatcherHarness:
+    """Start a dispatcher with the whole fleet in its endpoint list."""
+    return DispatcherHarness(settings_of(size.dispatchers, size.teams, size.classes), entries(size.workers))
 
 
-def cpu_ms(act: Callable[[], object]) -> float:
-    """Give the processor time of a call, ms."""
+def cpu_ms(action: Callable[[], object]) -> float:
+    """Return the CPU time of a call, ms."""
     gc.collect()
     before = time.process_time()
-    act()
+    action()
     return 1000 * (time.process_time() - before)
 
 
 def list_bytes(size: Size) -> float:
-    """Give the bytes of a whole list on the wire."""
+    """Return the size of a whole list on the wire, bytes."""
     return float(len(list_text(size.workers)))
 
 
 def read_list(size: Size) -> float:
-    """Give the time to read a whole list from its bytes, ms."""
+    """Return the CPU time to parse a whole list, ms."""
     text = list_text(size.workers)
     return cpu_ms(lambda: parse_list(json.loads(text), live=False))
 
 
 def take_list(size: Size) -> float:
-    """Give the time for the core and module to start with a whole list, ms."""
+    """Return the CPU time for the engine and the decisions to start with a whole list, ms."""
     listed = entries(size.workers)
-    return cpu_ms(lambda: HollowDispatcher(settings_of(size.dispatchers), listed))
+    return cpu_ms(lambda: DispatcherHarness(settings_of(size.dispatchers), listed))
 
 
 def held(size: Size) -> float:
-    """Give what a dispatcher holds of a fleet, entries included, MB."""
+    """Return the memory that a dispatcher allocates for a fleet, including its entries, MB."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -87,66 +88,66 @@
 
 
 def idle_minute(size: Size) -> float:
-    """Give the processor time of a minute without jobs or changes, ms."""
+    """Return the CPU time of a minute without jobs or changes, ms."""
     dispatcher = dispatcher_of(size)
-    dispatcher.idle(IDLE)
-    return cpu_ms(lambda: dispatcher.idle(IDLE))
+    dispatcher.idle(IDLE_MS)
+    return cpu_ms(lambda: dispatcher.idle(IDLE_MS))
 
 
-def restarts(dispatcher: HollowDispatcher, names: list[str]) -> float:
-    """Give the mean time of one worker's change, ms."""
+def restart_workers(dispatcher: DispatcherHarness, names: list[str]) -> float:
+    """Return the mean CPU time of one restart of a worker, ms."""
     listed = dispatcher.engine.view.entries
     changes = [replace(listed[name], started=EPOCH + n) for n, name in enumerate(names[:CHANGES])]
 
-    def tell() -> None:
+    def apply_changes() -> None:
         for change in changes:
             dispatcher.change(change)
 
-    return cpu_ms(tell) / max(1, len(changes))
+    return cpu_ms(apply_changes) / max(1, len(changes))
 
 
 def change_inside(size: Size) -> float:
-    """Give the time of a change of a worker that the module knows, ms."""
+    """Return the CPU time of a change of a worker that the decisions know, ms."""
     dispatcher = dispatcher_of(size)
-    return restarts(dispatcher, dispatcher.members)
+    return restart_workers(dispatcher, dispatcher.members)
 
 
 def change_outside(size: Size) -> float:
-    """Give the time of a change of one that it does not know, ms; 0 where it knows all."""
+    """Return the CPU time of a change of a worker that the decisions do not know, ms; 0 if they know all."""
     dispatcher = dispatcher_of(size)
-    return restarts(dispatcher, dispatcher.outside()) if dispatcher.outside() else 0.0
+    return restart_workers(dispatcher, dispatcher.outside()) if dispatcher.outside() else 0.0
 
 
 def job(size: Size) -> float:
-    """Give the processor time of a job, from its taking to its answer, us."""
+    """Return the CPU time of a job from its arrival to its answer, us."""
     dispatcher = dispatcher_of(size)
     dispatcher.load(JOBS // 4, RATE)
     return 1000 * cpu_ms(lambda: dispatcher.load(JOBS, RATE)) / JOBS
 
 
 def zone_lost(size: Size) -> float:
-    """Give the time to take the loss of a zone, its workers told one by one, ms."""
+    """Return the CPU time to process the loss of a zone whose workers are removed one by one, ms."""
     dispatcher = dispatcher_of(size)
     lost = [entry for entry in dispatcher.engine.view.entries.values() if entry.zone == "region-1-1"]
 
-    def tell() -> None:
+    def apply_changes() -> None:
         for entry in lost:
             dispatcher.change(replace(entry, state=WorkerState.GONE))
 
-    return cpu_ms(tell)
+    return cpu_ms(apply_changes)
 
 
-def churned(size: Size, rng: random.Random | None = None) -> HollowDispatcher:
-    """Play days of churn: workers drain, go and are replaced under new names."""
+def churned(size: Size, rng: random.Random | None = None) -> DispatcherHarness:
+    """Return a dispatcher after days of churn, in which workers drain, end and are replaced by new names."""
     dispatcher = dispatcher_of(size)
     for at, change in replacements(size.workers, size.days, rng or random.Random(3)):
-        dispatcher.loop.now = at - EPOCH  # the module's timers of a day are measured by idle_minute
+        dispatcher.loop.now = at - EPOCH  # timers are skipped here; idle_minute measures their cost
         dispatcher.change(change)
     return dispatcher
 
 
 def resident_after_churn(size: Size) -> float:
-    """Give the resident memory of this process after days of churn, MB."""
+    """Return the resident memory of this process after days of churn, MB."""
     dispatcher = churned(size)
     gc.collect()
     pages = int(Path("/proc/self/statm").read_text().split()[1])
@@ -155,7 +156,7 @@
 
 
 def churn(size: Size) -> float:
-    """Give the same of a process of its own."""
+    """Return ``resident_after_churn`` measured in a new process, MB."""
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
         return pool.submit(resident_after_churn, size).result()
 
--- a/benchmarks/scale/play.py
+++ b/benchmarks/scale/play.py
@@ -1,8 +1,8 @@
-"""Plays with many dispatchers in the emulator: load of workers, service, recovery, broken rules.
+"""Simulation runs with many dispatchers: load of workers, service, recovery, broken rules.
 
-    python -m benchmarks.scale.play --workers 4000 --dispatchers 40 [--whole] [--fault zone|regions]
+    python -m benchmarks.scale.play --workers 4000 --dispatchers 40 [--whole] [--trouble zone|regions]
 
-Jobs are ten times fewer and twice as long as the target's, so that one worker host plays them.
+The load has a tenth of the target fleet's jobs, each twice as long, so that one machine can simulate it.
 """
 
 from __future__ import annotations
@@ -34,26 +34,32 @@
 )
 from elderstall.simulation.world import World
 
-WORK = 20_000.0  # ms, mean: at the target tasks run 8.7 s
-BUSY = 0.43  # of the fleet's slots, at the rate that follows
-WARM = 1.5  # times the mean work, before anything is counted
+MEAN_WORK_MS = 20_000.0  # jobs of the target fleet run 8.7 s
+BUSY_FRACTION = 0.43  # of the fleet's slots; sets the arrival rate
+WARM_UP_FACTOR = 1.5  # duration of the uncounted warm-up, in mean work
 KIND = Kind("box", cores=2, slots=2, queue=4, cold_for=6_000.0, connections=600)
 CLASSES = (
-    ClassLoad(JobClass("batch", 2.0, 10_000.0, 120_000.0, stretch=1.5), 6.0, WORK, 0.5),
+    ClassLoad(JobClass("batch", 2.0, 10_000.0, 120_000.0, stretch=1.5), 6.0, MEAN_WORK_MS, 0.5),
     ClassLoad(
-        JobClass("train", 5.0, 10_000.0, 120_000.0, Effect.NOT_IDEMPOTENT, stretch=1.5), 3.0, WORK, 0.5
+        JobClass("train", 5.0, 10_000.0, 120_000.0, Effect.NOT_IDEMPOTENT, stretch=1.5),
+        3.0,
+        MEAN_WORK_MS,
+        0.5,
     ),
     ClassLoad(
-        JobClass("urgent", 10.0, 4_500.0, 60_000.0, Effect.NOT_IDEMPOTENT, stretch=1.2), 1.0, WORK / 2, 0.5
+        JobClass("urgent", 10.0, 4_500.0, 60_000.0, Effect.NOT_IDEMPOTENT, stretch=1.2),
+        1.0,
+        MEAN_WORK_MS / 2,
+        0.5,
     ),
 )
 
 
 def scenario_of(workers: int, dispatchers: int, seconds: float, unequal: float, fault: str) -> Scenario:
-    """Describe a play; the busiest dispatcher gets up to ``unequal`` times what the idlest does."""
+    """Return a scenario; the busiest dispatcher gets up to ``unequal`` times the least traffic."""
     fleet = tuple(Worker(name_of(n), KIND.name, zone_of(n), n // 4, 1.0) for n in range(workers))
     weights = tuple(unequal ** (n * 0.618034 % 1) for n in range(dispatchers))
-    rate = BUSY * workers * KIND.slots * 1000 / (WORK * 0.95)
+    rate = BUSY_FRACTION * workers * KIND.slots * 1000 / (MEAN_WORK_MS * 0.95)
     length = seconds * 1000
     return Scenario(
         f"{workers} workers, {dispatchers} dispatchers",
@@ -73,17 +79,18 @@
 
 
 def faults_of(fault: str, workers: int, dispatchers: int, length: float) -> tuple[Fault, ...]:
-    """Lose one zone for a third of the play, or cut every region off from the others for a third."""
-    at, lasts = length / 2, length / 3
+    """Return faults for a third of the run: the loss of a zone, or a partition between all regions."""
+    start_ms = length / 2
+    duration_ms = length / 3
     if fault == "zone":
         lost = tuple(name_of(n) for n in range(workers) if n % ZONES == 1)
-        return (Fault("vanish", at, lasts, workers=lost),)
+        return (Fault("vanish", start_ms, duration_ms, workers=lost),)
     if fault == "regions":
         return tuple(
             Fault(
                 "cut-off",
-                at,
-                lasts,
+                start_ms,
+                duration_ms,
                 workers=tuple(name_of(n) for n in range(workers) if n % ZONES % REGIONS != region),
                 dispatchers=tuple(
                     f"n{rank + 1}" for rank in range(dispatchers) if rank % ZONES % REGIONS == region
@@ -94,48 +101,49 @@
     return ()
 
 
-def loads(world: World) -> np.ndarray[Any, Any]:
-    """Give the time that each worker has been busy so far, ms."""
+def busy_times(world: World) -> np.ndarray[Any, Any]:
+    """Return the time that each worker has been busy so far, ms."""
     return np.array([worker_host.model.ledger.busy for worker_host in world.worker_hosts.values()])
 
 
-def recovery(windows: list[dict[str, Any]], at: float, ends: float) -> dict[str, Any]:
-    """Say how deep service of jobs fell, by when they came, and when it was back within 0.02 of the usual.
+def recovery(windows: list[dict[str, Any]], start_s: float, end_s: float) -> dict[str, Any]:
+    """Return the lowest service by arrival time, and when it was within 0.02 of the usual level again.
 
-    Jobs that come less than twice the mean work before the fault still run in it: they are not the usual.
+    Jobs that arrive less than twice the mean work before the fault still run during it, so the usual level
+    leaves them out.
     """
-    told = [w for w in windows if w["service"] is not None]
-    before = [w["service"] for w in told if w["from_s"] + 5 <= at - 2 * WORK / 1000]
+    known = [w for w in windows if w["service"] is not None]
+    before = [w["service"] for w in known if w["from_s"] + 5 <= start_s - 2 * MEAN_WORK_MS / 1000]
     usual = float(np.mean(before)) if before else 1.0
-    after = [w for w in told if w["from_s"] + 5 > at - 2 * WORK / 1000]
+    after = [w for w in known if w["from_s"] + 5 > start_s - 2 * MEAN_WORK_MS / 1000]
     low = [w["from_s"] + 5 for w in after if w["service"] < usual - 0.02]
     return {
         "usual": round(usual, 4),
         "lowest": min((w["service"] for w in after), default=None),
-        "back_after_its_end_s": round(max(low) - ends, 1) if low else 0.0,
+        "back_after_its_end_s": round(max(low) - end_s, 1) if low else 0.0,
     }
 
 
 def play(scenario: Scenario) -> dict[str, Any]:
-    """Play, and give what is asked of it."""
+    """Run a scenario; return its measured values."""
     world = World(scenario, 1)
-    marked: list[np.ndarray[Any, Any]] = []
-    world.loop.at(WARM * WORK, lambda: marked.append(loads(world)))
+    warm_up_busy: list[np.ndarray[Any, Any]] = []
+    world.loop.at(WARM_UP_FACTOR * MEAN_WORK_MS, lambda: warm_up_busy.append(busy_times(world)))
     started = time.process_time()
     figures = world.play()
-    busy = loads(world) - (marked[0] if marked else 0.0)
+    busy = busy_times(world) - (warm_up_busy[0] if warm_up_busy else 0.0)
     views = [
         dispatcher_host.process.engine.view
         for dispatcher_host in world.dispatcher_hosts
         if dispatcher_host.process is not None
     ]
-    held = [len(view.members) if view.subset is not None else len(view.entries) for view in views]
-    fault = min((t.at for t in scenario.faults), default=None)
-    ends = max((t.ends for t in scenario.faults), default=0.0)
+    known_workers = [len(view.members) if view.subset is not None else len(view.entries) for view in views]
+    fault_start = min((fault.at for fault in scenario.faults), default=None)
+    fault_end = max((fault.ends for fault in scenario.faults), default=0.0)
     return {
         "workers": len(scenario.workers),
         "dispatchers": len(views),
-        "in_view": int(np.median(held)),
+        "in_view": int(np.median(known_workers)),
         "requests": figures["requests"],
         "service": figures["service"],
         "broken": figures["rules"]["broken"],
@@ -146,7 +154,9 @@
         "load_largest_over_mean": round(float(busy.max() / busy.mean()), 3),
         "load_p99_over_mean": round(float(np.quantile(busy, 0.99) / busy.mean()), 3),
         "idle_workers": int((busy == 0).sum()),
-        "recovery": None if fault is None else recovery(figures["windows"], fault / 1000, ends / 1000),
+        "recovery": None
+        if fault_start is None
+        else recovery(figures["windows"], fault_start / 1000, fault_end / 1000),
         "widened": sum(0 if view.subset is None else view.subset.widened for view in views),
         "entered": sum(view.counts.entered for view in views),
         "left": sum(view.counts.left for view in views),
@@ -159,12 +169,15 @@
 @click.option("--dispatchers", default=40, show_default=True)
 @click.option("--seconds", default=90.0, show_default=True)
 @click.option(
-    "--unequal", default=6.0, show_default=True, help="Traffic of the busiest dispatcher over the idlest's."
+    "--unequal",
+    default=6.0,
+    show_default=True,
+    help="Traffic of the busiest dispatcher divided by that of the least busy one.",
 )
 @click.option(
     "--trouble", "fault", type=click.Choice(["none", "zone", "regions"]), default="none", show_default=True
 )
-@click.option("--whole", is_flag=True, help="Have dispatchers know all workers.")
+@click.option("--whole", is_flag=True, help="Let dispatchers know all workers.")
 @click.option("--json", "json_path", type=click.Path(path_type=Path))
 def main(
     workers: int,
@@ -175,7 +188,7 @@
     whole: bool,
     json_path: Path | None,
 ) -> None:
-    """Play one size."""
+    """Run one size and print its measured values."""
     if whole:
         know_all_workers()
     result = play(scenario_of(workers, dispatchers, seconds, unequal, fault))
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -1,4 +1,4 @@
-"""Results as tables, JSON and plots."""
+"""Output of the results as tables, JSON and plots."""
 
 from __future__ import annotations
 
@@ -17,59 +17,62 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One measurement over sizes."""
+    """One measurement over several values of the varied parameter."""
 
     measure: str
     unit: str
-    over: str  # what varies
+    over: str  # the varied parameter
     rows: list[Row]
 
     @property
     def slope(self) -> Slope:
-        """Give the line through its medians."""
+        """Return the line fitted to the medians."""
         return slope_of(self.rows)
 
 
 def as_json(series: list[Series]) -> list[dict[str, Any]]:
-    """Write series as plain data."""
+    """Return series as data for JSON."""
     return [
-        {**asdict(s), "medians": [row.median for row in s.rows], "slope": asdict(s.slope)} for s in series
+        {**asdict(item), "medians": [row.median for row in item.rows], "slope": asdict(item.slope)}
+        for item in series
     ]
 
 
 def show(series: list[Series], console: Console) -> None:
-    """Print a table a series, with its slope."""
-    for s in series:
-        table = Table(s.over, f"{s.measure}, {s.unit}", "spread", title=f"{s.measure} over {s.over}")
-        for row in s.rows:
+    """Print one table per series, with its slope."""
+    for item in series:
+        table = Table(
+            item.over, f"{item.measure}, {item.unit}", "spread", title=f"{item.measure} over {item.over}"
+        )
+        for row in item.rows:
             table.add_row(f"{row.size:g}", f"{row.median:.4g}", f"{row.spread:.0%}")
         console.print(table)
-        line = s.slope
-        console.print(f"  {line.base:.4g} + {line.each:.4g} x {s.over}, residual {line.residual:.0%}")
+        slope = item.slope
+        console.print(f"  {slope.base:.4g} + {slope.each:.4g} x {item.over}, residual {slope.residual:.0%}")
 
 
 def plot(series: list[Series], folder: Path) -> None:
-    """Draw a picture a series."""
+    """Write one plot per series to a folder."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     folder.mkdir(parents=True, exist_ok=True)
-    for s in series:
+    for item in series:
         figure, axes = pyplot.subplots()
-        sizes = [row.size for row in s.rows]
-        medians = [row.median for row in s.rows]
-        spans = [
-            [row.median - min(row.values) for row in s.rows],
-            [max(row.values) - row.median for row in s.rows],
+        sizes = [row.size for row in item.rows]
+        medians = [row.median for row in item.rows]
+        error_bars = [
+            [row.median - min(row.values) for row in item.rows],
+            [max(row.values) - row.median for row in item.rows],
         ]
-        axes.errorbar(sizes, medians, yerr=spans, marker="o")
-        axes.plot(sizes, [s.slope.base + s.slope.each * size for size in sizes], linestyle=":")
-        axes.set(xlabel=s.over, ylabel=s.unit, title=s.measure, ylim=(0, None))
-        picture = io.BytesIO()
-        figure.savefig(picture, format="png")
-        write_bytes_atomically(folder / f"{s.measure}-{s.over}.png", picture.getvalue())
+        axes.errorbar(sizes, medians, yerr=error_bars, marker="o")
+        axes.plot(sizes, [item.slope.base + item.slope.each * size for size in sizes], linestyle=":")
+        axes.set(xlabel=item.over, ylabel=item.unit, title=item.measure, ylim=(0, None))
+        image = io.BytesIO()
+        figure.savefig(image, format="png")
+        write_bytes_atomically(folder / f"{item.measure}-{item.over}.png", image.getvalue())
         pyplot.close(figure)
 
 
--- a/benchmarks/scale/restarts.py
+++ b/benchmarks/scale/restarts.py
@@ -1,8 +1,8 @@
-"""How long processes take to be ready when many start together, on the machine as it is.
+"""Time until processes are ready when many start at once, on the current machine.
 
     python -m benchmarks.scale.restarts [--count 30] [--workers 200]
 
-Ready is the line that says where the program listens. Nothing is checked: the figures are for the pages.
+A process is ready when it logs the address that it listens on. The command only reports; it checks no limit.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 import numpy as np
 
 from benchmarks.scale.fleets import list_text
-from benchmarks.scale.settings import raw_of
+from benchmarks.scale.settings import config_object
 
 ROOT = Path(__file__).resolve().parents[2]
-READY = " start "
+READY_LOG_CODE = " start "
 
 
-def ready_after(folder: Path, text: str, began: float) -> float:
-    """Start one process, wait until it is ready, end it; gives the seconds since all were started."""
+def seconds_until_ready(folder: Path, config_text: str, started_at: float) -> float:
+    """Start one process, wait until it is ready and kill it; return the seconds since ``started_at``."""
     folder.mkdir()
     config = folder / "config.json"
-    config.write_text(text)
+    config.write_text(config_text)
     env = {**os.environ, "RELAY_CONFIG": str(config), "TMPDIR": str(folder)}
     command = [sys.executable, "-m", "elderstall"]
     program = subprocess.Popen(command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
     assert program.stderr is not None
     try:
         for line in program.stderr:
-            if READY in line:
-                return time.monotonic() - began
-        raise RuntimeError("a process ended before it was ready")
+            if READY_LOG_CODE in line:
+                return time.monotonic() - started_at
+        raise RuntimeError("a process ended before it was ready; the measurement stops")
     finally:
         program.kill()
         program.wait()
@@ -48,19 +48,22 @@
 
 @click.command(help=__doc__)
 @click.option("--count", default=30, show_default=True)
-@click.option("--workers", default=200, show_default=True, help="In the list known at the start.")
+@click.option("--workers", default=200, show_default=True, help="Workers in the list of the configuration.")
 def main(count: int, workers: int) -> None:
-    """Start them and print the quantiles."""
-    raw = {**raw_of(10, 3), "known": json.loads(list_text(workers))}
+    """Start the processes and print quantiles of the time until they are ready."""
+    config = {**config_object(10, 3), "known": json.loads(list_text(workers))}
     with TemporaryDirectory() as folder, ThreadPoolExecutor(count) as pool:
-        began = time.monotonic()
-        waits = [pool.submit(ready_after, Path(folder, str(n)), json.dumps(raw), began) for n in range(count)]
-        seconds = [wait.result() for wait in waits]
-    half, most, last = np.quantile(seconds, [0.5, 0.9, 1.0])
+        started_at = time.monotonic()
+        starts = [
+            pool.submit(seconds_until_ready, Path(folder, str(n)), json.dumps(config), started_at)
+            for n in range(count)
+        ]
+        seconds = [start.result() for start in starts]
+    median, p90, maximum = np.quantile(seconds, [0.5, 0.9, 1.0])
     load = os.getloadavg()[0]
     click.echo(
-        f"{count} processes: half ready after {half:.2f} s, nine in ten {most:.2f} s, all {last:.2f} s; "
-        f"load of the machine {load:.1f} on {os.cpu_count()} cores"
+        f"{count} processes: half ready after {median:.2f} s, 90 % after {p90:.2f} s, "
+        f"all after {maximum:.2f} s; load average {load:.1f} on {os.cpu_count()} cores"
     )
 
 
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -1,4 +1,4 @@
-"""What a configuration costs as teams and classes grow: its bytes, reading it, taking it, figures told.
+"""Cost of a configuration by the number of teams and classes: its size, parsing, applying, and the figures.
 
 python -m benchmarks.scale.settings [--teams 0,100,1000] [--classes 3]
 """
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from benchmarks.scale.fleets import entries
-from benchmarks.scale.hollow import HollowDispatcher, settings_of
+from benchmarks.scale.hollow import DispatcherHarness, settings_of
 from benchmarks.scale.measures import cpu_ms
 from elderstall.config import config_of
 from elderstall.net.console import figures_text
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one configuration costs."""
+    """Sizes and times of one configuration."""
 
     teams: int
-    size: int  # bytes
-    reading: float  # ms
-    taking: float  # ms, by the core and module with 1,000 workers
-    figures: int  # bytes
+    config_bytes: int
+    parsing_ms: float
+    applying_ms: float  # by the engine and the decisions with 1,000 workers
+    figures_bytes: int
 
 
-def raw_of(teams: int, classes: int) -> dict[str, Any]:
-    """Write a platform's object."""
+def config_object(teams: int, classes: int) -> dict[str, Any]:
+    """Return the configuration of a dispatcher as parsed JSON."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -56,27 +56,31 @@
     }
 
 
-def cost_of(teams: int, classes: int) -> Cost:
-    """Measure one size."""
-    text = json.dumps(raw_of(teams, classes))
+def measure_cost(teams: int, classes: int) -> Cost:
+    """Return the cost of a configuration with so many teams and classes."""
+    text = json.dumps(config_object(teams, classes))
     settings = settings_of(230, teams, classes)
-    dispatcher = HollowDispatcher(settings, entries(WORKERS))
-    reading = min(cpu_ms(lambda: config_of(json.loads(text), {})) for _ in range(REPEATS))
-    taking = min(
+    dispatcher = DispatcherHarness(settings, entries(WORKERS))
+    parsing_ms = min(cpu_ms(lambda: config_of(json.loads(text), {})) for _ in range(REPEATS))
+    applying_ms = min(
         cpu_ms(lambda: dispatcher.engine.change_settings(settings, 8.0, 1_000)) for _ in range(REPEATS)
     )
-    return Cost(teams, len(text), reading, taking, len(figures_text(dispatcher.engine.figures())))
+    return Cost(teams, len(text), parsing_ms, applying_ms, len(figures_text(dispatcher.engine.figures())))
 
 
 @click.command(help=__doc__)
 @click.option("--teams", default="0,100,1000", show_default=True)
 @click.option("--classes", default=3, show_default=True)
 def main(teams: str, classes: int) -> None:
-    """Measure some sizes."""
+    """Print a table of the cost by the number of teams."""
     table = Table("teams", "bytes", "read, ms", "taken, ms", "figures, bytes")
-    for cost in (cost_of(int(n), classes) for n in teams.split(",")):
+    for cost in (measure_cost(int(n), classes) for n in teams.split(",")):
         table.add_row(
-            f"{cost.teams}", f"{cost.size}", f"{cost.reading:.2f}", f"{cost.taking:.2f}", f"{cost.figures}"
+            f"{cost.teams}",
+            f"{cost.config_bytes}",
+            f"{cost.parsing_ms:.2f}",
+            f"{cost.applying_ms:.2f}",
+            f"{cost.figures_bytes}",
         )
     Console().print(table)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.cli import main
 from benchmarks.scale.fit import Row, slope_of
 from benchmarks.scale.fleets import EPOCH, entry, list_text, replacements
-from benchmarks.scale.hollow import HollowDispatcher, settings_of
+from benchmarks.scale.hollow import DispatcherHarness, settings_of
 from benchmarks.scale.measures import Size, churned, dispatcher_of
 from elderstall.decisions.records import Worker
 from elderstall.interface import Actions, EndpointListUpdate, Event, ListScope, WorkerState
@@ -100,13 +100,13 @@
         settings = settings_of(dispatchers)
         if not reports:
             settings = replace(settings, probes=False, report_free_slots=None)
-        dispatcher = HollowDispatcher(settings, tuple(entry(n) for n in range(workers)))
+        dispatcher = DispatcherHarness(settings, tuple(entry(n) for n in range(workers)))
         for second in range(25):
             dispatcher.load(40, 40.0)
             joining = replace(entry(workers + second), started=EPOCH + dispatcher.loop.now)
             leaving = entry(7 * second, WorkerState.GONE)
             dispatcher.engine.endpoints.take(ListScope.CHANGES, (leaving, joining))
-        return len(dispatcher.carrier.reached)
+        return len(dispatcher.transport.reached)
 
     def test_jobs_reach_at_most_twice_the_workers_of_a_usual_fleet(self) -> None:
         for reports in (True, False):
@@ -120,7 +120,7 @@
     """The program over sockets with minimal workers: its counts at a small size."""
 
     def test_counted_resources(self) -> None:
-        play = larger.Play(workers=6, dispatchers=3, seconds=2.2, rate=30.0)
+        play = larger.Run(workers=6, dispatchers=3, seconds=2.2, rate=30.0)
         needs = larger.measure(play)
         self.assertGreater(needs.jobs, 30)
         self.assertEqual(needs.jobs, needs.served)
@@ -131,22 +131,22 @@
         self.assertGreater(min(needs.cpu, needs.memory, needs.descriptors), 0)
 
     def test_allowed_resources(self) -> None:
-        usual = larger.Needs(
+        usual = larger.Usage(
             cpu=2.0, memory=36.0, descriptors=80, connections=100, list_bytes=40_000, jobs=100, served=100
         )
-        limits = larger.allowed(usual, 3_200)
+        limits = larger.limits_from(usual, 3_200)
         self.assertAlmostEqual(2.8 + 0.02 + 0.384, limits["cpu"])
         self.assertAlmostEqual(54 + 8 + 12.8, limits["memory"])
         self.assertEqual((200, 290), (limits["descriptors"], limits["connections"]))
         self.assertEqual(80e3 + 64e3 + 1_600e3, limits["list_bytes"])
-        needs = larger.Needs(cpu=3.3, memory=44.0, descriptors=200, connections=291, jobs=100, served=84)
-        self.assertEqual(["cpu", "connections", "share"], larger.over(needs, limits))
+        needs = larger.Usage(cpu=3.3, memory=44.0, descriptors=200, connections=291, jobs=100, served=84)
+        self.assertEqual(["cpu", "connections", "share"], larger.exceeded(needs, limits))
 
 
 class StateAfterChurn(unittest.TestCase):
     """State does not grow with the duration of churn."""
 
-    def container_sizes(self, dispatcher: HollowDispatcher) -> Counter[str]:
+    def container_sizes(self, dispatcher: DispatcherHarness) -> Counter[str]:
         view = dispatcher.engine.view
         return Counter(
             listed=len(view.entries),
@@ -194,7 +194,7 @@
 class SubsettingMethods(unittest.TestCase):
     def test_the_ring_is_more_even_than_rendezvous_hashing_and_moves_less_than_an_aperture(self) -> None:
         ring, aperture, rendezvous = (
-            subsets.compare(subsets.WAYS[name], 2_000, 100, 200)
+            subsets.compare(subsets.METHODS[name], 2_000, 100, 200)
             for name in ("ring", "deterministic aperture", "rendezvous hashing")
         )
         self.assertLess(ring["largest over mean"], 0.8 * rendezvous["largest over mean"])
