--- a/elderstall/simulation/attempt.py
+++ b/elderstall/simulation/attempt.py
@@ -26,11 +26,11 @@
 class UpstreamAudit(Protocol):
     """The auditor's methods that the transport calls."""
 
-    def sent(self, attempt: SimulatedAttempt) -> None:
+    def check_attempt(self, attempt: SimulatedAttempt) -> None:
         """Check that the rules permit this attempt."""
 
-    def abandoned(self, attempt: SimulatedAttempt) -> None:
-        """Record that a dispatcher no longer waits for an attempt."""
+    def record_abandoned(self, attempt: SimulatedAttempt) -> None:
+        """Record that a dispatcher has cancelled an attempt; the worker may not have confirmed it yet."""
 
 
 class UpstreamTally(Protocol):
@@ -48,7 +48,7 @@
     loop: VirtualTime
 
     @property
-    def worker_hosts(self) -> Mapping[str, TargetHost]:
+    def worker_hosts(self) -> Mapping[str, UpstreamWorkerHost]:
         """The worker hosts by name."""
 
     @property
@@ -59,18 +59,18 @@
     def tally(self) -> UpstreamTally:
         """The counts."""
 
-    def reaches(self, upstream: AttemptTransport, worker_host: TargetHost) -> bool:
+    def reaches(self, upstream: AttemptTransport, worker_host: UpstreamWorkerHost) -> bool:
         """Return whether messages between them are delivered at present."""
 
 
-class TargetContext(Protocol):
-    """The parts of the simulation that connections use."""
+class LinkContext(Protocol):
+    """The parts of the simulation that a connection uses."""
 
     loop: VirtualTime
 
 
-class TargetHost(Protocol):
-    """The interface of a worker host that connections and attempts use."""
+class UpstreamWorkerHost(Protocol):
+    """A worker host, as the transport, its connections and attempts use it."""
 
     spec: Worker
     kind: Kind
@@ -79,7 +79,7 @@
     silent_faults: int
 
     @property
-    def world(self) -> TargetContext:
+    def world(self) -> LinkContext:
         """The simulation that this belongs to."""
 
     @property
@@ -105,18 +105,18 @@
         """Return the newest load report whose delay has passed; empty if there is none."""
 
 
-class OwnerHost(Protocol):
+class UpstreamDispatcherHost(Protocol):
     """The dispatcher host, as the transport uses it."""
 
     name: str
     rank: int
 
     @property
-    def process(self) -> UpstreamOwner | None:
+    def process(self) -> UpstreamDispatcherProcess | None:
         """Return the process that runs there, if any."""
 
 
-class UpstreamOwner(Protocol):
+class UpstreamDispatcherProcess(Protocol):
     """The dispatcher process, as the transport uses it."""
 
     alive: bool
@@ -128,7 +128,7 @@
         """The simulation that this belongs to."""
 
     @property
-    def dispatcher_host(self) -> OwnerHost:
+    def dispatcher_host(self) -> UpstreamDispatcherHost:
         """Return the host that it runs on."""
 
     def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
@@ -138,16 +138,16 @@
 class AttemptTransport(Protocol):
     """The transport of attempts, as connections and attempts use it."""
 
-    process: UpstreamOwner
+    process: UpstreamDispatcherProcess
     loop: VirtualTime
     network: Network
-    count: int
-    opening: int
+    connection_count: int
+    opening_count: int
 
-    def new_link(self, worker_host: TargetHost) -> Link:
+    def new_link(self, worker_host: UpstreamWorkerHost) -> Link:
         """Return a new connection to a worker host."""
 
-    def take_idle_link(self, worker_host: TargetHost) -> Link | None:
+    def take_idle_link(self, worker_host: UpstreamWorkerHost) -> Link | None:
         """Remove and return the newest idle connection, if there is one."""
 
     def keep_idle(self, link: Link) -> None:
@@ -156,7 +156,7 @@
     def remove_from_pool(self, link: Link) -> None:
         """Remove a closed connection from its pool."""
 
-    def drop_idle_to(self, worker_host: TargetHost) -> None:
+    def drop_idle_to(self, worker_host: UpstreamWorkerHost) -> None:
         """Close the idle connections to a worker host."""
 
     def called_back(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
@@ -169,7 +169,7 @@
 class Link:
     """One connection between a dispatcher and a worker host."""
 
-    def __init__(self, upstream: AttemptTransport, worker_host: TargetHost, number: int) -> None:
+    def __init__(self, upstream: AttemptTransport, worker_host: UpstreamWorkerHost, number: int) -> None:
         self.upstream = upstream
         self.worker_host = worker_host
         self.number = number
@@ -182,7 +182,7 @@
         """Close the connection at both ends at once."""
         if self.open:
             self.open = False
-            self.upstream.count -= 1
+            self.upstream.connection_count -= 1
             self.worker_host.links.discard(self)
             self.worker_host.model.connections = len(self.worker_host.links)
             self.upstream.remove_from_pool(self)
@@ -201,18 +201,19 @@
     def __init__(
         self,
         upstream: AttemptTransport,
-        worker_host: TargetHost,
+        worker_host: UpstreamWorkerHost,
         job_request: JobRequest,
         number: int,
         ends: float,
-        note: Callable[[float, str], None],
+        on_progress: Callable[[float, str], None],
     ) -> None:
         self.upstream = upstream
         self.worker_host = worker_host
         self.job_request = job_request
         self.number = number
-        self.ends = ends
-        self.note = note
+        self.ends = ends  # the deadline on the loop's clock, ms
+        self.on_progress = on_progress
+        # Fires with the outcome, or None if the worker accepted the job.
         self.done: Deferred[Outcome | None] = Deferred(self.abandon)
         self.link: Link | None = None
         self.written = self.over = False
@@ -245,7 +246,10 @@
     # ---- connecting ----
 
     def begin(self) -> None:
-        """Start on the newest idle connection, or open a new one."""
+        """Start on the newest idle connection, or open a new one.
+
+        At the limit on connections the attempt ends as unreachable. Polls open connections past that limit.
+        """
         upstream = self.upstream
         loop = self.upstream.loop
         network = self.upstream.network
@@ -254,10 +258,10 @@
         )
         link = upstream.take_idle_link(self.worker_host)
         if link is None:
-            if upstream.count + upstream.opening >= network.worker_connections:
+            if upstream.connection_count + upstream.opening_count >= network.worker_connections:
                 self.finish(Outcome(Ending.UNREACHABLE))
                 return
-            upstream.opening += 1
+            upstream.opening_count += 1
             self.timers.append(loop.after(network.connect_timeout, self.refused))
         # The limit on the worker's confirmation runs from the start, as it does on sockets.
         self.timers.append(loop.after(network.connect_timeout * timeout_factor, self.accept_timed_out))
@@ -270,15 +274,15 @@
     def refused(self) -> None:
         """Handle a connection that was refused or timed out."""
         if not self.over and self.link is None:
-            self.upstream.opening -= 1
+            self.upstream.opening_count -= 1
             self.finish(Outcome(Ending.UNREACHABLE, worker_unreachable=True))
 
     def connected(self, link: Link) -> None:
-        """Handle the opened connection; it is closed if the attempt is over."""
+        """Handle the opened connection: write the job on it, or close it if the attempt is over."""
         if self.over:
             link.close()
             return
-        self.upstream.opening -= 1
+        self.upstream.opening_count -= 1
         self.timers[0].stop()
         if not link.open:
             self.finish(Outcome(Ending.UNREACHABLE))
@@ -326,7 +330,7 @@
         return Ending.STALE_CONNECTION if broke_soon and self.idle_before_ms > 0 else Ending.BROKEN
 
     def accept_timed_out(self) -> None:
-        """Abandon an attempt not confirmed in time; the worker's idle connections may be as dead."""
+        """Abandon an attempt not confirmed in time; the worker's idle connections may be lost too."""
         if not self.over:
             self.upstream.drop_idle_to(self.worker_host)
             ending = Ending.BROKEN if self.written else Ending.UNREACHABLE
@@ -339,14 +343,18 @@
             self.over = True
             for timer in self.timers:
                 timer.stop()
-            self.upstream.process.world.audit.abandoned(self)
+            self.upstream.process.world.audit.record_abandoned(self)
             self.close_link()
 
     def close_link(self) -> None:
-        """Close the attempt's connection; the worker host treats that as a cancellation."""
+        """Close the attempt's connection, which cancels a written job at a reachable worker host.
+
+        Without a connection, an attempt that was not written is only removed from the count of connections
+        being opened; one whose connection is back in the pool, or lost, is left as it is.
+        """
         if self.link is None:
             if not self.written:
-                self.upstream.opening -= 1
+                self.upstream.opening_count -= 1
             return
         link = self.link
         self.link = None
--- a/elderstall/simulation/audit.py
+++ b/elderstall/simulation/audit.py
@@ -28,7 +28,7 @@
 from elderstall.simulation.scenario import EPOCH, Rules
 
 if TYPE_CHECKING:
-    from elderstall.simulation.attempt import SimulatedAttempt, TargetHost, UpstreamOwner
+    from elderstall.simulation.attempt import SimulatedAttempt, UpstreamDispatcherProcess, UpstreamWorkerHost
     from elderstall.simulation.dispatcher_host import Process
     from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.requests import Request, Try
@@ -70,7 +70,7 @@
 
     deadline: float
     request: Request
-    sent: list[AttemptRecord] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
 
 
 def history_lines(request: Request) -> list[str]:
@@ -89,7 +89,7 @@
         self.open_tries: dict[str, TryRecord] = {}
         self.states: dict[int, dict[str, tuple[bool, float]]] = {}  # by process id and worker: up, since when
         self.starts: dict[int, dict[str, float | None]] = {}
-        self.taken_count = self.answered_count = self.dropped_count = self.left_count = 0
+        self.received_count = self.answered_count = self.dispatcher_ended_count = self.client_left_count = 0
 
     # ---- history ----
 
@@ -126,7 +126,7 @@
             if up:
                 starts[entry.worker] = entry.started
 
-    def is_informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
+    def is_informed(self, process: UpstreamDispatcherProcess, worker_host: WorkerHost) -> bool:
         """Return whether a dispatcher had been notified of a worker's latest start."""
         if worker_host.model.started is None:
             return True
@@ -144,9 +144,9 @@
 
     # ---- a try ----
 
-    def taken(self, client_try: Try) -> None:
-        """Record that a dispatcher has accepted a try."""
-        self.taken_count += 1
+    def record_received(self, client_try: Try) -> None:
+        """Record that a try has reached a dispatcher, which may still reject it."""
+        self.received_count += 1
         self.open_tries[client_try.request_id] = TryRecord(client_try.deadline, client_try.request)
         dispatcher_host = client_try.process.dispatcher_host.name if client_try.process is not None else "?"
         load = client_try.request.load
@@ -156,8 +156,8 @@
             f"{client_try.deadline - self.loop.now:.0f} ms left",
         )
 
-    def sent(self, attempt: SimulatedAttempt) -> None:
-        """Check that the rules permit this attempt."""
+    def check_attempt(self, attempt: SimulatedAttempt) -> None:
+        """Check that the rules permit this attempt; called before it is sent, even if nothing can be sent."""
         client_try = attempt.client_try
         request = attempt.job
         worker = attempt.worker_host.name
@@ -166,11 +166,11 @@
         if try_record is None:
             self.record_violation(1, f"attempt for {client_try.request_id}, which is answered", request)
             return
-        if any(record.outstanding for record in try_record.sent):
+        if any(record.outstanding for record in try_record.attempts):
             self.record_violation(2, f"second copy of {client_try.request_id} at {worker}", request)
         cls = request.load.cls
         now = self.loop.now
-        for earlier in try_record.sent:
+        for earlier in try_record.attempts:
             if earlier.proven_unrun or cls.effect is Effect.IDEMPOTENT:
                 continue
             if cls.effect is Effect.NOT_IDEMPOTENT:
@@ -188,10 +188,11 @@
                     f"{client_try.request_id} of {cls.name} sent to {worker}, where a repeat is not dropped",
                     request,
                 )
-        if len(try_record.sent) >= self.rules.max_attempts:
+        if len(try_record.attempts) >= self.rules.max_attempts:
             self.record_violation(
-                2, f"attempt {len(try_record.sent) + 1} of {client_try.request_id}", request
+                2, f"attempt {len(try_record.attempts) + 1} of {client_try.request_id}", request
             )
+        # A worker that was never listed counts as gone for longer than any grace.
         up, since = self.states.get(id(attempt.upstream.process), {}).get(worker, (False, -1e18))
         if not up and now - since > self.rules.drain_grace:
             self.record_violation(
@@ -201,10 +202,12 @@
                 request,
             )
         spec = attempt.worker_host.spec
-        try_record.sent.append(AttemptRecord(worker, spec.zone, spec.cell, now, attempt.number))
+        try_record.attempts.append(AttemptRecord(worker, spec.zone, spec.cell, now, attempt.number))
 
     @staticmethod
-    def shares_deduplication(job_class: JobClass, earlier: AttemptRecord, worker_host: TargetHost) -> bool:
+    def shares_deduplication(
+        job_class: JobClass, earlier: AttemptRecord, worker_host: UpstreamWorkerHost
+    ) -> bool:
         """Return whether a worker host drops a repeat of an earlier attempt."""
         spec = worker_host.spec
         if job_class.scope is DeduplicationScope.ALL:
@@ -228,30 +231,30 @@
                 request,
             )
 
-    def ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
+    def record_ending(self, attempt: SimulatedAttempt, ending: Ending) -> None:
         """Record how an attempt ended, as its dispatcher knows."""
         self.note(attempt.job, f"attempt {attempt.number} at {attempt.worker_host.name}: {ending.value}")
-        sent = self.find(attempt)
-        if sent is not None and sent.outstanding:
-            sent.outstanding = False
-            sent.proven_unrun = ending in NEVER_RAN
+        attempt_record = self.find_record(attempt)
+        if attempt_record is not None and attempt_record.outstanding:
+            attempt_record.outstanding = False
+            attempt_record.proven_unrun = ending in NEVER_RAN
 
-    def abandoned(self, attempt: SimulatedAttempt) -> None:
-        """Record that a dispatcher no longer waits for an attempt."""
+    def record_abandoned(self, attempt: SimulatedAttempt) -> None:
+        """Record that a dispatcher has cancelled an attempt; the worker may not have confirmed it yet."""
         self.note(attempt.job, f"attempt {attempt.number} at {attempt.worker_host.name}: given up")
-        sent = self.find(attempt)
-        if sent is not None and sent.outstanding:
-            sent.outstanding = False
-            sent.proven_unrun = not attempt.written
+        attempt_record = self.find_record(attempt)
+        if attempt_record is not None and attempt_record.outstanding:
+            attempt_record.outstanding = False
+            attempt_record.proven_unrun = not attempt.written
 
-    def find(self, attempt: SimulatedAttempt) -> AttemptRecord | None:
+    def find_record(self, attempt: SimulatedAttempt) -> AttemptRecord | None:
         """Return the record of an attempt, or None once its try is answered."""
         try_record = self.open_tries.get(attempt.client_try.request_id)
         if try_record is None:
             return None
-        return next((record for record in try_record.sent if record.number == attempt.number), None)
+        return next((record for record in try_record.attempts if record.number == attempt.number), None)
 
-    def answered(self, client_try: Try, answer: Answer) -> None:
+    def check_answer(self, client_try: Try, answer: Answer) -> None:
         """Check a final answer against the rules."""
         request = client_try.request
         now = self.loop.now
@@ -269,7 +272,7 @@
                 1, f"{client_try.request_id} answered {late:.0f} ms past its deadline", request
             )
         if isinstance(answer, Rejected) and request.load.cls.effect is not Effect.IDEMPOTENT:
-            possibly_run = [r.worker for r in try_record.sent if r.outstanding or not r.proven_unrun]
+            possibly_run = [r.worker for r in try_record.attempts if r.outstanding or not r.proven_unrun]
             if possibly_run and not (
                 request.load.cls.effect is Effect.IDEMPOTENCY_KEY
                 and request.load.cls.scope is DeduplicationScope.ALL
@@ -283,15 +286,15 @@
         if isinstance(answer, Served) and client_try.served_by is None:
             self.record_violation(1, f"{client_try.request_id} served with what no worker made", request)
 
-    def left(self, client_try: Try) -> None:
+    def record_client_left(self, client_try: Try) -> None:
         """Record that a client has left; its try needs no answer."""
-        self.left_count += 1
+        self.client_left_count += 1
         self.note(client_try.request, f"try {client_try.number}: the client has left")
         self.open_tries.pop(client_try.request_id, None)
 
-    def dropped(self, client_try: Try) -> None:
+    def record_dispatcher_ended(self, client_try: Try) -> None:
         """Record that a dispatcher ended before it answered a try; rule 1 no longer applies."""
-        self.dropped_count += 1
+        self.dispatcher_ended_count += 1
         self.note(client_try.request, f"try {client_try.number}: the dispatcher is gone")
         self.open_tries.pop(client_try.request_id, None)
 
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -11,7 +11,14 @@
 from elderstall.client.policy import Answer as Reply
 from elderstall.messages import Answer, Failed, Rejected, Served
 from elderstall.simulation.draws import Choice, Draws
-from elderstall.simulation.requests import Request, ServedAttempt, ServingHost, Try, TryAudit, TryContext
+from elderstall.simulation.requests import (
+    ClientDispatcherHost,
+    Request,
+    ServedAttempt,
+    Try,
+    TryAudit,
+    TryContext,
+)
 from elderstall.simulation.scenario import Scenario, Traffic
 
 if TYPE_CHECKING:
@@ -21,10 +28,10 @@
 class ClientAudit(TryAudit, Protocol):
     """The auditor's methods that clients call."""
 
-    def taken(self, client_try: Try) -> None:
-        """Record that a dispatcher has accepted a try."""
+    def record_received(self, client_try: Try) -> None:
+        """Record that a try has reached a dispatcher, which may still reject it."""
 
-    def left(self, client_try: Try) -> None:
+    def record_client_left(self, client_try: Try) -> None:
         """Record that a client has left."""
 
 
@@ -83,7 +90,7 @@
         self.library = Library(self) if self.spec.policy == "library" else None
         self.delay_factors = draws.lognormal_factors(self.scenario.network.jitter, "client", "hops")
 
-    def begin(self, dispatcher_hosts: Sequence[ServingHost]) -> None:
+    def begin(self, dispatcher_hosts: Sequence[ClientDispatcherHost]) -> None:
         """Start the arrivals at every dispatcher, in proportion to the weights."""
         total = sum(dispatcher_host.weight for dispatcher_host in dispatcher_hosts)
         for dispatcher_host in dispatcher_hosts:
@@ -93,7 +100,7 @@
 
     def add_arrivals(
         self,
-        dispatcher_hosts: Sequence[ServingHost],
+        dispatcher_hosts: Sequence[ClientDispatcherHost],
         factor: float,
         ramp: float,
         at: float,
@@ -109,7 +116,7 @@
 
     # ---- a request ----
 
-    def arrive(self, dispatcher_host: ServingHost, source: Arrivals) -> None:
+    def arrive(self, dispatcher_host: ClientDispatcherHost, source: Arrivals) -> None:
         """Create a request from its source's random streams, and send it."""
         world = self.world
         now = self.world.loop.now
@@ -136,17 +143,17 @@
             * (request.work * request.slots if rules.worth_by_work else 1.0)
             * (1.0 if request.within_quota else rules.over_share_worth)
         )
-        habits = self.spec
-        request.honours_advice = next(source.habits) < habits.honour
-        request.retries = int(habits.retries) + (next(source.habits) < habits.retries % 1)
-        if next(source.habits) < habits.impatient:
-            request.leaves_at = now + next(source.habits) * load.cls.deadline
+        spec = self.spec
+        request.honours_advice = next(source.behaviour_draws) < spec.honour
+        request.retries = int(spec.retries) + (next(source.behaviour_draws) < spec.retries % 1)
+        if next(source.behaviour_draws) < spec.impatient:
+            request.leaves_at = now + next(source.behaviour_draws) * load.cls.deadline
         self.open[request.number] = request
         world.tally.count_request(request)
         if self.count == world.explain:
             world.explained = request
         if request.leaves_at < request.deadline:
-            world.loop.at(request.leaves_at, self.leave, request)
+            world.loop.at(request.leaves_at, self.disconnect, request)
         if self.library is not None:
             self.library.begin(request)
         else:
@@ -173,11 +180,11 @@
         request.current = client_try
         delay = self.delay()
         if delay > 0:
-            self.world.loop.after(delay, self.reach, client_try)
+            self.world.loop.after(delay, self.deliver, client_try)
         else:
-            self.reach(client_try)
+            self.deliver(client_try)
 
-    def reach(self, client_try: Try) -> None:
+    def deliver(self, client_try: Try) -> None:
         """Deliver a try to its dispatcher, if one accepts jobs."""
         request = client_try.request
         dispatcher_host = client_try.request.dispatcher_host
@@ -186,51 +193,51 @@
             return
         assert dispatcher_host is not None
         process = dispatcher_host.process
-        if process is not None and dispatcher_host.process_count > 1 and not client_try.rejoined:
-            # After a restart each client reconnects at a random time.
-            client_try.rejoined = True
+        if process is not None and dispatcher_host.process_count > 1 and not client_try.has_drawn_reconnect:
+            # After a restart each try first waits until a random reconnection time; a retry draws a new one.
+            client_try.has_drawn_reconnect = True
             back = dispatcher_host.process_started_at + self.spec.reconnect * next(self.reconnect_delays)
             if back > world.loop.now:
-                world.loop.at(min(back, request.deadline), self.reach, client_try)
+                world.loop.at(min(back, request.deadline), self.deliver, client_try)
                 return
         if process is None or process.leaving or world.loop.now >= request.deadline:
             client_try.over = True
-            self.unreachable(client_try, taken=False)
+            self.unreachable(client_try, accepted=False)
             return
         client_try.process = process
         world.tally.tries += 1
-        world.audit.taken(client_try)
+        world.audit.record_received(client_try)
         if not process.accept(client_try, max(0.0, request.deadline - world.loop.now)):
             client_try.answered(Rejected())
 
-    def heard(self, client_try: Try, answer: Answer) -> None:
+    def handle_answer(self, client_try: Try, answer: Answer) -> None:
         """Handle the answer: close the request or schedule a retry."""
         request = client_try.request
-        now = self.world.loop.now + self.delay()
+        received_at = self.world.loop.now + self.delay()
         if request.ended is not None:
             return
         if self.library is not None and not isinstance(answer, Served):
-            self.library.answered(request, answer, now)
+            self.library.answered(request, answer, received_at)
         elif isinstance(answer, Served):
-            in_time = now <= request.latency_objective_at
+            in_time = received_at <= request.latency_objective_at
             if client_try.served_by is not None:
                 self.world.tally.useful(client_try.served_by)
-            self.close(request, "served" if in_time else "late", now)
+            self.close(request, "served" if in_time else "late", received_at)
         elif isinstance(answer, Rejected):
-            self.retry(request, now, answer.retry_after, "refused")
+            self.retry(request, received_at, answer.retry_after, "refused")
         elif request.safe:
-            self.retry(request, now, 0.0, "timed out" if answer.timed_out else "failed")
+            self.retry(request, received_at, 0.0, "timed out" if answer.timed_out else "failed")
         else:
-            self.close(request, "timed out" if answer.timed_out else "failed", now)
+            self.close(request, "timed out" if answer.timed_out else "failed", received_at)
 
-    def unreachable(self, client_try: Try, *, taken: bool) -> None:
+    def unreachable(self, client_try: Try, *, accepted: bool) -> None:
         """Handle a dispatcher that is absent or has ended; a try that it had accepted may have run."""
         request = client_try.request
         if request.ended is not None:
             return
         if self.library is not None:
-            self.library.lost(request, unsent=not taken)
-        elif not taken or request.safe:
+            self.library.lost(request, unsent=not accepted)
+        elif not accepted or request.safe:
             self.retry(request, self.world.loop.now, 0.0, "unreachable")
         else:
             self.close(request, "lost", self.world.loop.now)
@@ -251,7 +258,7 @@
         self.world.tally.retries += 1
         self.world.loop.at(now + wait, self.send, request)
 
-    def leave(self, request: Request) -> None:
+    def disconnect(self, request: Request) -> None:
         """Disconnect before the answer, and notify the dispatcher."""
         if request.ended is None:
             self.close(request, "left", self.world.loop.now)
@@ -263,8 +270,8 @@
                 and client_try.process.alive
             ):
                 client_try.over = True
-                self.world.audit.left(client_try)
-                client_try.process.engine.client_disconnected(client_try.job)
+                self.world.audit.record_client_left(client_try)
+                client_try.process.engine.client_disconnected(client_try.engine_job_id)
                 client_try.process.answered.append(client_try.request_id)
 
     def close(self, request: Request, ending: str, at: float) -> None:
@@ -342,7 +349,7 @@
     def __init__(
         self,
         clients: Clients,
-        dispatcher_host: ServingHost,
+        dispatcher_host: ClientDispatcherHost,
         rate: float,
         name: str,
         at: float = 0.0,
@@ -373,7 +380,7 @@
         ]
         self.slots = [Choice(c.slots, draws.uniform("slots", c.cls.name, *words)) for c in scenario.classes]
         self.tail = draws.uniform("tail", *words)
-        self.habits = draws.uniform("habits", *words)
+        self.behaviour_draws = draws.uniform("habits", *words)
         self.tenant = Choice([t.share for t in scenario.tenants] or [1.0], draws.uniform("tenant", *words))
         self.max_rate_factor = max_rate_factor(self.load)
         self.next_at = max(world.loop.now, at)
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -18,7 +18,7 @@
     from elderstall.simulation.draws import Draws
     from elderstall.simulation.requests import Try
 
-RESTART_KILL_TIMEOUT_MS = 1_700.0  # from the end of the drain time of a planned restart
+RESTART_KILL_TIMEOUT_MS = 1_700.0  # for open jobs, after the drain time of a planned restart
 
 
 class CountingLog(Log):
@@ -42,7 +42,7 @@
     def notified(self, process: Process, scope: ListScope, entries: tuple[Endpoint, ...]) -> None:
         """Record a list update that a dispatcher received."""
 
-    def ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
+    def record_ending(self, attempt: SimulatedAttempt, ending: Ending) -> None:
         """Record how an attempt ended, as its dispatcher knows."""
 
 
@@ -81,7 +81,7 @@
         self.deadlines = Deadlines(world.loop, world.loop.seconds, EPOCH + world.loop.now)
         self.deadlines.on_error = lambda error: world.log.failure("deadline", error)
         self.alive = True
-        self.leaving = False
+        self.leaving = False  # no longer accepts jobs, before a planned restart
         self.upstream = SimulatedUpstream(self)
         rules = world.scenario.rules
         self.engine = Engine(
@@ -136,7 +136,7 @@
         )
         self.tries[client_try.request_id] = client_try
         try:
-            client_try.job = self.engine.accept(job_request, client_try)
+            client_try.engine_job_id = self.engine.accept(job_request, client_try)
         except TooManyJobsError:
             self.tries.pop(client_try.request_id, None)
             return False
@@ -145,7 +145,7 @@
     def audit_ended(self, attempt: SimulatedAttempt, ending: Ending) -> None:
         """Report the ending of an attempt, as this process knows it, to the auditor."""
         if self.alive:
-            self.world.audit.ended(attempt, ending)
+            self.world.audit.record_ending(attempt, ending)
 
     def die(self) -> None:
         """End at once: no more messages are sent or handled, and clients' connections are reset."""
@@ -187,19 +187,19 @@
         self.process.begin()
 
     @property
-    def open(self) -> bool:
+    def accepts_jobs(self) -> bool:
         """Return whether a process runs there that accepts new jobs."""
         return self.process is not None and not self.process.leaving
 
-    def leave(self, restart_delay: float) -> None:
+    def restart_planned(self, restart_delay: float) -> None:
         """Restart as planned: accept jobs for the drain time, then end once all are answered."""
         process = self.process
         if process is not None:
             self.world.loop.after(
-                self.world.scenario.dispatchers.drain_for, self.stop_taking, process, restart_delay
+                self.world.scenario.dispatchers.drain_for, self.stop_accepting, process, restart_delay
             )
 
-    def stop_taking(self, process: Process, restart_delay: float) -> None:
+    def stop_accepting(self, process: Process, restart_delay: float) -> None:
         """Stop accepting jobs; the process ends when idle, or is killed after a timeout."""
         if process.alive:
             process.leaving = True
--- a/elderstall/simulation/draws.py
+++ b/elderstall/simulation/draws.py
@@ -1,4 +1,4 @@
-"""Random numbers by purpose: each has its own generator, so a change in one place leaves the others alone.
+"""Random numbers by purpose: each has its own generator, so one purpose's draws do not affect another's.
 
 A stream is named by words ("arrivals", "n1"). Its numpy generator is spawned from the seed and a hash
 of those words that is the same in every process; see numpy's "Parallel random number generation".
--- a/elderstall/simulation/faults.py
+++ b/elderstall/simulation/faults.py
@@ -18,7 +18,7 @@
     from elderstall.simulation.loop import VirtualTime
     from elderstall.simulation.worker_host import WorkerHost
 
-RAMP_STEPS = 10  # of a slowdown, at its begin and at its end
+RAMP_STEPS = 10  # steps of each of a slowdown's two ramps, at its start and at its end
 
 
 class FaultContext(Protocol):
@@ -63,7 +63,7 @@
         for number, fault in enumerate(self.world.scenario.faults):
             self.handlers[fault.kind](fault, number)
 
-    # ---- whom it strikes ----
+    # ---- the affected workers and dispatchers ----
 
     def choose_workers(self, fault: Fault, number: int) -> list[WorkerHost]:
         """Return the workers that a fault names, or a random fraction of them; without either, all."""
@@ -79,12 +79,15 @@
         return [worker_hosts[name] for name in chosen]
 
     def draw_fraction(self, names: list[str], share: float, number: int) -> list[str]:
-        """Return a random fraction of the names, at least one; the same for each run with the same seed."""
+        """Return a random fraction of the names: at least one, but none for a share of 0.
+
+        The names are the same in each run with the same seed.
+        """
         order = self.world.draws.generator("trouble", str(number)).permutation(len(names))
         return [names[index] for index in order[: max(1, round(share * len(names)))]] if share > 0 else []
 
     def choose_dispatchers(self, fault: Fault, number: int) -> list[DispatcherHost]:
-        """Return the dispatchers that a fault names, or a random fraction of them."""
+        """Return the dispatchers that a fault names, or a random fraction of them; without either, all."""
         dispatcher_hosts = {
             dispatcher_host.name: dispatcher_host for dispatcher_host in self.world.dispatcher_hosts
         }
@@ -101,15 +104,15 @@
         self,
         fault: Fault,
         number: int,
-        act: Callable[[WorkerHost], None],
-        undo: Callable[[WorkerHost], None] | None = None,
+        begin: Callable[[WorkerHost], None],
+        end: Callable[[WorkerHost], None] | None = None,
     ) -> None:
-        """Schedule a fault for each worker in turn, and its end after the fault's length."""
+        """Schedule a fault's begin at each worker, ``fault.apart`` ms after the one before, and its end."""
         for index, worker_host in enumerate(self.choose_workers(fault, number)):
             at = fault.at + index * fault.apart
-            self.loop.at(at, act, worker_host)
-            if undo is not None:
-                self.loop.at(at + fault.length, undo, worker_host)
+            self.loop.at(at, begin, worker_host)
+            if end is not None:
+                self.loop.at(at + fault.length, end, worker_host)
 
     # ---- workers ----
 
@@ -138,7 +141,7 @@
         )
 
     def reset(self, fault: Fault, number: int) -> None:
-        """Reset connections with the fault's chance as a job is written."""
+        """Reset connections with the fault's chance as a job arrives at the worker."""
         self.schedule_each(
             fault,
             number,
@@ -150,26 +153,26 @@
         """Crash workers without any message to others; a new process starts at the end."""
         notice = self.world.scenario.listing.silent_notice
 
-        def strike(worker_host: WorkerHost) -> None:
+        def begin_fault(worker_host: WorkerHost) -> None:
             worker_host.silent_faults += 1
             worker_host.die()
             self.world.listing.changed(worker_host, notice)
 
-        def recover(worker_host: WorkerHost) -> None:
+        def end_fault(worker_host: WorkerHost) -> None:
             worker_host.silent_faults -= 1
             if not worker_host.silent_faults and not worker_host.model.up:
                 worker_host.start()
 
-        self.schedule_each(fault, number, strike, recover)
+        self.schedule_each(fault, number, begin_fault, end_fault)
 
     def restart(self, fault: Fault, number: int) -> None:
         """Crash worker processes, and start cold ones at the end."""
 
-        def strike(worker_host: WorkerHost) -> None:
+        def begin_fault(worker_host: WorkerHost) -> None:
             worker_host.die()
             self.world.listing.changed(worker_host, self.world.scenario.listing.notice)
 
-        self.schedule_each(fault, number, strike, lambda host: self.restart_if_down(host, fault))
+        self.schedule_each(fault, number, begin_fault, lambda host: self.restart_if_down(host, fault))
 
     def restart_if_down(self, worker_host: WorkerHost, fault: Fault) -> None:
         """Start a worker host's process, unless it runs or the host is silent."""
@@ -179,12 +182,12 @@
     def drain(self, fault: Fault, number: int) -> None:
         """Drain workers, and replace each with a new process after the fault's length."""
 
-        def recover(worker_host: WorkerHost) -> None:
+        def end_fault(worker_host: WorkerHost) -> None:
             if worker_host.model.draining:
                 worker_host.die()
                 worker_host.start(fault.cold_share)
 
-        self.schedule_each(fault, number, lambda host: host.drain(), recover)
+        self.schedule_each(fault, number, lambda host: host.drain(), end_fault)
 
     def cold(self, fault: Fault, number: int) -> None:
         """Keep workers out of service until the fault begins, then start them cold."""
@@ -230,6 +233,6 @@
         for index, dispatcher_host in enumerate(self.choose_dispatchers(fault, number)):
             at = fault.at + index * fault.apart
             if fault.planned:
-                self.loop.at(at, dispatcher_host.leave, fault.length)
+                self.loop.at(at, dispatcher_host.restart_planned, fault.length)
             else:
                 self.loop.at(at, dispatcher_host.kill, None, fault.length)
--- a/elderstall/simulation/loop.py
+++ b/elderstall/simulation/loop.py
@@ -135,7 +135,8 @@
         call.serial = self.last_serial
         heapq.heappush(self.heap, (call.when, self.last_serial, call))
         if len(self.heap) > MIN_HEAP_SIZE_TO_COMPACT and len(self.heap) > 4 * self.active_count:
-            # Bounds the memory: deadlines are set and cancelled with every job.
+            # Less than a quarter of the entries are active. This bounds the memory, as deadlines are set and
+            # cancelled with every job.
             self.heap = [
                 entry for entry in self.heap if entry[2].function is not None and entry[2].serial == entry[1]
             ]
--- a/elderstall/simulation/requests.py
+++ b/elderstall/simulation/requests.py
@@ -14,7 +14,7 @@
 from elderstall.simulation.worker import Task
 
 
-class ServingProcess(Protocol):
+class ClientDispatcherProcess(Protocol):
     """A dispatcher process, as clients use it."""
 
     alive: bool
@@ -23,14 +23,14 @@
     engine: Engine
 
     @property
-    def dispatcher_host(self) -> ServingHost:
+    def dispatcher_host(self) -> ClientDispatcherHost:
         """Return the host that it runs on."""
 
     def accept(self, client_try: Try, budget: float) -> bool:
         """Accept a client's try; return False if there are too many jobs."""
 
 
-class ServingHost(Protocol):
+class ClientDispatcherHost(Protocol):
     """A dispatcher host, as clients use it."""
 
     name: str
@@ -40,7 +40,7 @@
     process_started_at: float
 
     @property
-    def process(self) -> ServingProcess | None:
+    def process(self) -> ClientDispatcherProcess | None:
         """Return the process that runs there, if any."""
 
 
@@ -53,21 +53,21 @@
 class TryAudit(Protocol):
     """The auditor's methods that a try calls."""
 
-    def answered(self, client_try: Try, answer: Answer) -> None:
+    def check_answer(self, client_try: Try, answer: Answer) -> None:
         """Check a final answer against the rules."""
 
-    def dropped(self, client_try: Try) -> None:
+    def record_dispatcher_ended(self, client_try: Try) -> None:
         """Record that a dispatcher ended before it answered a try."""
 
 
-class TryOwner(Protocol):
+class TryClients(Protocol):
     """The clients' methods that a try calls."""
 
-    def heard(self, client_try: Try, answer: Answer) -> None:
+    def handle_answer(self, client_try: Try, answer: Answer) -> None:
         """Handle the answer: close the request or schedule a retry."""
 
-    def unreachable(self, client_try: Try, *, taken: bool) -> None:
-        """Handle a dispatcher that is absent, or that ended with the try (``taken``)."""
+    def unreachable(self, client_try: Try, *, accepted: bool) -> None:
+        """Handle a dispatcher that is absent, or that ended after it had accepted the try (``accepted``)."""
 
 
 class TryContext(Protocol):
@@ -80,7 +80,7 @@
         """The auditor."""
 
     @property
-    def clients(self) -> TryOwner:
+    def clients(self) -> TryClients:
         """The clients."""
 
 
@@ -120,7 +120,7 @@
         self.hint: float | None = None
         self.slots = 1
         self.within_quota = self.honours_advice = True
-        self.dispatcher_host: ServingHost | None = None
+        self.dispatcher_host: ClientDispatcherHost | None = None
         self.tries = self.runs = 0
         self.retries = 0
         self.leaves_at = math.inf
@@ -147,14 +147,14 @@
     __slots__ = (
         "attempts",
         "deadline",
-        "job",
+        "engine_job_id",
+        "has_drawn_reconnect",
         "number",
         "over",
         "process",
-        "rejoined",
         "request",
         "request_id",
-        "sent",
+        "sent_at",
         "served_by",
         "world",
     )
@@ -164,22 +164,22 @@
         self.request = request
         self.number = number
         self.request_id = f"{request.number}.{number}"
-        self.process: ServingProcess | None = None
-        self.sent = world.loop.now
-        self.deadline = request.deadline
-        self.job = 0
+        self.process: ClientDispatcherProcess | None = None
+        self.sent_at = world.loop.now
+        self.deadline = request.deadline  # on the loop's clock
+        self.engine_job_id = 0
         self.attempts = 0
-        self.over = self.rejoined = False
+        self.over = self.has_drawn_reconnect = False
         self.served_by: ServedAttempt | None = None
 
     def answered(self, answer: Answer) -> None:
         """Handle the final answer; see ``messages.Client``."""
-        self.world.audit.answered(self, answer)
+        self.world.audit.check_answer(self, answer)
         if self.process is not None:
             self.process.answered.append(self.request_id)
         if not self.over:
             self.over = True
-            self.world.clients.heard(self, answer)
+            self.world.clients.handle_answer(self, answer)
 
     def progressed(self, share: float, text: str) -> None:
         """Ignore the progress of an attempt; see ``messages.Client``."""
@@ -192,5 +192,5 @@
         """Handle the connection's reset when the dispatcher has ended."""
         if not self.over:
             self.over = True
-            self.world.audit.dropped(self)
-            self.world.clients.unreachable(self, taken=True)
+            self.world.audit.record_dispatcher_ended(self)
+            self.world.clients.unreachable(self, accepted=True)
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -15,7 +15,12 @@
 from elderstall.interface import Ending, Endpoint, WorkerState
 from elderstall.messages import JobRequest, Outcome
 from elderstall.net.upstream.cancel_exchange import CANCEL_TIMEOUT_MS
-from elderstall.simulation.attempt import Link, SimulatedAttempt, TargetHost, UpstreamOwner
+from elderstall.simulation.attempt import (
+    Link,
+    SimulatedAttempt,
+    UpstreamDispatcherProcess,
+    UpstreamWorkerHost,
+)
 from elderstall.simulation.loop import Call
 
 if TYPE_CHECKING:
@@ -25,9 +30,9 @@
 class Pool:
     """The idle connections to one worker host."""
 
-    def __init__(self, worker_host: TargetHost, started: float | None) -> None:
+    def __init__(self, worker_host: UpstreamWorkerHost, started: float | None) -> None:
         self.worker_host = worker_host
-        self.started = started
+        self.worker_started = started  # start of the worker as listed
         self.idle: list[Link] = []  # the newest last
         self.timer: Call | None = None
 
@@ -35,7 +40,7 @@
 class SimulatedUpstream:
     """The transport of one dispatcher process; implements ``messages.AttemptTransport``."""
 
-    def __init__(self, process: UpstreamOwner) -> None:
+    def __init__(self, process: UpstreamDispatcherProcess) -> None:
         self.process = process
         self.world = process.world
         self.loop = process.world.loop
@@ -43,7 +48,7 @@
         self.idle_timeout_ms = self.network.idle_close * IDLE_PART
         self.pools: dict[str, Pool] = {}
         self.attempts: dict[str, SimulatedAttempt] = {}  # the newest of each request id
-        self.count = self.opening = 0
+        self.connection_count = self.opening_count = 0
 
     # ---- messages.AttemptTransport ----
 
@@ -51,21 +56,26 @@
         self,
         worker: str,
         job_request: JobRequest,
-        ends: float,
-        note: Callable[[float, str], None],
+        ends_at: float,
+        on_progress: Callable[[float, str], None],
         forbidden_by: Callable[[], str | None],
     ) -> Deferred[Outcome | None]:
-        """Start an attempt; ``forbidden_by`` is not called here."""
+        """Start an attempt; see ``messages.AttemptTransport``.
+
+        ``ends_at`` is on the dispatcher's clock; the attempt keeps its deadline on the loop's clock. Progress
+        reaches the engine directly, so ``on_progress`` is not called. Nor is ``forbidden_by``, even if
+        the job is written only once a new connection is open.
+        """
         pool = self.pools.get(worker)
         client_try: Try = job_request.original  # type: ignore[assignment]
         worker_host = self.world.worker_hosts[worker]
-        left = ends - self.process.deadlines.now()
+        remaining_ms = ends_at - self.process.deadlines.now()
         attempt = SimulatedAttempt(
-            self, worker_host, job_request, client_try.attempts, self.loop.now + left, note
+            self, worker_host, job_request, client_try.attempts, self.loop.now + remaining_ms, on_progress
         )
         client_try.attempts += 1
         self.attempts[job_request.request_id] = attempt
-        self.world.audit.sent(attempt)
+        self.world.audit.check_attempt(attempt)
         if pool is None:
             attempt.finish(Outcome(Ending.UNREACHABLE))
         else:
@@ -73,13 +83,13 @@
         return attempt.done
 
     def cancel_job(self, worker: str, request_id: str, confirmation_required: bool = True) -> Deferred[bool]:
-        """Cancel an attempt at its worker; the result is whether the worker confirmed it."""
+        """Cancel an attempt at its worker; fires with whether the worker confirmed it."""
         done: Deferred[bool] = Deferred()
         attempt = self.attempts.get(request_id)
         if attempt is None or attempt.worker_host.name != worker:
             done.callback(False)
             return done
-        self.world.audit.abandoned(attempt)
+        self.world.audit.record_abandoned(attempt)
         self.loop.after(attempt.worker_host.delay(), self.deliver_cancellation, attempt, done)
         return done
 
@@ -93,7 +103,10 @@
             self.loop.after(CANCEL_TIMEOUT_MS, done.callback, False)
 
     def probe(self, worker: str) -> Deferred[Outcome]:
-        """Poll a worker for its load report; a new connection adds the handshake's round trips."""
+        """Poll a worker for its load report; a new connection adds the handshake's round trips.
+
+        The limit on connections does not apply, and the connection opens even if the worker is paused.
+        """
         done: Deferred[Outcome] = Deferred()
         worker_host = self.world.worker_hosts[worker]
         pool = self.pools.get(worker)
@@ -109,12 +122,16 @@
                 worker_host.model.charge(self.loop.now, worker_host.kind.connection_work)
             )
         self.world.tally.probes += 1
-        trips = 2 if link.idle_since is not None else 2 * self.network.handshake_trips + 2
-        self.loop.after(trips * worker_host.delay(), self.poll_answered, worker_host, link, done)
+        one_way_delays = 2 if link.idle_since is not None else 2 * self.network.handshake_trips + 2
+        self.loop.after(one_way_delays * worker_host.delay(), self.poll_answered, worker_host, link, done)
         return done
 
-    def poll_answered(self, worker_host: TargetHost, link: Link, done: Deferred[Outcome]) -> None:
-        """Handle the answer to a poll; a worker that cannot answer ends it by timeout."""
+    def poll_answered(self, worker_host: UpstreamWorkerHost, link: Link, done: Deferred[Outcome]) -> None:
+        """Handle the answer to a poll, which times out if the worker is down, silent or cut off.
+
+        A paused worker answers. The timeout starts when the answer was due. If the dispatcher process has
+        ended, ``done`` never fires.
+        """
         if not self.process.alive:
             link.close()
         elif (
@@ -148,18 +165,18 @@
             if entry.state is WorkerState.GONE:
                 if pool is not None:
                     self.drop(self.pools.pop(entry.worker))
-            elif pool is None or pool.started != entry.started:
+            elif pool is None or pool.worker_started != entry.started:
                 if pool is not None:
                     self.drop(pool)
                 self.pools[entry.worker] = Pool(self.world.worker_hosts[entry.worker], entry.started)
 
-    def new_link(self, worker_host: TargetHost) -> Link:
+    def new_link(self, worker_host: UpstreamWorkerHost) -> Link:
         """Return a new connection to a worker host."""
-        self.count += 1
+        self.connection_count += 1
         self.world.tally.connections += 1
         return Link(self, worker_host, self.world.tally.connections)
 
-    def take_idle_link(self, worker_host: TargetHost) -> Link | None:
+    def take_idle_link(self, worker_host: UpstreamWorkerHost) -> Link | None:
         """Remove and return the newest idle connection, if there is one."""
         pool = self.pools.get(worker_host.name)
         return pool.idle.pop() if pool is not None and pool.idle else None
@@ -191,7 +208,7 @@
         if pool is not None and link in pool.idle:
             pool.idle.remove(link)
 
-    def drop_idle_to(self, worker_host: TargetHost) -> None:
+    def drop_idle_to(self, worker_host: UpstreamWorkerHost) -> None:
         """Close the idle connections to a worker host."""
         if (pool := self.pools.get(worker_host.name)) is not None:
             self.drop(pool)
--- a/elderstall/simulation/worker.py
+++ b/elderstall/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A model of a card worker without I/O; the caller passes the time, and the model returns events.
+"""A model of a worker process without I/O; the caller passes the time, and the model returns events.
 
 Running jobs share the cores: with ``n`` slots in use each runs at ``min(1, cores / n)`` of a core, times the
 worker's speed, its warm-up fraction and its efficiency, divided by its slowdown. All running jobs thus
@@ -19,7 +19,7 @@
 
 from elderstall.simulation.scenario import Kind
 
-WORK_TOLERANCE_MS = 1e-6  # of work: rounding error of computed ends
+WORK_TOLERANCE_MS = 1e-6  # ms on a standard core: rounding error of computed ends
 
 
 class WorkerEventKind(Enum):
@@ -32,7 +32,7 @@
     DONE = "done"
     FAILED = "failed"
     RETURNED = "returned"  # handed back before its start, by a drain
-    DROPPED = "dropped"  # left the queue after its deadline
+    DROPPED = "dropped"  # removed from the queue after its deadline
     LOST = "lost"  # the process crashed
     STOPPED = "stopped"  # stopped by a cancellation
 
@@ -41,16 +41,16 @@
 class Task:
     """One attempt at a worker."""
 
-    key: Hashable
+    key: Hashable  # names it in ``cancel``
     work: float  # for each of its slots
     slots: int = 1
-    deadline: float = math.inf  # when its sender stops waiting
+    deadline: float = math.inf  # time at which its sender stops waiting
     repeatable: bool = False
-    fails_at: float | None = None  # the fraction of its work at which it fails
+    fails_at: float | None = None  # the fraction of its work at which it fails; None if it succeeds
     saved: float = 0.0  # fraction of its work that an earlier attempt has saved
     informed: bool = True  # whether its sender had been notified of the worker's start
-    owner: object = None  # set by the host; not read here
-    began: float | None = None
+    owner: object = None  # the host's attempt; not read here
+    began: float | None = None  # time of its start
     end_clock: float = math.inf  # reading of done_clock at its end
     core_clock_at_start: float = 0.0  # reading of core_clock at its start
     core_time: float = 0.0  # ms of core it has used, once it is over
@@ -71,7 +71,7 @@
     kind: WorkerEventKind
     task: Task
     at: float
-    share: float = 0.0  # fraction of its work that is done
+    share: float = 0.0  # fraction of its work that is done; for a failing task, of its work up to the failure
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
     """A worker's core time by use, ms; the entries sum to its cores times the time that has passed."""
 
     busy: float = 0.0
-    overhead: float = 0.0  # new connections and polls
+    overhead: float = 0.0  # new connections
     idle: float = 0.0
     paused: float = 0.0
     down: float = 0.0
@@ -92,10 +92,10 @@
 
 @dataclass(slots=True)
 class ColdLoadLimit:
-    """The limit on work sent to a cold worker in a window of time (ms); past it the worker crashes."""
+    """The limit on work sent to a cold worker in a window of time; past it the worker crashes."""
 
-    multiple: float = 4.0
-    window: float = 2_000.0
+    multiple: float = 4.0  # of the work that the worker can do in the window at its present capacity
+    window: float = 2_000.0  # ms
 
 
 class CardWorker:
@@ -120,7 +120,7 @@
         self.done_clock = self.core_clock = 0.0
         self.used = 0  # slots in use
         self.connections = 0
-        self.overhead = 0.0  # standard work left for new connections and polls
+        self.overhead = 0.0  # standard work left for new connections
         self.up = True
         self.paused = False
         self.draining = False
@@ -157,10 +157,10 @@
         """Return the fraction of its warm capacity that the worker has at a time."""
         if self.started is None or self.kind.cold_for <= 0:
             return 1.0
-        part = (at - self.started) / self.kind.cold_for
+        progress = (at - self.started) / self.kind.cold_for
         if self.kind.warm_by_work:
-            part = max(part, self.warm_work / (self.kind.cold_for * self.kind.cores * self.speed))
-        return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, part))
+            progress = max(progress, self.warm_work / (self.kind.cold_for * self.kind.cores * self.speed))
+        return min(1.0, self.cold_share + (1 - self.cold_share) * max(0.0, progress))
 
     def capacity(self, at: float) -> float:
         """Return the standard work that the worker can do in a millisecond."""
@@ -181,10 +181,11 @@
             return 0.0
         return self.speed * min(1.0, self.kind.cores / self.used) * self.efficiency() / self.slowdown
 
-    def _warming(self) -> tuple[float, float, float, bool]:
+    def _warm_up_growth(self) -> tuple[float, float, float, bool]:
         """Return the warm-up fraction, its growth, the time until it is 1, and whether it grows by work.
 
-        The growth is per ms: absolute by time, relative to the fraction by work.
+        By time the fraction grows linearly, and the growth is its increase per ms. By work it grows
+        exponentially, and the growth is the exponent per ms.
         """
         warm = self.warm_up_fraction(self.now)
         if warm >= 1.0:
@@ -199,7 +200,7 @@
     def _work_in(self, span: float) -> float:
         """Return the work that a slot does in the coming span when there is no overhead."""
         rate = self._rate()
-        warm, growth, left, by_work = self._warming()
+        warm, growth, left, by_work = self._warm_up_growth()
         warming = min(span, left)
         if growth == 0.0:
             part = warm * span
@@ -217,7 +218,7 @@
         if rate <= 0:
             return math.inf
         need = work / rate
-        warm, growth, left, by_work = self._warming()
+        warm, growth, left, by_work = self._warm_up_growth()
         if growth == 0.0:
             return need / warm
         if by_work:
@@ -326,7 +327,7 @@
         )
 
     def _done_fraction(self, task: Task) -> float:
-        """Return the fraction of a running task's work that is done."""
+        """Return the fraction of a running task's work, up to its failure if it fails, that is done."""
         whole = task.work * (task.fails_at if task.fails_at is not None else 1.0)
         return min(1.0, max(0.0, 1 - (task.end_clock - self.done_clock) / whole)) if whole > 0 else 1.0
 
@@ -506,6 +507,7 @@
         for task in list(self.tasks.values()):
             if task.running and task.repeatable and self.checkpoint > 0 and task.began is not None:
                 # Progress is saved at each full interval since the start; it is taken as linear in time.
+                # For a failing task it is progress up to the failure, which overstates the saved fraction.
                 age = self.now - task.began
                 whole = math.floor(age / self.checkpoint) * self.checkpoint
                 done = self._done_fraction(task)
--- a/elderstall/simulation/worker_host.py
+++ b/elderstall/simulation/worker_host.py
@@ -13,13 +13,20 @@
 from elderstall.simulation.worker import CardWorker, ColdLoadLimit, Task, WorkerEvent, WorkerEventKind
 
 if TYPE_CHECKING:
-    from elderstall.simulation.attempt import AttemptTransport, Link, SimulatedAttempt, UpstreamOwner
+    from elderstall.simulation.attempt import (
+        AttemptTransport,
+        Link,
+        SimulatedAttempt,
+        UpstreamDispatcherProcess,
+    )
     from elderstall.simulation.draws import Draws
     from elderstall.simulation.loop import VirtualTime
 
-MAX_CALL_BACK_ATTEMPTS = 10  # of a call-back, as in the workers' protocol
-CALL_BACK_INTERVAL_MS = 300.0  # between attempts of a call-back
-PROCESS_DEATH_NOTICE_MS = 50.0  # until the worker host's agent reports a process that died
+MAX_CALL_BACK_ATTEMPTS = 10  # including the first, as in the workers' protocol
+CALL_BACK_INTERVAL_MS = 300.0  # from a failed attempt of a call-back to the next; network delay is added
+PROCESS_DEATH_NOTICE_MS = 50.0  # from a process's death until its host reports the lost tasks
+# The ending that a dispatcher is notified of. LOST is handled before the look-up; nobody is notified of tasks
+# that were dropped or stopped.
 ENDINGS = {
     WorkerEventKind.DONE: Ending.SERVED,
     WorkerEventKind.FAILED: Ending.ERROR,
@@ -34,11 +41,14 @@
     def started(self, attempt: SimulatedAttempt) -> None:
         """Record that an attempt has started to run."""
 
-    def is_informed(self, process: UpstreamOwner, worker_host: WorkerHost) -> bool:
+    def is_informed(self, process: UpstreamDispatcherProcess, worker_host: WorkerHost) -> bool:
         """Return whether a dispatcher had been notified of the worker's latest start."""
 
     def cold_worker_overloaded(self, worker_host: WorkerHost) -> None:
-        """Record that a cold worker crashed because it was sent too much work."""
+        """Handle the crash of a cold worker that was sent too much work.
+
+        The auditor records a violation if most of the work came from dispatchers notified of its start.
+        """
 
 
 class CoreTimeTally(Protocol):
@@ -100,8 +110,8 @@
         self.silent_faults = 0  # active faults in which it sends and receives nothing
         self.pause_faults = 0
         self.slowdown_factors: list[float] = []
-        self.failing: list[tuple[float, float]] = []  # chance, fraction of the work done at the failure
-        self.resetting: list[float] = []
+        self.failing: list[tuple[float, float]] = []  # probability, fraction of the work done at the failure
+        self.resetting: list[float] = []  # probabilities of a reset
         self.paused_handshakes: list[Callable[[], None]] = []  # run when the process resumes
         draws = world.draws
         self.noise = {
@@ -197,7 +207,11 @@
     def called(
         self, attempt: SimulatedAttempt, deliver: Callable[[SimulatedAttempt], None], attempts_left: int
     ) -> None:
-        """Deliver a call-back, or schedule the next attempt."""
+        """Deliver a call-back, or schedule the next attempt.
+
+        It is delivered if any process runs at the dispatcher host; a call-back to a process that has ended
+        then has no effect.
+        """
         if (
             self.world.reaches(attempt.upstream, self)
             and attempt.upstream.process.dispatcher_host.process is not None
@@ -224,8 +238,9 @@
         self.links.add(link)
         self.model.connections = len(self.links)
         self.process_events(self.model.charge(self.world.loop.now, self.kind.connection_work))
-        trips = max(0.0, self.world.scenario.network.handshake_trips - 0.5)
-        self.world.loop.after(self.model.backlog() + 2 * trips * self.delay(), attempt.connected, link)
+        # The network delay before this call was the first half of a round trip.
+        round_trips = max(0.0, self.world.scenario.network.handshake_trips - 0.5)
+        self.world.loop.after(self.model.backlog() + 2 * round_trips * self.delay(), attempt.connected, link)
 
     def receive(self, attempt: SimulatedAttempt, link: Link) -> None:
         """Handle a job whose last byte has arrived."""
@@ -235,20 +250,23 @@
         if not link.open or link.unreachable or not self.model.up:  # no process reads it
             world.loop.after(self.delay(), attempt.link_lost)
             return
-        chance = 1.0
-        for reset_chance in self.resetting:
-            chance *= 1 - reset_chance
-        if chance < 1.0 and next(self.uniform_draws) > chance:
+        probability = 1.0  # that no active fault resets the connection
+        for reset_probability in self.resetting:
+            probability *= 1 - reset_probability
+        if probability < 1.0 and next(self.uniform_draws) > probability:
             link.close()
             world.loop.after(self.delay(), attempt.link_lost)
             if next(self.uniform_draws) < 0.5:
-                return  # the worker had not read the job; otherwise it runs unreported
+                return  # the worker had not read the job; otherwise it runs the job, and its reports are sent
         job = attempt.job
-        chance = self.kind.errors
-        after = 0.5
-        for fail_chance, share in self.failing:
-            chance, after = max(chance, fail_chance), share if fail_chance > chance else after
-        fails_at = after if chance > 0 and next(self.uniform_draws) < chance else None
+        probability = self.kind.errors  # that the job fails
+        failure_fraction = 0.5
+        for fault_probability, fault_fraction in self.failing:
+            probability, failure_fraction = (
+                max(probability, fault_probability),
+                fault_fraction if fault_probability > probability else failure_fraction,
+            )
+        fails_at = failure_fraction if probability > 0 and next(self.uniform_draws) < probability else None
         work = job.work * next(self.noise[job.load.cls.name])
         task = Task(
             attempt,
@@ -257,7 +275,7 @@
             attempt.ends,
             job.safe,
             fails_at,
-            min(0.99, job.saved),
+            min(0.99, job.saved),  # a repeat always has some work left
             world.audit.is_informed(attempt.upstream.process, self),
             attempt,
         )
@@ -274,7 +292,11 @@
     # ---- reports ----
 
     def snapshot(self) -> None:
-        """Record the load report that is sent until the next snapshot."""
+        """Record a load report, to be sent once its delay has passed.
+
+        Cancelled tasks that have not reached the head of ``running`` are counted there but not in
+        ``held``, so ``queue`` can be too low, or negative.
+        """
         world = self.world
         reports = self.world.scenario.reports
         ledger = self.model.ledger
@@ -333,7 +355,11 @@
             self.paused_handshakes.clear()
 
     def crash_on_overload(self) -> None:
-        """Stay down after a crash by overload while cold."""
+        """Handle a crash by overload while cold: notify the auditor, reset connections, update the list.
+
+        The model is down already, and stays down. This is not called for a crash in the model's
+        ``resume``, by jobs received in a pause.
+        """
         self.model.overloaded = False
         self.world.audit.cold_worker_overloaded(self)
         self.drop_links()
--- a/elderstall/simulation/world.py
+++ b/elderstall/simulation/world.py
@@ -8,7 +8,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from elderstall.simulation.attempt import AttemptTransport, TargetHost
+from elderstall.simulation.attempt import AttemptTransport, UpstreamWorkerHost
 from elderstall.simulation.audit import Auditor
 from elderstall.simulation.clients import Clients
 from elderstall.simulation.dispatcher_host import CountingLog, DispatcherHost
@@ -21,8 +21,9 @@
 from elderstall.simulation.scenario import EPOCH, Scenario
 from elderstall.simulation.worker_host import WorkerHost
 
-GC_THRESHOLDS = 50_000, 10, 10  # of the garbage collector, by generation
-PROGRESS_STEP_MS = 250.0  # simulated time between calls of ``progress``
+GC_THRESHOLDS = 50_000, 10, 10  # of the cyclic garbage collector, by generation; see gc.set_threshold
+# Simulated time between calls of ``progress``, and between checks whether the run can end early.
+PROGRESS_STEP_MS = 250.0
 
 
 class World:
@@ -40,8 +41,8 @@
         self.explain = explain  # number of the request to keep for ``explained``
         self.explained: Request | None = None
         self.cut: Counter[tuple[int, str]] = Counter()  # faults that cut a path, by rank and worker
-        self.struck: dict[int, list[str]] = {}
-        self.absent: set[str] = set()  # not in service at the start
+        self.struck: dict[int, list[str]] = {}  # affected workers and dispatchers, by number of the fault
+        self.absent: set[str] = set()  # names of workers not in service at the start
         kinds = {kind.name: kind for kind in scenario.kinds}
         self.worker_hosts: dict[str, WorkerHost] = {}
         for spec in scenario.workers:
@@ -54,7 +55,7 @@
             DispatcherHost(self, rank, weight) for rank, weight in enumerate(scenario.dispatchers.weights)
         ]
 
-    def reaches(self, upstream: AttemptTransport, worker_host: TargetHost) -> bool:
+    def reaches(self, upstream: AttemptTransport, worker_host: UpstreamWorkerHost) -> bool:
         """Return whether messages between a dispatcher and a worker host are delivered at present."""
         if worker_host.silent_faults:
             return False
@@ -73,7 +74,7 @@
             dispatcher_host.last_list = self.listing.version, tuple(self.listing.entries.values())
             dispatcher_host.start()
             if not self.scenario.listing.must_ask and dispatcher_host.process is not None:
-                # Notified without a list call, after a random delay: processes do not start in step.
+                # Notified without a list call, after a random delay, so that not all are notified at once.
                 self.loop.after(
                     next(starts) * self.scenario.dispatchers.start_spread,
                     self.listing.follow,
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -53,7 +53,9 @@
     audit = world.audit
     assert sum(figures["endings"].values()) == figures["requests"] == world.clients.count
     assert not world.clients.open and not audit.open_tries
-    assert audit.taken_count == audit.answered_count + audit.dropped_count + audit.left_count
+    assert (
+        audit.received_count == audit.answered_count + audit.dispatcher_ended_count + audit.client_left_count
+    )
     for worker_host in world.worker_hosts.values():
         assert worker_host.model.ledger.total == pytest.approx(worker_host.kind.cores * world.loop.now)
     assert sum(figures["core_time"].values()) == pytest.approx(1.0, abs=1e-4)
@@ -168,7 +170,7 @@
         Fault("dispatcher-restart", 5_000.0, 1_000.0, dispatchers=("n1",), planned=False),
     )
     check_conservation(figures, world)
-    assert world.audit.dropped_count > 0 and world.dispatcher_hosts[0].process_count == 2
+    assert world.audit.dispatcher_ended_count > 0 and world.dispatcher_hosts[0].process_count == 2
     assert figures["endings"].get("lost", 0) > 0, "a request that is not idempotent is not retried"
     assert figures["rules"]["broken"] == 0
 
@@ -176,7 +178,7 @@
 def test_a_planned_restart_answers_all_accepted_jobs() -> None:
     figures, world = run_simulation(Fault("dispatcher-restart", 5_000.0, 500.0, dispatchers=("n1",)))
     check_conservation(figures, world)
-    assert world.dispatcher_hosts[0].process_count == 2 and world.audit.dropped_count == 0
+    assert world.dispatcher_hosts[0].process_count == 2 and world.audit.dispatcher_ended_count == 0
 
 
 def test_a_cold_worker_is_overloaded_while_it_runs_jobs_that_are_not_idempotent() -> None:
@@ -258,14 +260,14 @@
             scenario(killed, clients=Clients(retries=4, backoff=400.0, reconnect=spread, impatient=0.0)), 1
         )
         seen: list[float] = []
-        taken = world.audit.taken
+        record_received = world.audit.record_received
 
         def record(client_try: Try) -> None:
             if client_try.request.dispatcher_host is world.dispatcher_hosts[0] and world.loop.now > 5_500.0:
                 seen.append(world.loop.now)
-            taken(client_try)
+            record_received(client_try)
 
-        world.audit.taken = record  # type: ignore[method-assign]
+        world.audit.record_received = record  # type: ignore[method-assign]
         figures = world.play()
         check_conservation(figures, world)
         assert figures["rules"]["broken"] == 0
