--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, on real sockets, the crossing forced: see docs/design/crossings.md for the table."""
+"""Forces races between two events on real sockets; docs/design/crossings.md lists them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 from tests.loopback import Loopback, Side, address_of
 from tests.scenario import CLASSES, RULES, entry
 
-GONE_FOR = 100.0  # ms after a client has left from which on its job must not be written to a worker
+DEPARTURE_DETECTION_MS = 100.0  # afterwards a disconnected client's job must not be written to a worker
 PIPELINED_REQUESTS = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" * (
     MAX_READ_AHEAD_BYTES // 28 + 900
 )  # over MAX_READ_AHEAD_BYTES
 LONG_DEADLINE_CLASS = {"name": "album", "points": 4, "aim": 4000, "deadline": 9000, "effect": "safe"}
-TOLD_AFTER, ANSWERED_IN = 6_000.0, 700.0  # ms: a change counts as told; what is left for a call's answer
-OWN_CALLS, OWN_LEAST = 3, 12  # descriptors: a former watch and two calls; the idle program's own
-KEYED = {
+ASSUMED_NOTIFIED_AFTER_MS = 6_000.0  # after this silence the dispatcher counts as notified of a change
+CALL_RESPONSE_MS = 700.0  # time left for the response to a list call
+DISCOVERY_DESCRIPTORS = 3  # descriptors of the previous watch and two list calls
+MIN_PROGRAM_DESCRIPTORS = 12  # descriptors of the idle program itself
+KEYED_CLASS = {
     "name": "stamp",
     "points": 3,
     "aim": 300,
@@ -33,104 +35,107 @@
 }
 
 
-class Leaving(Loopback):
-    """A client sends its job and much behind it, and leaves while the job waits, wherever that is."""
+class ClientDeparture(Loopback):
+    """A client sends a job and pipelined requests, and disconnects while the job waits."""
 
     def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
-        """Have a class that can wait for longer than the term: else its job is given up by then anyhow."""
+        """Add a class whose jobs can wait for longer than the detection takes.
+
+        A job of another class would be rejected by then anyhow.
+        """
         super().begin(workers, progress, folder, classes=[*CLASSES, LONG_DEADLINE_CLASS], **more)
 
-    def leave(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> None:
-        """Have a client send, be read as far as it is, and go; then more time passes than the term allows."""
-        side = self.sent(request_id, job_class, accept)
+    def send_and_disconnect(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> None:
+        """Send a job, disconnect once it is read, and wait until the departure must be detected."""
+        side = self.send_job(request_id, job_class, accept)
         side.sock.close()
-        self.wait(GONE_FOR)
+        self.wait(DEPARTURE_DETECTION_MS)
 
-    def sent(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> Side:
+    def send_job(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> Side:
         side = self.client()
         side.send(self.job(request_id, job_class, accept=accept) + PIPELINED_REQUESTS)
         self.until(lambda: request_id in self.app.engine.jobs.by_request_id)
         return side
 
-    def occupy(self) -> None:
-        """Give the one worker a job, so that the next waits for room."""
+    def occupy_worker(self) -> None:
+        """Send the only worker a job, so that the next job waits for a free slot."""
         self.first = self.client()
         self.first.send(self.job("first", "deck-build", 15_000))
         self.take("POST first").send(http.response(202))
         self.turn()
 
-    def test_held_for_room(self) -> None:
+    def test_job_queued_for_a_free_slot(self) -> None:
         self.begin()
-        self.occupy()
-        self.leave("gone")
+        self.occupy_worker()
+        self.send_and_disconnect("gone")
         self.call_back("first")
         self.wait(200)
         self.nothing()
         self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
-    def test_on_the_front_for_streams(self) -> None:
+    def test_queued_job_with_a_progress_stream(self) -> None:
         self.begin(progress=True)
-        self.occupy()
-        self.leave("gone", accept="text/event-stream")
+        self.occupy_worker()
+        self.send_and_disconnect("gone", accept="text/event-stream")
         self.call_back("first")
         self.wait(200)
         self.nothing()
 
-    def test_with_its_connection_still_coming_up(self) -> None:
+    def test_worker_connection_still_being_opened(self) -> None:
         self.begin()
         self.held = []
-        self.leave("gone", "deck-build")  # not to be repeated: its connection is waited for longest
+        self.send_and_disconnect("gone", "deck-build")  # an unsafe job waits longest for its connection
         self.let_up()
         self.nothing()
 
-    def test_in_the_turn_in_which_its_connection_comes_up(self) -> None:
+    def test_worker_connection_opened_in_the_same_reactor_iteration(self) -> None:
         self.begin()
         self.held = []
-        side = self.sent("gone", "deck-build")
+        side = self.send_job("gone", "deck-build")
         self.until(lambda: bool(self.held))
         side.sock.close()
         self.let_up()
         self.nothing()
         self.assertTrue([x for x in self.lines if "its client has disconnected" in x], self.lines)
 
-    def test_while_workers_are_asked_how_they_stand(self) -> None:
+    def test_while_workers_are_polled(self) -> None:
         limits = {"conn_idle": 10000, "connect_timeout": 250, "max_attempts": 5, "probes": True}
         self.begin(workers=2, balancers=200, limits=limits)
-        side = self.sent("gone")
+        side = self.send_job("gone")
         self.take("GET /metrics/load")
         side.sock.close()
-        self.wait(GONE_FOR)  # the silent workers were waited for, and the job decided on, long before
+        self.wait(DEPARTURE_DETECTION_MS)  # the polls time out and the job is decided on long before
         self.assertEqual([], [what for what, _ in self.came() if what.startswith("POST")])
         self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
     def test_between_attempts(self) -> None:
         self.begin()
-        side = self.sent("gone")
+        side = self.send_job("gone")
         self.take("POST gone").send(http.response(202))
         self.turn()
-        self.call_back("gone", "returned")  # never ran: it waits for its worker's next turn
+        self.call_back("gone", "returned")  # never ran: it waits for the next attempt
         side.sock.close()
-        self.wait(GONE_FOR)
+        self.wait(DEPARTURE_DETECTION_MS)
         self.nothing()
 
-    def test_a_job_read_only_after_its_client_has_left(self) -> None:
-        """As from a full listener's queue: all has come, the end too, before the first byte is read."""
+    def test_job_read_after_its_client_has_disconnected(self) -> None:
+        """Covers a long accept queue: request and end of connection have arrived before the first read."""
         self.begin()
         side = self.client()
         side.send(self.job("gone") + b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         side.sock.close()
-        self.jump(GONE_FOR)
+        self.jump(DEPARTURE_DETECTION_MS)
         self.nothing()
         self.assertTrue([x for x in self.lines if "its client has disconnected" in x], self.lines)
 
-    def test_while_it_moves_to_another_process(self) -> None:
+    def test_during_hand_over_to_another_process(self) -> None:
         self.begin()
         server = socket.create_server(("127.0.0.1", 0))
         client = socket.create_connection(server.getsockname())
         accepted, _ = server.accept()
         server.close()
         client.close()
-        self.jump(GONE_FOR)
+        self.jump(DEPARTURE_DETECTION_MS)
         now = self.app.deadlines.now()
         state: dict[str, Any] = {
             "cid": "gone",
@@ -146,7 +151,7 @@
             "key": None,
             "hint": None,
             "slots": 1,
-            "arrived": now - GONE_FOR,
+            "arrived": now - DEPARTURE_DETECTION_MS,
             "deadline": now + 4_000,
             "sent": 0,
             "ran": False,
@@ -171,29 +176,29 @@
         self.wait(100)
         self.nothing()
 
-    def test_at_its_worker_whose_work_would_be_for_nobody(self) -> None:
+    def test_job_at_its_worker_is_cancelled(self) -> None:
         self.begin()
-        side = self.sent("gone", "deck-build")
+        side = self.send_job("gone", "deck-build")
         self.take("POST gone").send(http.response(202))
         self.turn()
         side.sock.close()
         self.wait(2 * DEPARTURE_CHECK_INTERVAL_MS)
         self.take("DELETE /jobs/gone")
 
-    def test_of_many_that_leave_at_any_instant_none_is_sent_from_0_1_s_on(self) -> None:
-        """Counts what is written to workers after the close, wherever the jobs wait."""
+    def test_no_job_is_written_100_ms_after_its_client_disconnected(self) -> None:
+        """Counts the jobs written to workers after the close, wherever the jobs wait."""
         self.begin(workers=3)
-        left: dict[str, float] = {}
+        disconnected_at: dict[str, float] = {}
         written: list[tuple[str, float]] = []
         running: list[str] = []
         for n in range(60):
             request_id = f"j{n}"
-            side = self.sent(request_id, "album" if n % 2 else "deck-build")
+            side = self.send_job(request_id, "album" if n % 2 else "deck-build")
             self.wait(20)
             if n % 3 == 2:
                 side.sock.close()
-                left[request_id] = self.app.deadlines.now()
-            if len(running) > 1:  # of two in a row the first is handed back and goes on to another worker
+                disconnected_at[request_id] = self.app.deadlines.now()
+            if len(running) > 1:  # every other job is handed back and goes to another worker
                 attempt = self.app.engine.jobs.by_request_id[running[0]].attempt
                 assert attempt is not None
                 self.call_back(running.pop(0), "returned" if n % 2 else "done", attempt.worker)
@@ -206,48 +211,50 @@
                     written.append((name, self.app.deadlines.now()))
                     running.append(name)
                 elif name.rpartition("/")[2] in running:
-                    running.remove(name.rpartition("/")[2])  # told to give it up
-        self.assertEqual([], [name for name, at in written if at > left.get(name, at) + GONE_FOR])
-        self.assertEqual(20, len(left))
+                    running.remove(name.rpartition("/")[2])  # cancelled
+        self.assertEqual(
+            [], [name for name, at in written if at > disconnected_at.get(name, at) + DEPARTURE_DETECTION_MS]
+        )
+        self.assertEqual(20, len(disconnected_at))
         self.assertGreater(len(written), 15)
         self.assertTrue(
-            [request_id for request_id in left if request_id not in dict(written)]
+            [request_id for request_id in disconnected_at if request_id not in dict(written)]
         )  # some were still waiting
 
-    def test_a_client_that_stays_gets_all_its_answers(self) -> None:
-        """What is read ahead is bounded, and what lies behind that is not lost."""
+    def test_a_connected_client_gets_all_its_responses(self) -> None:
+        """Read-ahead is bounded, and the requests beyond the bound are not lost."""
         self.begin()
-        side = self.sent("a1")
+        side = self.send_job("a1")
         self.turn()
-        c = next(c for c in self.app.server.connections if c.is_client)
-        self.assertTrue(c.paused)
-        self.assertLess(len(c.parser.buffer), MAX_READ_AHEAD_BYTES + 16 * 1024 + 1)
+        connection = next(connection for connection in self.app.server.connections if connection.is_client)
+        self.assertTrue(connection.paused)
+        self.assertLess(len(connection.parser.buffer), MAX_READ_AHEAD_BYTES + 16 * 1024 + 1)
         self.take("POST a1").send(http.response(202))
         self.wait(3 * DEPARTURE_CHECK_INTERVAL_MS)
         self.call_back("a1")
         for status in [200] * (1 + PIPELINED_REQUESTS.count(b"GET")):
             self.assertEqual(status, self.answer(side).status)
-        self.assertFalse(c.paused)
+        self.assertFalse(connection.paused)
 
-    def test_however_often_reading_pauses_one_look_is_due(self) -> None:
+    def test_repeated_pauses_schedule_one_departure_check(self) -> None:
         self.begin()
-        self.sent("a1", "deck-build")
+        self.send_job("a1", "deck-build")
         self.turn()
-        c = next(c for c in self.app.server.connections if c.is_client)
-        self.assertTrue(c.paused)
+        connection = next(connection for connection in self.app.server.connections if connection.is_client)
+        self.assertTrue(connection.paused)
         before = self.app.deadlines.active_count
         for _ in range(50):
-            c.paused = False
-            c.count_kept_bytes()
-            c.process_received()
-        self.assertTrue(c.paused)
+            connection.paused = False
+            connection.count_kept_bytes()
+            connection.process_received()
+        self.assertTrue(connection.paused)
         self.assertEqual(before, self.app.deadlines.active_count)
 
 
-class Restarts(Loopback):
-    """SIGTERM with requests in flight."""
+class Shutdown(Loopback):
+    """SIGTERM arrives with requests in flight."""
 
-    def test_a_dispatcher_without_clients_serves_those_that_still_come(self) -> None:
+    def test_clients_that_connect_after_sigterm_are_served(self) -> None:
         self.begin()
         self.app.sigterm()
         self.wait(400)
@@ -261,19 +268,19 @@
         self.wait(400)
         self.assertTrue(self.loop.stopped)
 
-    def test_a_request_in_the_listeners_queue_is_not_lost_with_the_process(self) -> None:
+    def test_a_request_in_the_accept_queue_is_answered_before_exit(self) -> None:
         self.begin()
         self.app.sigterm()
         self.wait(690)
         side = self.client()
         side.send(self.job("a1", budget=500))
-        self.jump(100)  # the look whether all is answered comes in the turn before the listener is read
+        self.jump(100)  # the check for open requests runs before the listener is read
         self.assertFalse(self.loop.stopped)
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_a_request_unread_on_a_connection_without_one_before_is_not_lost(self) -> None:
+    def test_an_unread_first_request_is_answered_before_exit(self) -> None:
         self.begin()
         side = self.client()
         self.turn()
@@ -286,7 +293,7 @@
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_a_request_in_the_turn_in_which_clients_are_let_go_is_answered(self) -> None:
+    def test_a_request_read_while_idle_clients_are_closed_is_answered(self) -> None:
         self.begin()
         side = self.client()
         side.send(self.job("a1"))
@@ -296,13 +303,13 @@
         self.app.sigterm()
         self.wait(1_990)
         side.send(self.job("a2", budget=500))
-        self.jump(20)  # past the moment at which clients are let go
+        self.jump(20)  # past the time at which idle clients are closed
         self.take("POST a2").send(http.response(202))
         self.call_back("a2")
         message = self.answer(side)
         self.assertEqual((200, "close"), (message.status, message.headers.get("Connection")))
 
-    def test_a_request_in_the_turn_in_which_its_idle_connection_would_end_is_answered(self) -> None:
+    def test_a_request_read_at_the_idle_timeout_is_answered(self) -> None:
         self.begin()
         side = self.client()
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -314,7 +321,7 @@
         side.read()
         self.assertTrue(side.ended)
 
-    def test_the_end_is_worked_out_once_whatever_comes_after(self) -> None:
+    def test_the_shutdown_deadline_is_computed_once(self) -> None:
         self.begin()
         self.app.sigterm()
         until = self.app.server.shutdown_deadline
@@ -327,7 +334,7 @@
         self.wait(700)
         self.assertTrue(self.loop.stopped)
 
-    def test_a_body_half_read_at_sigterm_is_taken_when_its_last_byte_comes(self) -> None:
+    def test_a_body_half_read_at_sigterm_is_accepted_when_complete(self) -> None:
         self.begin()
         side = self.client()
         data = self.job("a1")
@@ -341,15 +348,16 @@
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_a_worker_that_hangs_holds_neither_the_answer_nor_the_end(self) -> None:
+    def test_a_hung_worker_delays_neither_responses_nor_exit(self) -> None:
         self.begin()
-        old, new = self.client(), self.client()
+        old = self.client()
+        new = self.client()
         old.send(self.job("a1", "deck-build", budget=900))
         self.take("POST a1").send(http.response(202))
         self.turn()
         self.app.sigterm()
         self.wait(800)
-        new.send(self.job("a2", "deck-build", budget=15_000))  # the one worker hangs: it is held
+        new.send(self.job("a2", "deck-build", budget=15_000))  # queued: the only worker hangs
         self.wait(150)
         self.assertIn(self.answer(old).status, (502, 504))
         self.wait(2_600)  # SIGKILL may come 3.7 s after SIGTERM, not before
@@ -358,7 +366,7 @@
         self.wait(1_100)
         self.assertTrue(self.loop.stopped)
 
-    def test_a_connection_still_coming_up_at_sigterm_carries_its_job(self) -> None:
+    def test_a_worker_connection_being_opened_at_sigterm_is_used(self) -> None:
         self.begin()
         self.held = []
         side = self.client()
@@ -371,21 +379,21 @@
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_an_answer_that_its_client_reads_slowly_is_not_cut_short(self) -> None:
+    def test_a_response_that_is_read_slowly_is_not_truncated(self) -> None:
         self.begin()
         side = self.client()
         side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
         side.send(self.job("a1"))
         self.take("POST a1").send(http.response(202))
-        c = next(c for c in self.app.server.connections if c.is_client)
-        c.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
+        connection = next(connection for connection in self.app.server.connections if connection.is_client)
+        connection.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         result = "x" * 60_000
         call = {"id": "a1", "from": "w1", "state": "done", "result": result}
         back = self.client()
         back.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
         self.assertEqual(204, self.answer(back).status)
         self.app.sigterm()
-        self.wait(2_500)  # clients were let go meanwhile, and this one has read nothing yet
+        self.wait(2_500)  # idle clients are closed by now, and this client has read nothing yet
         self.assertFalse(self.loop.stopped)
         self.assertEqual(result.encode(), self.answer(side).body)
         self.until(lambda: side.read() or side.ended)  # type: ignore[func-returns-value]
@@ -393,7 +401,7 @@
         self.wait(1_100)
         self.assertTrue(self.loop.stopped)
 
-    def test_a_call_back_after_the_last_client_has_gone_is_answered(self) -> None:
+    def test_a_call_back_after_the_last_client_disconnected_is_answered(self) -> None:
         self.begin()
         side = self.client()
         side.send(self.job("a1"))
@@ -407,14 +415,17 @@
         self.assertTrue(self.loop.stopped)
 
 
-class Lists(Loopback):
-    """What is told of workers crosses what is sent to them."""
+class ListUpdates(Loopback):
+    """Updates of the endpoint list race with jobs sent to the workers."""
 
-    def test_where_lists_are_pushed_a_watch_is_opened_all_the_same(self) -> None:
-        """The cause: only `subscribe` had the module follow; drains were never told, 5 to 392 sends a day."""
+    def test_a_watch_is_opened_where_lists_are_pushed(self) -> None:
+        """Guards against list updates being followed only where discovery is set to `subscribe`.
+
+        Drains then stayed unknown, and 5 to 392 jobs a day were sent to draining workers.
+        """
         self.begin(workers=2, discovery="automatic", balancers=200)
         self.assertEqual(["/discovery/hosts?watch=1&from=41"], self.asked_lists())
-        self.assertEqual(1_000.0, self.loop.clock.seconds())  # at once: nobody else asks there
+        self.assertEqual(1_000.0, self.loop.clock.seconds())  # without delay: no other dispatcher calls there
         self.tell(42, w1="draining")
         for n in range(4):
             side = self.client()
@@ -424,7 +435,7 @@
             {self.listeners[1].getsockname()[1]}, {side.sock.getsockname()[1] for _, side in self.came()}
         )
 
-    def test_nothing_is_written_past_the_settings_time_though_its_connection_was_on_its_way(self) -> None:
+    def test_no_job_is_written_to_a_draining_worker_past_the_configured_time(self) -> None:
         self.begin(rules={**RULES, "stop_sending_within": 300})
         self.held = []
         side = self.client()
@@ -438,7 +449,7 @@
         self.wait(5_000)
         self.assertEqual(503, self.answer(side).status)
 
-    def test_an_older_version_undoes_nothing(self) -> None:
+    def test_an_older_list_version_is_ignored(self) -> None:
         self.begin(workers=2)
         self.tell(50, whole=True, w1="draining", w2="up")
         self.tell(49, whole=True, w1="up", w2="up")
@@ -456,33 +467,33 @@
         self.tell(3, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
-    def test_a_watch_still_being_opened_at_the_end_is_given_up(self) -> None:
+    def test_a_watch_being_opened_at_shutdown_is_cancelled(self) -> None:
         self.begin()
         self.watches[-1].sock.close()
         self.turn()
-        self.jump(300)  # the call is made, and nothing of it has come back yet
+        self.jump(300)  # the call is made and has no response yet
         connecting = self.app.discovery.calls[0].connecting
         assert connecting is not None
         self.app.discovery.close()
         self.assertTrue(connecting.called)
 
-    def test_a_list_past_what_memory_holds_leaves_addresses_and_workers_as_they_were(self) -> None:
+    def test_an_oversized_list_leaves_addresses_and_workers_unchanged(self) -> None:
         self.begin(workers=2)
         self.app.engine.view.max_list_entries = 50
         self.tell(43, whole=True, w1="up", w2="up")
-        places = dict(self.app.workers.addresses)
+        addresses = dict(self.app.workers.addresses)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
         self.watches[-1].send(
             http.chunk(json.dumps({"index": 44, "snapshot": True, "endpoints": many}).encode() + b"\n")
         )
         self.turn()
-        self.assertEqual(places, self.app.workers.addresses)
+        self.assertEqual(addresses, self.app.workers.addresses)
         self.assertEqual({"w1", "w2"}, set(self.app.engine.view.entries))
         self.assertEqual(1, self.app.engine.figures().lists_refused)
         self.tell(45, w1="draining")  # the watch goes on
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
-    def test_numbers_that_are_none_end_the_watch(self) -> None:
+    def test_invalid_numbers_end_the_watch(self) -> None:
         self.begin()
         for value in ("NaN", "Infinity", "-1"):
             count = len(self.watches)
@@ -503,10 +514,10 @@
         self.assertNotIn("127.0.0.1:1", self.app.discovery.addresses.values())
 
 
-class Upgrades(Loopback):
-    """A new process takes over, and then does nothing any more."""
+class UnresponsiveSuccessor(Loopback):
+    """A successor takes over and then stops responding."""
 
-    def test_one_that_stops_to_read_is_given_up_and_what_waits_for_it_is_bounded(self) -> None:
+    def test_a_successor_that_stops_reading_is_disconnected(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             self.begin(folder=folder)
             handover = self.app.upgrade.handover
@@ -517,12 +528,12 @@
                 new.sendall(json.dumps(message).encode() + b"\n")
                 self.turn()
             self.assertIsNotNone(handover.successor)
-            for n in range(2_000):  # as for each job that is taken meanwhile
+            for n in range(2_000):  # as for each job accepted meanwhile
                 handover.announce(RequestTaken(f"{n}{'x' * 500}"))
             self.turn()
             self.wait(5_100)
             self.assertEqual([], handover.links)
-            side = self.client()  # this one serves again
+            side = self.client()  # this process serves again
             side.send(self.job("a1"))
             self.take("POST a1").send(http.response(202))
             self.call_back("a1")
@@ -530,18 +541,18 @@
             new.close()
 
 
-class Asking(Loopback):
-    """A new process asks the one that runs to hand over, and a signal comes before that has answered."""
+class SignalsToSuccessor(Loopback):
+    """A signal reaches a successor before its predecessor has answered the request for a hand-over."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.older = socket.socket(socket.AF_UNIX)
-        self.addCleanup(self.older.close)
-        self.older.bind(f"{folder.name}/elderstall-127.0.0.1-0.sock")
-        self.older.listen()
+        self.predecessor = socket.socket(socket.AF_UNIX)
+        self.addCleanup(self.predecessor.close)
+        self.predecessor.bind(f"{folder.name}/elderstall-127.0.0.1-0.sock")
+        self.predecessor.listen()
         self.begin(folder=folder.name)
-        self.link, _ = self.older.accept()
+        self.link, _ = self.predecessor.accept()
         self.addCleanup(self.link.close)
         self.assertEqual({"m": "hello", "version": 1}, json.loads(self.link.recv(1_000)))
 
@@ -549,7 +560,7 @@
         return super().asked_lists() if self.app.port is not None else ["none yet"]
 
     def hand_over(self) -> None:
-        """Give the state and the listener of the process that runs."""
+        """Send the state and the listener of the predecessor."""
         self.listening = self.listener()
         state = {
             "m": "state",
@@ -566,40 +577,42 @@
         socket.send_fds(self.link, [json.dumps(state).encode() + b"\n"], [self.listening.fileno()])
         self.turn()
 
-    def test_sigterm_ends_it_and_the_one_that_runs_goes_on(self) -> None:
+    def test_sigterm_before_the_hand_over_ends_the_successor(self) -> None:
         self.app.sigterm()
         self.turn()
         self.assertTrue(self.loop.stopped)
         self.assertIsNone(self.app.port)
 
-    def test_sigterm_with_the_listener_on_its_way_takes_nothing_over(self) -> None:
+    def test_sigterm_while_the_listener_is_sent_takes_nothing_over(self) -> None:
         self.app.sigterm()
-        self.hand_over()  # it is read in the turn in which the program ends
+        self.hand_over()  # it is read in the reactor iteration in which the program ends
         self.assertIsNone(self.app.port)
-        self.assertEqual(b'{"m": "got"}\n', self.link.recv(1_000))  # not that it serves
+        self.assertEqual(b'{"m": "got"}\n', self.link.recv(1_000))  # no "serving" message follows
 
-    def test_sighup_moves_the_watch_that_it_is_still_to_open(self) -> None:
-        old, self.lists = self.raw["discovery"], self.listener()
+    def test_sighup_before_the_first_watch_changes_its_address(self) -> None:
+        old = self.raw["discovery"]
+        self.lists = self.listener()
         self.raw = {**self.raw, "discovery": address_of(self.lists)}
         self.app.sighup()
-        self.raw = {**self.raw, "discovery": old}  # as the older process hands it over
+        self.raw = {**self.raw, "discovery": old}  # as the predecessor hands it over
         self.hand_over()
-        self.assertEqual(["/discovery/hosts?watch=1&from=0"], self.asked_lists())  # versions of its own
+        # List versions are counted per address.
+        self.assertEqual(["/discovery/hosts?watch=1&from=0"], self.asked_lists())
 
 
-class Settings(Loopback):
-    """The settings of another customer come amid the work for the one before."""
+class SettingsChange(Loopback):
+    """All settings change while jobs under the previous ones are in flight."""
 
-    OTHERS = (
+    OTHER_CLASSES = (
         {"name": "deck-fetch", "points": 9, "aim": 90, "deadline": 900, "effect": "unsafe"},
         {"name": "scan", "points": 1, "aim": 400, "deadline": 2000, "effect": "safe"},
     )
 
-    def others(self) -> None:
+    def change_settings(self) -> None:
         settings = self.raw["settings"]
         self.raw["settings"] = {
             **settings,
-            "classes": list(self.OTHERS),
+            "classes": list(self.OTHER_CLASSES),
             "rules": {**RULES, "stop_sending_within": 300},
             "projects": [{"name": "clinic", "portion": 1, "quota_per_s": 9}],
             "limits": {**settings["limits"], "conn_idle": 2_000, "connect_timeout": 100, "max_attempts": 2},
@@ -607,25 +620,25 @@
         self.app.sighup()
         self.turn()
 
-    def test_a_job_keeps_the_terms_under_which_it_was_taken(self) -> None:
+    def test_a_job_keeps_the_settings_it_was_accepted_under(self) -> None:
         self.begin(workers=2)
         old = self.client()
         old.send(self.job("old"))
         worker = self.take("POST old")
-        self.others()
-        worker.sock.shutdown(socket.SHUT_RDWR)  # it may have run; its class was safe when it came
+        self.change_settings()
+        worker.sock.shutdown(socket.SHUT_RDWR)  # it may have run; its class was safe when it arrived
         self.take("DELETE /jobs/old").send(http.response(200))
         self.take("POST old").send(http.response(202))
         self.call_back("old", worker="w2")
         self.assertEqual(200, self.answer(old).status)
 
-    def test_what_comes_from_then_on_has_the_new_ones_alone(self) -> None:
+    def test_later_jobs_use_only_the_new_settings(self) -> None:
         self.begin(workers=2)
         body = self.job("half", "deck-build")
         half = self.client()
-        half.send(body[:-2])  # its head is good under the old settings
+        half.send(body[:-2])  # its head is valid under the old settings
         self.turn()
-        self.others()
+        self.change_settings()
         self.assertIn(self.answer(half).status, (400, 404))
         for job_class, tenant, status in (("deck-build", "clinic", 400), ("scan", "norte", 400)):
             side = self.client()
@@ -633,7 +646,7 @@
             self.assertEqual(status, self.answer(side).status)
         new = self.client()
         new.send(self.job("new").replace(b"norte", b"clinic"))
-        self.take("POST new").sock.close()  # the class of that name is not to be repeated now
+        self.take("POST new").sock.close()  # jobs of this class are unsafe now
         self.assertEqual(502, self.answer(new).status)
         module = self.app.engine.decisions
         self.assertEqual({"deck-fetch", "scan"}, set(module.context.mode.classes))
@@ -649,20 +662,20 @@
         self.nothing()
 
 
-class Silence(Loopback):
-    """The waits in a row, against the 6 s after which what a silent watch misses counts as told."""
+class SilentDiscovery(Loopback):
+    """Silent list calls in sequence take less than the 6 s after which a change counts as notified."""
 
-    def falls_silent(self, after: bytes, **more: Any) -> None:
+    def check_update_after_silence(self, after: bytes, **more: Any) -> None:
         self.begin(workers=2, **more)
         if after:
             self.watches[-1].send(after)
             self.turn()
-        begun = len(self.asked_lists())
-        quiet = 0.0
-        while len(self.asked_lists()) == begun:
+        called = len(self.asked_lists())
+        silence = 0.0
+        while len(self.asked_lists()) == called:
             self.wait(50)
-            quiet += 50
-            self.assertLess(quiet, 6_000 - 500)
+            silence += 50
+            self.assertLess(silence, 6_000 - 500)
         self.tell(60, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
@@ -671,72 +684,75 @@
         {"balancers": 200},
         {"discovery": "automatic", "balancers": 200},
     )
-    HEAD = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
-    LINE = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode() + b"\n"
+    RESPONSE_HEAD = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+    LIST_LINE = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode() + b"\n"
 
-    def quiet_until_called(self, most: float) -> float:
-        """Say nothing to any call until another one comes; gives how long that took, ms."""
-        called, quiet = len(self.asked_lists()), 0.0
+    def wait_for_next_call(self, max_silence: float) -> float:
+        """Return the time in ms until the next list call while all calls are left unanswered."""
+        called = len(self.asked_lists())
+        silence = 0.0
         while len(self.asked_lists()) == called:
             self.wait(50)
-            quiet += 50
-            self.assertLess(quiet, most)
-        return quiet
+            silence += 50
+            self.assertLess(silence, max_silence)
+        return silence
 
-    def told_on_the_newest_call(self) -> None:
+    def check_update_on_newest_call(self) -> None:
         self.tell(60, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_and_the_call_after_it_are_both_silent(self) -> None:
-        """What the watch misses counts as told 6 s after its last line, whatever becomes of the next call."""
+        """A change counts as notified 6 s after the watch's last line, whatever becomes of the next call."""
         for more in self.FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
-                self.watches[-1].send(self.HEAD + http.chunk(self.LINE))
+                self.watches[-1].send(self.RESPONSE_HEAD + http.chunk(self.LIST_LINE))
                 self.turn()
-                since = self.quiet_until_called(6_000)
-                since += self.quiet_until_called(6_000 - since)
-                self.assertLessEqual(since, TOLD_AFTER - ANSWERED_IN)
-                self.told_on_the_newest_call()
+                since = self.wait_for_next_call(6_000)
+                since += self.wait_for_next_call(6_000 - since)
+                self.assertLessEqual(since, ASSUMED_NOTIFIED_AFTER_MS - CALL_RESPONSE_MS)
+                self.check_update_on_newest_call()
                 self.assertEqual(1, len(self.app.discovery.calls))
 
     def test_the_first_call_of_a_process_is_silent(self) -> None:
         for more in self.FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
-                self.assertLessEqual(self.quiet_until_called(6_000), TOLD_AFTER - ANSWERED_IN - 2_500)
-                self.told_on_the_newest_call()
+                self.assertLessEqual(
+                    self.wait_for_next_call(6_000), ASSUMED_NOTIFIED_AFTER_MS - CALL_RESPONSE_MS - 2_500
+                )
+                self.check_update_on_newest_call()
 
     def test_a_first_call_that_answers_late_is_kept_and_the_second_one_ended(self) -> None:
         self.begin(workers=2)
         first = self.watches[-1]
-        self.quiet_until_called(6_000)
+        self.wait_for_next_call(6_000)
         second = self.watches[-1]
-        first.send(self.HEAD + http.chunk(self.LINE))
+        first.send(self.RESPONSE_HEAD + http.chunk(self.LIST_LINE))
         self.until(lambda: second.read() or second.ended)  # type: ignore[func-returns-value]
         self.assertEqual(1, len(self.app.discovery.calls))
         self.wait(2_000)
         self.assertFalse(first.ended)
 
-    def test_a_call_that_fails_leaves_the_other_one_to_be_waited_for(self) -> None:
+    def test_a_failed_call_leaves_the_other_one_open(self) -> None:
         self.begin(workers=2)
-        self.quiet_until_called(6_000)
+        self.wait_for_next_call(6_000)
         self.watches[-2].sock.close()
         self.turn()
         self.assertEqual(0, self.app.engine.figures().list_calls_failed)
-        self.told_on_the_newest_call()
+        self.check_update_on_newest_call()
 
-    def test_both_calls_silent_are_one_failure_and_end_both(self) -> None:
+    def test_two_silent_calls_count_as_one_failure_and_are_closed(self) -> None:
         self.begin(workers=2)
         self.wait(4_100)
         self.asked_lists()
         self.assertEqual(1, self.app.engine.figures().list_calls_failed)
         self.assertEqual([True, True], [side.ended for side in self.watches[:2]])
 
-    def test_moved_amid_two_calls_only_the_new_address_is_called(self) -> None:
+    def test_after_an_address_change_only_the_new_address_is_called(self) -> None:
         self.begin(workers=2)
-        self.quiet_until_called(6_000)
-        former = self.watches[:]
+        self.wait_for_next_call(6_000)
+        previous = self.watches[:]
         self.lists = self.listener()
         self.raw["discovery"] = address_of(self.lists)
         self.app.reload()
@@ -745,12 +761,12 @@
         self.assertEqual(1, len(self.app.discovery.calls))
         self.tell(7, whole=True, w1="draining", w2="up")
         self.wait(50)
-        for side in former:
+        for side in previous:
             side.read()
-        self.assertEqual([True, True], [side.ended for side in former])
+        self.assertEqual([True, True], [side.ended for side in previous])
 
-    def test_discovery_is_down_for_long_and_a_change_waits_at_its_return(self) -> None:
-        """Refused at once, however often: the call after the return goes out well within the 6 s."""
+    def test_discovery_returns_with_a_change_after_a_long_outage(self) -> None:
+        """However many calls were refused at once, the call after the outage goes out well within the 6 s."""
         for more in self.FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
@@ -761,77 +777,83 @@
                 self.lists = socket.create_server(address)
                 self.lists.setblocking(False)
                 self.addCleanup(self.lists.close)
-                self.assertLessEqual(self.quiet_until_called(6_000), 2_500)
-                self.told_on_the_newest_call()
+                self.assertLessEqual(self.wait_for_next_call(6_000), 2_500)
+                self.check_update_on_newest_call()
 
-    def test_before_its_first_line(self) -> None:
+    def test_silent_before_the_first_line(self) -> None:
         for more in self.FLEETS:
             with self.subTest(**more):
-                self.falls_silent(b"", **more)
+                self.check_update_after_silence(b"", **more)
 
-    def test_after_a_line(self) -> None:
+    def test_silent_after_a_line(self) -> None:
         for more in self.FLEETS:
             with self.subTest(**more):
-                self.falls_silent(self.HEAD + http.chunk(self.LINE), **more)
+                self.check_update_after_silence(self.RESPONSE_HEAD + http.chunk(self.LIST_LINE), **more)
 
-    def test_half_way_through_a_line_and_a_chunk(self) -> None:
-        self.falls_silent(self.HEAD + http.chunk(self.LINE) + http.chunk(self.LINE[:20]))
-        self.falls_silent(self.HEAD + http.chunk(self.LINE) + http.chunk(self.LINE)[:20])
+    def test_silent_within_a_line_and_within_a_chunk(self) -> None:
+        self.check_update_after_silence(
+            self.RESPONSE_HEAD + http.chunk(self.LIST_LINE) + http.chunk(self.LIST_LINE[:20])
+        )
+        self.check_update_after_silence(
+            self.RESPONSE_HEAD + http.chunk(self.LIST_LINE) + http.chunk(self.LIST_LINE)[:20]
+        )
 
 
-class Crowd(Loopback):
-    """Idle clients want every descriptor there is, while discovery is down."""
+class IdleClients(Loopback):
+    """Idle clients would use up all descriptors while discovery is down."""
 
     SOCKETS = 96
 
     def idle_clients(self, count: int) -> list[Side]:
         return [self.client() for _ in range(count)]
 
-    def test_a_burst_in_one_turn_takes_no_more_than_the_clients_part(self) -> None:
+    def test_a_burst_in_one_reactor_iteration_stays_within_the_limit(self) -> None:
         self.begin(sockets=self.SOCKETS)
-        most = self.app.server.max_connections
+        max_connections = self.app.server.max_connections
         self.idle_clients(2 * self.SOCKETS)
         for _ in range(20):
             self.turn(1)
-            self.assertLessEqual(len(self.app.server.connections), most)
+            self.assertLessEqual(len(self.app.server.connections), max_connections)
 
-    def test_the_calls_for_the_list_and_the_watch_get_theirs_at_its_return(self) -> None:
-        for asked in (False, True):  # clients that say nothing, and such that rest after their first request
+    def test_discovery_calls_get_descriptors_when_it_returns(self) -> None:
+        for asked in (False, True):  # clients that send nothing, and clients idle after a first request
             with self.subTest(asked=asked):
                 self.begin(workers=2, sockets=self.SOCKETS)
                 address = self.lists.getsockname()
                 self.lists.close()
                 self.watches[-1].sock.close()
-                crowd: list[Side] = []
+                clients: list[Side] = []
                 for _ in range(20):
-                    crowd += self.idle_clients(10)
+                    clients += self.idle_clients(10)
                     if asked:
-                        crowd[-1].send(http.request("GET", "/up", "x"))
+                        clients[-1].send(http.request("GET", "/up", "x"))
                     self.wait(500)
-                    own = len(self.app.server.connections) + len(self.app.workers.connections)
-                    self.assertLessEqual(own + OWN_CALLS, self.SOCKETS - OWN_LEAST)
+                    open_connections = len(self.app.server.connections) + len(self.app.workers.connections)
+                    self.assertLessEqual(
+                        open_connections + DISCOVERY_DESCRIPTORS, self.SOCKETS - MIN_PROGRAM_DESCRIPTORS
+                    )
                 self.lists = socket.create_server(address)
                 self.lists.setblocking(False)
                 self.addCleanup(self.lists.close)
                 called = len(self.asked_lists())
                 for _ in range(25):
-                    crowd += self.idle_clients(10)
+                    clients += self.idle_clients(10)
                     self.wait(100)
                     if len(self.asked_lists()) > called:
                         break
                 self.tell(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
-                crowd += self.idle_clients(self.SOCKETS)
+                clients += self.idle_clients(self.SOCKETS)
                 self.wait(1_000)
                 self.assertFalse(self.watches[-1].ended)
-                for side in crowd:
+                for side in clients:
                     side.sock.close()
 
 
-class Connections(Loopback):
-    """A worker's connection that ends, or says something, at the wrong instant."""
+class WorkerConnections(Loopback):
+    """A worker closes its connection or sends a response at an unexpected time."""
 
-    def served(self, request_id: str = "a1") -> Side:
+    def serve_job(self, request_id: str = "a1") -> Side:
         side = self.client()
         side.send(self.job(request_id))
         worker = self.take(f"POST {request_id}")
@@ -840,32 +862,34 @@
         self.assertEqual(200, self.answer(side).status)
         return worker
 
-    def test_one_closed_just_before_a_job_is_written_costs_it_nothing(self) -> None:
+    def test_a_connection_closed_just_before_a_write_costs_no_attempt(self) -> None:
         for ends in (True, False):
             with self.subTest(ends):
                 self.begin()
-                kept = self.served()
+                kept = self.serve_job()
                 side = self.client()
                 self.turn()
-                c = list(self.app.server.connections)[-1]
+                connection = list(self.app.server.connections)[-1]
                 if ends:
                     kept.sock.close()
                 else:
-                    kept.send(b"HTTP/1.1 202 Accepted\r\n")  # nobody has asked for it
-                c.dataReceived(self.job("a2", "deck-build"))  # before the reactor looks again
+                    kept.send(b"HTTP/1.1 202 Accepted\r\n")  # a response without a request
+                connection.dataReceived(
+                    self.job("a2", "deck-build")
+                )  # before the reactor reads the worker's connection
                 self.take("POST a2").send(http.response(202))
                 self.call_back("a2")
                 self.assertEqual(200, self.answer(side).status)
 
-    def test_an_answer_that_answers_no_job_gives_the_attempt_up_before_the_next(self) -> None:
-        """As the second answer to a question how the worker stands: the job goes on there, and counts."""
+    def test_an_unexpected_response_cancels_the_attempt_before_the_next(self) -> None:
+        """Covers a second response to a poll: the worker may go on to run the job, so the attempt counts."""
         self.begin(workers=2)
         side = self.client()
         side.send(self.job("a1"))
         worker = self.take("POST a1")
         worker.send(http.response(200, b'{"cpu_share": 0.1, "x0": 2}'))
         self.turn()
-        self.assertEqual(["DELETE /jobs/a1"], [what for what, _ in self.came()])  # its 202 may come yet
+        self.assertEqual(["DELETE /jobs/a1"], [what for what, _ in self.came()])  # its 202 may still come
         self.take("DELETE /jobs/a1").send(http.response(200))
         self.take("POST a1").send(http.response(202))
         self.turn()
@@ -874,8 +898,8 @@
         self.call_back("a1", worker="w2")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_an_answer_begun_with_202_and_never_ended_means_that_the_worker_has_the_job(self) -> None:
-        """To close its connection gives nothing up by then: the next attempt was a second copy."""
+    def test_an_unfinished_202_response_means_the_worker_accepted_the_job(self) -> None:
+        """Guards against a duplicate execution: closing the connection no longer cancels the job."""
         self.begin(workers=2)
         side = self.client()
         side.send(self.job("a1"))
@@ -887,13 +911,13 @@
         self.assertFalse(worker.ended)
         self.wait(200)
         worker.read()
-        self.assertTrue(worker.ended)  # no connection is kept for ever
+        self.assertTrue(worker.ended)  # the connection is closed in the end
         self.nothing()
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
-    def test_a_keyed_job_is_not_written_when_its_repeat_would_no_longer_be_dropped(self) -> None:
-        self.begin(workers=2, classes=[*CLASSES, KEYED])
+    def test_a_keyed_job_is_not_written_after_its_deduplication_window(self) -> None:
+        self.begin(workers=2, classes=[*CLASSES, KEYED_CLASS])
         side = self.client()
         side.send(self.job("a1", "stamp"))
         worker = self.take("POST a1")
