--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,18 +1,18 @@
-"""Scenarios of the platform's protocol; the language is in scenario.py."""
+"""Scenarios of the platform's protocol, in the language that scenario.py defines."""
 
 from __future__ import annotations
 
 from tests.scenario import Scenario
 
-UP = "GET /up HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n"
-HEAD = (
+UP_REQUEST = "GET /up HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n"
+JOB_HEAD = (
     "POST /deck-fetch HTTP/1.1\\r\\nHost: x\\r\\nX-Call-Id: {0}\\r\\nX-Call-Class: deck-fetch\\r\\n"
     "X-Caller: norte\\r\\nX-Budget-Ms: 5000\\r\\nContent-Length: {1}\\r\\n\\r\\n"
 )
 
 
 class Jobs(Scenario):
-    """The life of a job, by the protocol's table of outcomes."""
+    """Outcomes of jobs as the protocol's table of outcomes lists them."""
 
     def test_a_job_is_served_by_a_call_back_and_its_connection_reused(self) -> None:
         self.play("""
@@ -42,8 +42,8 @@
         """)
         self.assertEqual(2, len(self.world.workers))
 
-    def test_call_backs_that_match_no_live_attempt_count_for_nothing(self) -> None:
-        """Guards against late, repeated and foreign call-backs."""
+    def test_call_backs_that_match_no_live_attempt_are_ignored(self) -> None:
+        """Guards against late and repeated call-backs and those from another worker."""
         self.play("""
             c send job a1 deck-build
             w expect POST a1
@@ -74,7 +74,7 @@
             workers=2,
         )
 
-    def test_a_503_without_the_mark_may_have_run(self) -> None:
+    def test_a_503_without_x_rejected_may_have_run(self) -> None:
         self.play(
             """
             c send job a1 deck-build
@@ -86,7 +86,7 @@
             workers=2,
         )
 
-    def test_a_job_handed_back_unstarted_goes_on(self) -> None:
+    def test_a_job_returned_unstarted_is_sent_to_another_worker(self) -> None:
         self.play(
             """
             c send job a1 deck-build
@@ -123,8 +123,8 @@
             workers=2,
         )
 
-    def test_a_break_before_the_202_may_have_run(self) -> None:
-        """Guards against a resend over a stale connection: written is not proof that nothing ran."""
+    def test_a_connection_lost_before_the_202_may_have_run(self) -> None:
+        """Guards against a resend after a stale connection: a job that was written may have run."""
         self.play(
             """
             c send job a1 deck-build
@@ -136,17 +136,17 @@
             workers=2,
         )
 
-    def test_a_break_before_the_last_byte_was_written_proves_it_never_ran(self) -> None:
+    def test_a_connection_lost_before_the_last_byte_was_written_never_ran(self) -> None:
         self.begin(workers=2)
         connect = self.world.connect
 
-        def stalled(address: str, factory: object) -> object:
-            done = connect(address, factory)
+        def connect_stalled(address: str, factory: object) -> object:
+            connection = connect(address, factory)
             self.world.app.workers.connect = connect
-            return done
+            return connection
 
         self.play("c send job a0 deck-fetch\nw expect POST a0\nw send 202\nw send call done a0")
-        self.world.app.workers.connect = stalled  # type: ignore[assignment]
+        self.world.app.workers.connect = connect_stalled  # type: ignore[assignment]
         wire = self.world.workers[0].wire
         self.play("w close reading\nc expect 200\nc send job a1 deck-build")
         if wire.unread:  # the rotation chose the connection whose peer does not read
@@ -155,7 +155,7 @@
             self.world.workers[0].messages.clear()
         self.play("c expect nothing")
 
-    def test_a_refused_connection_never_ran(self) -> None:
+    def test_a_job_whose_connection_is_refused_never_ran(self) -> None:
         self.play("""
             w close listener
             c send job a1 deck-build budget=400
@@ -164,7 +164,7 @@
             c expect 503 Retry-After: 0.2
         """)
 
-    def test_a_connection_that_never_comes_up_never_ran(self) -> None:
+    def test_a_job_whose_connection_times_out_never_ran(self) -> None:
         self.play("""
             w close silent
             c send job a1 deck-build budget=900
@@ -173,7 +173,7 @@
             log expect connect
         """)
 
-    def test_bad_bytes_of_a_worker_end_the_attempt(self) -> None:
+    def test_a_malformed_response_of_a_worker_ends_the_attempt(self) -> None:
         self.play("""
             c send job a1 deck-build
             w expect POST a1
@@ -182,7 +182,7 @@
             log expect end:bad-answer
         """)
 
-    def test_a_time_out_gives_the_attempt_up_and_answers_by_the_deadline(self) -> None:
+    def test_a_timeout_cancels_the_attempt_and_answers_by_the_deadline(self) -> None:
         self.play("""
             c send job a1 deck-build budget=700
             w expect POST a1
@@ -194,7 +194,7 @@
             w expect DELETE a1
         """)
 
-    def test_a_time_out_before_the_202_closes_the_connection(self) -> None:
+    def test_a_timeout_before_the_202_closes_the_connection(self) -> None:
         self.play("""
             c send job a1 deck-fetch budget=300
             w expect POST a1
@@ -204,7 +204,7 @@
             log expect end:given-up
         """)
 
-    def test_a_client_that_goes_has_its_job_cancelled(self) -> None:
+    def test_the_job_of_a_client_that_disconnects_is_cancelled(self) -> None:
         self.play("""
             c send job a1 deck-build
             w expect POST a1
@@ -216,8 +216,8 @@
         """)
         self.assertEqual(0, len(self.world.app.engine.jobs))
 
-    def test_a_late_end_of_an_earlier_attempt_does_not_make_two_copies(self) -> None:
-        """Guards against 'lost' of a broken attempt being taken for the end of the live one."""
+    def test_a_late_end_of_an_earlier_attempt_causes_no_duplicate_execution(self) -> None:
+        """Guards against 'lost' of an earlier broken attempt being applied to the live attempt."""
         self.play("""
             c send job a1 deck-fetch
             w expect POST a1
@@ -236,7 +236,7 @@
             c expect 503
         """)
 
-    def test_the_hard_guard_answers_what_the_module_forgets(self) -> None:
+    def test_the_deadline_guard_answers_what_the_decisions_miss(self) -> None:
         self.begin()
         self.world.app.engine.decisions.handle = lambda now, event: []  # type: ignore[method-assign]
         self.play("""
@@ -248,13 +248,13 @@
             log expect guard
         """)
 
-    def test_an_error_in_the_module_stops_neither_job_nor_program(self) -> None:
+    def test_an_error_in_the_decisions_stops_neither_job_nor_program(self) -> None:
         self.begin()
 
-        def fails(now: float, event: object) -> list[object]:
+        def raise_error(now: float, event: object) -> list[object]:
             raise KeyError("no such thing")
 
-        self.world.app.engine.decisions.handle = fails  # type: ignore[method-assign, assignment]
+        self.world.app.engine.decisions.handle = raise_error  # type: ignore[method-assign, assignment]
         self.play("""
             c send job a1 deck-fetch budget=300
             wait 310
@@ -264,9 +264,9 @@
 
 
 class Connections(Scenario):
-    """Pools, parsing and bounded memory."""
+    """Connection pools, parsing and bounded memory."""
 
-    def test_idle_connections_retire_before_the_worker_closes_them(self) -> None:
+    def test_idle_connections_are_closed_before_the_worker_closes_them(self) -> None:
         self.play("""
             c send job a1 deck-fetch
             w expect POST a1
@@ -292,8 +292,8 @@
         """)
         self.assertEqual(2, len(self.world.workers))
 
-    def test_a_worker_that_does_not_answer_is_not_waited_for(self) -> None:
-        """Guards against a kept connection that fell silent: jobs hung on it to their deadlines."""
+    def test_an_unresponsive_kept_connection_is_abandoned_early(self) -> None:
+        """Guards against a silent kept connection on which jobs waited until their deadlines."""
         self.play("""
             c send job a1 deck-fetch
             w expect POST a1
@@ -321,37 +321,44 @@
             c expect 502
         """)
 
-    def test_where_free_connections_are_cut_they_are_kept_for_less(self) -> None:
-        """Guards jobs that must not be repeated: the one that finds the cut may have run for all we know."""
-        done = "w send 202\nw send call done {0}\nc expect 200\n"
-        ask = "c send job {0} deck-fetch\nw expect POST {0}\n"
-        self.play(ask.format("a1") + done.format("a1") + "wait 400\n" + ask.format("a2"))
+    def test_idle_connections_that_break_shorten_the_idle_timeout(self) -> None:
+        """Guards unsafe jobs: one written to a broken idle connection may have run and is not retried."""
+        finish_job = "w send 202\nw send call done {0}\nc expect 200\n"
+        send_job = "c send job {0} deck-fetch\nw expect POST {0}\n"
+        self.play(send_job.format("a1") + finish_job.format("a1") + "wait 400\n" + send_job.format("a2"))
         cancelled_and_resent = "w expect DELETE a2\nw send 200\nw expect POST a2\n"
-        self.play("w close\nlog expect stale\nwait 60\n" + cancelled_and_resent + done.format("a2"))
+        self.play("w close\nlog expect stale\nwait 60\n" + cancelled_and_resent + finish_job.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
         self.assertAlmostEqual(200, keep_alive.idle_timeout, delta=5)
-        self.play("wait 50\nc send job b1 deck-build\nw expect POST b1\n" + done.format("b1"))
+        self.play("wait 50\nc send job b1 deck-build\nw expect POST b1\n" + finish_job.format("b1"))
         self.assertEqual(3, len(self.world.workers))
-        self.play("wait 190\n" + ask.format("a3") + done.format("a3") + "wait 220\nlog expect end:idle")
+        self.play(
+            "wait 190\n" + send_job.format("a3") + finish_job.format("a3") + "wait 220\nlog expect end:idle"
+        )
         self.assertEqual(3, len(self.world.workers))
-        self.play(ask.format("a4") + done.format("a4") + "wait 60000")
+        self.play(send_job.format("a4") + finish_job.format("a4") + "wait 60000")
         self.assertEqual((4, keep_alive.max_idle_timeout), (len(self.world.workers), keep_alive.idle_timeout))
 
-    def test_workers_that_break_new_connections_do_not_cost_the_kept_ones(self) -> None:
-        """Guards against a handshake a job where it is the workers that reset, old connections or new."""
-        done = "w send 202\nw send call done {0}\nc expect 200\n"
-        ask = "c send job {0} deck-fetch\nw expect POST {0}\n"
+    def test_breaks_of_new_connections_do_not_shorten_the_idle_timeout(self) -> None:
+        """Guards against a handshake for each job where workers reset both kept and new connections."""
+        finish_job = "w send 202\nw send call done {0}\nc expect 200\n"
+        send_job = "c send job {0} deck-fetch\nw expect POST {0}\n"
         cancelled_and_resent = "w expect DELETE {0}\nw send 200\nw expect POST {0}\n"
         self.play(
-            ask.format("a1") + "w close\nwait 150\n" + cancelled_and_resent.format("a1") + done.format("a1")
+            send_job.format("a1")
+            + "w close\nwait 150\n"
+            + cancelled_and_resent.format("a1")
+            + finish_job.format("a1")
         )
-        self.play("wait 300\n" + ask.format("a2") + "w close\nwait 100\n" + cancelled_and_resent.format("a2"))
-        self.play(done.format("a2"))
+        self.play(
+            "wait 300\n" + send_job.format("a2") + "w close\nwait 100\n" + cancelled_and_resent.format("a2")
+        )
+        self.play(finish_job.format("a2"))
         keep_alive = self.world.app.workers.keep_alive
         self.assertEqual(keep_alive.max_idle_timeout, keep_alive.idle_timeout)
-        keep_alive.new_connections.breaks = 1.0  # one new connection in twenty breaks all the same
+        keep_alive.new_connections.breaks = 1.0  # one new connection in twenty breaks too
         keep_alive.new_connections.uses, keep_alive.reused_connections.uses = 20.0, 5.0
-        self.play("wait 300\n" + ask.format("a3") + "w close\nlog expect stale")
+        self.play("wait 300\n" + send_job.format("a3") + "w close\nlog expect stale")
         self.assertFalse(keep_alive.prefers_new_connections)
 
     def test_input_split_anywhere_is_read(self) -> None:
@@ -365,7 +372,9 @@
 
     def test_pipelined_input_is_answered_in_order_and_bounded(self) -> None:
         self.begin()
-        more = "".join(f"c send job b{n} deck-fetch\n" for n in range(600))  # more than one largest request
+        more = "".join(
+            f"c send job b{n} deck-fetch\n" for n in range(600)
+        )  # more than one request of the maximum size
         self.play(f"""
             c send job a1 deck-fetch
             c send raw GET /up HTTP/1.1\\r\\nHost: x\\r\\n\\r\\n
@@ -379,22 +388,22 @@
         """)
         self.assertTrue(self.world.peers["c"].wire.paused)
 
-    def test_a_slow_reader_is_dropped_in_the_end(self) -> None:
+    def test_a_slow_reader_is_disconnected(self) -> None:
         self.begin()
-        big = "x" * 40_000
+        result = "x" * 40_000
         self.play(f"""
             c close reading
             c send job a1 deck-fetch
             w expect POST a1
             w send 202
-            w send call done a1 {big}
+            w send call done a1 {result}
             c send job a2 deck-fetch
             w expect nothing
             wait 20100
             log expect end:slow-reader
         """)
 
-    def test_bad_requests_reach_nobody(self) -> None:
+    def test_bad_requests_reach_no_worker(self) -> None:
         head = "Host: x\\r\\nContent-Length: 0\\r\\n"
         good = "X-Call-Id: i\\r\\nX-Call-Class: deck-fetch\\r\\nX-Caller: norte\\r\\nX-Budget-Ms: 50\\r\\n"
         cases = {
@@ -425,7 +434,7 @@
             self.play(f"c{n} send raw {text}\nc{n} expect {status}\nw expect nothing")
         self.assertEqual(0, len(self.world.app.engine.jobs))
 
-    def test_a_live_id_is_not_taken_twice(self) -> None:
+    def test_a_live_request_id_is_rejected(self) -> None:
         self.play("""
             c send job a1 deck-fetch
             w expect POST a1
@@ -434,7 +443,7 @@
             w expect nothing
         """)
 
-    def test_a_fault_in_the_program_is_met_in_one_request_only(self) -> None:
+    def test_a_program_error_affects_only_one_request(self) -> None:
         self.begin()
         self.world.app.server.handle_job = None  # type: ignore[method-assign, assignment]
         self.play("""
@@ -446,7 +455,7 @@
             c2 expect 200
         """)
 
-    def test_connections_to_workers_are_bounded_while_they_come_up(self) -> None:
+    def test_connections_being_opened_to_workers_are_bounded(self) -> None:
         self.begin(workers=2)
         self.world.app.workers.connections.limit = 1
         self.play("""
@@ -460,10 +469,10 @@
         """)
         self.assertLessEqual(self.world.app.workers.connections.opening, 1)
 
-    def test_with_fewer_connections_than_workers_the_one_free_for_longest_gives_way(self) -> None:
+    def test_with_fewer_connections_than_workers_the_longest_idle_one_is_closed(self) -> None:
         self.begin(workers=5)
         self.world.app.workers.connections.limit = 2
-        for n in range(1, 11):  # each worker in its turn, twice
+        for n in range(1, 11):  # each worker in rotation order, twice
             self.play(f"""
                 c send job a{n} deck-fetch
                 w expect POST a{n}
@@ -485,11 +494,11 @@
             c2 expect 503 Retry-After: 1
         """)
 
-    def test_past_the_soft_limit_idle_clients_go_and_call_backs_still_come(self) -> None:
-        """Guards the descriptors for call-backs; who is silent goes first, who has a good head stays."""
+    def test_past_the_shedding_threshold_idle_clients_are_closed(self) -> None:
+        """Keeps descriptors for call-backs: silent clients are closed first, those with a valid head stay."""
         self.begin(workers=2, sockets=64)
         server = self.world.app.server
-        idle = "".join(f"c{n} send raw {UP}\n" for n in range(5))
+        idle = "".join(f"c{n} send raw {UP_REQUEST}\n" for n in range(5))
         rest = "".join(f"c{n} send raw P\n" for n in range(5, server.max_connections - 6))
         more = "".join(f"c{n} send raw P\n" for n in range(60, 65))
         self.play(f"""
@@ -519,10 +528,11 @@
         """)
         self.assertLessEqual(len(server.connections), server.shedding_threshold)
 
-    def test_hundreds_that_say_nothing_keep_nobody_out(self) -> None:
-        """Guards usual clients and call-backs; accepting stops at the limit, and goes on by itself."""
+    def test_silent_connections_do_not_keep_clients_out(self) -> None:
+        """Keeps clients and call-backs served: accepting stops at the limit and resumes by itself."""
         self.begin(sockets=64)
-        server, n = self.world.app.server, 0
+        server = self.world.app.server
+        n = 0
         while server.accepting:
             self.client(f"c{n}")
             n += 1
@@ -537,13 +547,13 @@
             c999 expect 200 hello
         """)
 
-    def test_who_sends_no_whole_request_is_ended_within_3_s_of_connecting(self) -> None:
-        """Guards against the silent, endless heads and unfinished bodies; each piece wins no time."""
+    def test_a_client_without_a_whole_request_is_disconnected_within_3_s(self) -> None:
+        """Guards against silence, endless heads and unfinished bodies: a further piece extends no timeout."""
         self.play(f"""
             c0 expect nothing
             c1 send raw POST /deck-fetch HTTP/1.1\\r\\n
-            c2 send raw {HEAD.format("i", 9)}half
-            c3 send raw {HEAD.format("i", 9)}h
+            c2 send raw {JOB_HEAD.format("i", 9)}half
+            c3 send raw {JOB_HEAD.format("i", 9)}h
             wait 1000
             c1 send raw X-More: 1\\r\\n
             wait 1000
@@ -561,9 +571,9 @@
         """)
         self.assertEqual(1, len(self.world.app.engine.jobs))
 
-    def test_a_refused_head_ends_its_connection_and_the_rest_is_not_read(self) -> None:
-        """Guards against hundreds of bad requests in one go, and the same again after each answer."""
-        bad = HEAD.format(1, 9).replace("deck-fetch", "deck-buy")
+    def test_a_refused_head_closes_its_connection_and_the_rest_is_not_read(self) -> None:
+        """Guards against hundreds of bad requests sent at once, and again after each response."""
+        bad = JOB_HEAD.format(1, 9).replace("deck-fetch", "deck-buy")
         self.play(f"""
             c send raw {bad * 300}
             c expect 400
@@ -573,8 +583,8 @@
         """)
         self.assertEqual(0, self.world.app.server.kept_bytes)
 
-    def test_an_id_that_was_answered_is_not_taken_again(self) -> None:
-        """Guards against another client's id, which came to workers once its job was done."""
+    def test_an_answered_request_id_is_rejected(self) -> None:
+        """Guards against a reused request id, which reached workers once the first job was done."""
         self.play("""
             c send job a1 deck-fetch
             w expect POST a1
@@ -586,14 +596,14 @@
             w expect nothing
         """)
 
-    def test_bodies_that_come_at_once_are_bounded_together(self) -> None:
-        """Guards the memory: past the limit who is in the middle of a body is refused, whole jobs are not."""
+    def test_bodies_received_at_once_are_bounded_in_total(self) -> None:
+        """Bounds memory: past the limit, requests with unfinished bodies are refused, whole jobs are not."""
         self.begin()
         server = self.world.app.server
         server.kept_bytes_limit = 100_000
-        part = "x" * 40_000
+        body_prefix = "x" * 40_000
         self.play(
-            "".join(f"c{n} send raw {HEAD.format(n, 60_000)}{part}\n" for n in range(5))
+            "".join(f"c{n} send raw {JOB_HEAD.format(n, 60_000)}{body_prefix}\n" for n in range(5))
             + """
             c0 expect nothing
             c1 expect nothing
@@ -606,8 +616,8 @@
         )
         self.assertLessEqual(server.kept_bytes, server.kept_bytes_limit)
 
-    def test_after_sigterm_jobs_are_taken_for_the_time_until_sigkill(self) -> None:
-        """Guards against seconds in which nobody serves: the next dispatcher is not back yet (term)."""
+    def test_after_sigterm_jobs_are_accepted_until_sigkill(self) -> None:
+        """Guards against seconds without service after SIGTERM, before the next dispatcher is back."""
         self.play(
             """
             c send job a0 deck-fetch
@@ -638,8 +648,8 @@
             workers=1,
         )
 
-    def test_clients_are_let_go_in_time_to_find_the_next_dispatcher(self) -> None:
-        """Guards against clients that are held until the next one is to end, too (reload)."""
+    def test_idle_clients_are_closed_in_time_to_reach_the_next_dispatcher(self) -> None:
+        """Guards against clients held in a rolling restart until the next dispatcher ends as well."""
         self.play("""
             c send job a0 deck-fetch
             w expect POST a0
@@ -659,7 +669,7 @@
             c2 expect closed
         """)
 
-    def test_sigterm_serves_on_then_refuses_and_ends_when_empty(self) -> None:
+    def test_after_sigterm_jobs_are_served_then_rejected_until_exit(self) -> None:
         self.play(
             """
             c send job a1 deck-build budget=9000
@@ -703,10 +713,10 @@
         )
 
 
-class Questions(Scenario):
-    """Workers asked how they stand, as one of many dispatchers does before a job goes."""
+class Polls(Scenario):
+    """Workers polled for their load, as one of many dispatchers does before it sends a job."""
 
-    MANY = {
+    MANY_DISPATCHERS = {
         "balancers": 40,
         "limits": {
             "conn_idle": 10000,
@@ -717,7 +727,7 @@
         },
     }
 
-    def test_a_job_goes_over_the_connection_of_the_question_to_the_worker_with_room(self) -> None:
+    def test_a_job_uses_the_poll_connection_of_the_worker_with_free_slots(self) -> None:
         self.play(
             """
             c send job a1 deck-build
@@ -732,7 +742,7 @@
             c expect 200 hello
         """,
             workers=2,
-            **self.MANY,
+            **self.MANY_DISPATCHERS,
         )
         self.assertEqual(2, len(self.world.workers))
 
@@ -751,11 +761,11 @@
             log expect end:given-up
         """,
             workers=2,
-            **self.MANY,
+            **self.MANY_DISPATCHERS,
         )
 
-    def test_what_a_worker_answers_badly_stops_no_job(self) -> None:
-        """A refusal to answer, a report that cannot be read, and a connection that breaks."""
+    def test_a_failed_poll_stops_no_job(self) -> None:
+        """Covers a refused poll, an unreadable report and a connection that breaks."""
         for answer in (
             "send 503",
             "send raw HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\n{]",
@@ -772,13 +782,13 @@
                     w expect POST a1
                 """,
                     workers=1,
-                    **self.MANY,
+                    **self.MANY_DISPATCHERS,
                 )
 
-    def test_a_worker_listed_as_draining_is_not_asked(self) -> None:
+    def test_a_worker_listed_as_draining_is_not_polled(self) -> None:
         self.play(
             """
-            # where dispatchers are many, the first call for the list waits its turn, 2.5 s at most
+            # with many dispatchers the first list call is delayed by 2.5 s at most
             wait 2500
             d expect watch 41
             d send changes 42 w1=draining
@@ -789,15 +799,15 @@
             w expect nothing
         """,
             workers=2,
-            **self.MANY,
+            **self.MANY_DISPATCHERS,
         )
 
 
 class Reloads(Scenario):
-    """SIGHUP."""
+    """SIGHUP reloads the settings."""
 
-    def test_the_watch_moves_at_once_and_jobs_live_on(self) -> None:
-        """Guards against a signal that ends the program, and versions of one address meant for another."""
+    def test_the_watch_moves_at_once_and_jobs_continue(self) -> None:
+        """Guards against SIGHUP ending the program and a list version being sent to another address."""
         self.play("""
             d expect watch 41
             d send changes 44 w2=up
@@ -818,12 +828,12 @@
         """)
         self.assertEqual({"w1", "w2", "w3"}, set(self.world.app.discovery.addresses))
 
-    def test_the_former_watch_is_heard_until_the_new_one_speaks(self) -> None:
-        """Guards the rule on drains: a change that was written just before the move counts as notified."""
+    def test_the_previous_watch_is_read_until_the_new_one_responds(self) -> None:
+        """Guards the rule on drains: a change written just before the move counts as notified."""
         self.play("d expect watch 41\nd send beat\nhup send discovery=127.0.0.1:2")
-        new = self.world.watches.pop()
+        new_watch = self.world.watches.pop()
         self.play("d send changes 50 w1=draining\nc send job a1 deck-fetch\nw expect nothing\nd close")
-        self.world.watches.append(new)
+        self.world.watches.append(new_watch)
         self.play("d expect watch 0\nd send changes 3 w1=up\nwait 100\nw expect POST a1")
         self.assertEqual(3, self.world.app.discovery.index)
 
@@ -840,7 +850,7 @@
             d expect watch 0
         """)
 
-    def test_several_in_a_row_unchanged_files_and_a_drain_under_way(self) -> None:
+    def test_repeated_reloads_unchanged_files_and_a_shutdown_in_progress(self) -> None:
         self.play("""
             d expect watch 41
             d send beat
@@ -866,23 +876,23 @@
         """)
         self.assertTrue(all(peer.wire.shut for peer in self.world.watches))
 
-    def test_a_move_does_not_wait_for_what_failed_before(self) -> None:
-        """Guards against a call that still comes up, or a pause after a failure, holding up the move."""
+    def test_a_move_does_not_wait_for_earlier_failures(self) -> None:
+        """Guards against a call being opened, or a backoff after a failure, delaying the move."""
         self.play("d expect watch 41\nd close silent\nd close\nwait 1000")
         del self.world.shut["d"]
         self.play("hup send discovery=127.0.0.1:2\nd expect watch 0")
 
-    def test_new_limits_hold_at_once(self) -> None:
+    def test_new_limits_apply_at_once(self) -> None:
         self.begin()
-        soft = self.world.app.server.shedding_threshold
+        old_threshold = self.world.app.server.shedding_threshold
         self.world.raw["limits"] = {"sockets": 128, "memory_mb": 64}
         self.play("hup send")
-        self.assertLess(self.world.app.server.shedding_threshold, soft / 4)
+        self.assertLess(self.world.app.server.shedding_threshold, old_threshold / 4)
         self.assertEqual(5 * 1024 * 1024, self.world.app.server.kept_bytes_limit)
 
 
 class Lists(Scenario):
-    """Discovery."""
+    """The watch of discovery and the lists that it sends."""
 
     def test_the_watch_starts_from_the_known_list_and_resumes(self) -> None:
         self.play("""
@@ -894,8 +904,8 @@
         """)
         self.assertEqual({"w1", "w2"}, set(self.world.app.discovery.addresses))
 
-    def test_a_silent_watch_is_broken_and_opened_again(self) -> None:
-        """Guards the rule on drains: a watch that went silent must not hide a change for 6 s."""
+    def test_a_silent_watch_is_closed_and_opened_again(self) -> None:
+        """Guards the rule on drains: a silent watch must not hide a change for 6 s."""
         self.play("""
             d expect watch 41
             d send beat
@@ -908,7 +918,7 @@
             log expect watch silent
         """)
 
-    def test_bad_bytes_of_discovery_end_the_watch(self) -> None:
+    def test_a_malformed_list_ends_the_watch(self) -> None:
         for n, bad in enumerate(("{oops", '{"index":1}', '{"index":1,"endpoints":[{"name":"x"}]}', "[1]")):
             self.begin()
             self.play("d expect watch 41\nd send beat")
@@ -916,7 +926,7 @@
             with self.subTest(case=n):
                 self.play("d expect watch 41\nlog expect watch bad-list")
 
-    def test_discovery_that_is_down_is_asked_again(self) -> None:
+    def test_discovery_that_is_down_is_called_again(self) -> None:
         self.play("""
             d expect watch 41
             d close listener
@@ -925,7 +935,7 @@
             log expect watch no-discovery
         """)
         del self.world.shut["d"]
-        for _ in range(25):  # 2.5 s; a call with no answer is made a second time 2 s later
+        for _ in range(25):  # 2.5 s: an unanswered call is made a second time 2 s later
             self.play("wait 100")
             if any(peer.messages for peer in self.world.watches):
                 break
