--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -1,7 +1,7 @@
-"""System calls round the listener, an upgrade, the log and the configuration fail; see test_accept_errors.py.
+"""System calls of the listener, an upgrade, the log and the configuration fail; see test_accept_errors.py.
 
-In the test's own process calls fail where a test says so; the program as a process meets real lacks: a limit
-on its descriptors, a port that is taken, a standard error that nobody reads any more, a file it can't read.
+In the test's own process, calls fail as a test specifies. The program as a process meets real errors: a limit
+on its descriptors, a port in use, a standard error that nobody reads, a file that it cannot read.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from tests.scenario import platform
 from tests.test_program import PATIENCE, ROOT, Program
 
-LACKS = sorted(RESOURCE_ERRORS)
+RESOURCE_ERROR_NUMBERS = sorted(RESOURCE_ERRORS)
 
 
 def system_error(number: int) -> OSError:
@@ -50,75 +50,75 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def copies_of(sock: socket.socket) -> int:
-    """Count this process's descriptors of one socket."""
+def count_copies(sock: socket.socket) -> int:
+    """Return the number of this process's descriptors of one socket."""
     gc.collect()
     links = []
     for name in os.listdir("/proc/self/fd"):
-        with contextlib.suppress(OSError):  # that of the listing itself is gone
+        with contextlib.suppress(OSError):  # the descriptor of the listing itself is closed by now
             links.append(os.readlink(f"/proc/self/fd/{name}"))
     return links.count(os.readlink(f"/proc/self/fd/{sock.fileno()}"))
 
 
 def failing(call: Callable[..., Any], *errors: BaseException) -> Callable[..., Any]:
-    """Wrap a call so that it raises each of the errors once, and then works."""
-    left = list(errors)
+    """Return a wrapper of a call that raises each of the errors once and then works."""
+    remaining = list(errors)
 
     def call_or_fail(*args: Any, **named: Any) -> Any:
-        if left:
-            raise left.pop(0)
+        if remaining:
+            raise remaining.pop(0)
         return call(*args, **named)
 
     return call_or_fail
 
 
-class Listening(Loopback):
-    """The listeners can't be opened, for a moment or at all."""
+class ListenErrors(Loopback):
+    """The listeners cannot be opened, temporarily or at all."""
 
     def begin_with(self, *errors: BaseException, console: bool = False) -> None:
-        def loop() -> Loop:
-            made = Loop()
-            made.listenTCP = failing(made.listenTCP, *errors)
-            return made
+        def failing_loop() -> Loop:
+            loop = Loop()
+            loop.listenTCP = failing(loop.listenTCP, *errors)
+            return loop
 
-        with mock.patch.object(loopback, "Loop", loop), with_console(console):
+        with mock.patch.object(loopback, "Loop", failing_loop), with_console(console):
             self.begin()
 
     def asked_lists(self) -> list[str]:
         return super().asked_lists() if self.app.port is not None or not self.app.failed else ["none"]
 
-    def served(self) -> None:
+    def check_serving(self) -> None:
         side = self.client()
         side.send(http.request("GET", "/up", "x"))
         self.assertEqual(200, self.answer(side).status)
 
-    def test_a_lack_that_passes_is_waited_for(self) -> None:
-        for number in LACKS:
+    def test_a_temporary_resource_error_is_retried(self) -> None:
+        for number in RESOURCE_ERROR_NUMBERS:
             with self.subTest(errno.errorcode[number]):
                 error = system_error(number)
                 self.begin_with(CannotListenError("127.0.0.1", 0, error), error, error)  # type: ignore[no-untyped-call]
                 self.wait(4 * LISTEN_RETRY)
-                self.served()
+                self.check_serving()
                 self.assertEqual(1, len([line for line in self.lines if line.startswith("listen ")]))
 
-    def test_the_operators_listener_is_waited_for_too(self) -> None:
+    def test_the_console_listener_is_retried_too(self) -> None:
         self.begin_with(system_error(errno.ENFILE), console=True)
         self.wait(2 * LISTEN_RETRY)
-        self.served()
+        self.check_serving()
         self.assertIsNotNone(self.app.console_acceptor)
 
-    def test_an_address_in_use_ends_it_at_once_and_says_so(self) -> None:
+    def test_an_address_in_use_ends_the_program_at_once_and_is_logged(self) -> None:
         error = CannotListenError("127.0.0.1", 7, system_error(errno.EADDRINUSE))  # type: ignore[no-untyped-call]
         for console in (False, True):
             with self.subTest(console=console):
                 self.begin_with(error, console=console)
                 self.wait(10)
                 self.assertTrue(self.app.failed and self.loop.stopped)
-                said = [line for line in self.lines if line.startswith("exit cannot begin: ")]
-                self.assertEqual(1, len(said), self.lines)
-                self.assertIn("127.0.0.1:7", said[0])
+                messages = [line for line in self.lines if line.startswith("exit cannot begin: ")]
+                self.assertEqual(1, len(messages), self.lines)
+                self.assertIn("127.0.0.1:7", messages[0])
 
-    def test_a_lack_that_does_not_pass_ends_it(self) -> None:
+    def test_a_lasting_resource_error_ends_the_program(self) -> None:
         self.begin_with(*[system_error(errno.ENFILE)] * (LISTEN_TRIES + 1))
         self.wait((LISTEN_TRIES - 1) * LISTEN_RETRY)
         self.assertFalse(self.app.failed)
@@ -126,7 +126,7 @@
         self.assertTrue(self.app.failed and self.loop.stopped)
         self.assertLessEqual(len([line for line in self.lines if line.startswith("listen ")]), 7)
 
-    def test_sigterm_while_it_waits_ends_it_without_listening(self) -> None:
+    def test_sigterm_between_retries_ends_the_program(self) -> None:
         self.begin_with(system_error(errno.ENOMEM))
         self.app.sigterm()
         self.wait(2 * LISTEN_RETRY)
@@ -134,18 +134,18 @@
         self.assertTrue(self.loop.stopped)
 
 
-class TakingOver(Loopback):
-    """A new process is handed a listener and connections, and lacks what it takes to go on with them."""
+class AdoptionErrors(Loopback):
+    """A successor cannot adopt the listener or connections handed to it, temporarily or at all."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.older = socket.socket(socket.AF_UNIX)
-        self.addCleanup(self.older.close)
-        self.older.bind(f"{folder.name}/elderstall-127.0.0.1-0.sock")
-        self.older.listen()
+        self.predecessor = socket.socket(socket.AF_UNIX)
+        self.addCleanup(self.predecessor.close)
+        self.predecessor.bind(f"{folder.name}/elderstall-127.0.0.1-0.sock")
+        self.predecessor.listen()
         self.begin(folder=folder.name)
-        self.link, _ = self.older.accept()
+        self.link, _ = self.predecessor.accept()
         self.link.setblocking(False)
         self.addCleanup(self.link.close)
         self.assertIn(b'"hello"', self.link.recv(1_000))
@@ -168,7 +168,7 @@
         self.loop.adoptStreamConnection = adopt
 
     def connection(self) -> tuple[socket.socket, socket.socket]:
-        """Give a client's end of a connection, and that of the process that hands over."""
+        """Return a client's end of a connection and the end of the predecessor."""
         server = socket.create_server(("127.0.0.1", 0))
         client = socket.create_connection(server.getsockname())
         accepted, _ = server.accept()
@@ -195,7 +195,7 @@
         original = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").plain()
         return {"job": state, "parcel": original, "last": False}
 
-    def test_a_listener_that_cannot_be_taken_on_yet_is_tried_again(self) -> None:
+    def test_adopting_a_listener_is_retried(self) -> None:
         self.adopt_port_fails(system_error(errno.EMFILE), system_error(errno.ENOMEM))
         self.hand_over()
         self.assertIsNone(self.app.port)
@@ -204,17 +204,17 @@
         self.assertIn(b'"serving"', self.link.recv(1_000))
         self.assertIsNone(self.app.inherited)
 
-    def test_one_that_cannot_be_taken_on_at_all_leaves_the_process_that_runs_serving(self) -> None:
+    def test_a_listener_that_cannot_be_adopted_stays_with_the_predecessor(self) -> None:
         self.adopt_port_fails(system_error(errno.EINVAL))
         self.hand_over()
         self.wait(10)
         self.assertTrue(self.app.failed and self.loop.stopped)
         self.assertNotIn(b'"serving"', self.link.recv(1_000))
-        self.assertEqual(1, copies_of(self.listening))  # the stand-in's own
+        self.assertEqual(1, count_copies(self.listening))  # the descriptor that the test itself holds
 
-    def test_a_connection_that_cannot_be_taken_on_yet_is_tried_again(self) -> None:
+    def test_adopting_a_connection_is_retried(self) -> None:
         self.hand_over()
-        for number in LACKS:
+        for number in RESOURCE_ERROR_NUMBERS:
             with self.subTest(errno.errorcode[number]):
                 descriptors = open_descriptors()
                 client, accepted = self.connection()
@@ -230,7 +230,7 @@
                 self.turn()
                 self.assertEqual(descriptors, open_descriptors())
 
-    def test_its_job_goes_on_and_a_call_back_that_comes_first_is_to_come_again(self) -> None:
+    def test_a_call_back_before_adoption_is_rejected_and_its_job_continues(self) -> None:
         self.hand_over()
         _, accepted = self.connection()
         self.adopt_connection_fails(system_error(errno.EMFILE))
@@ -240,15 +240,15 @@
         call = {"id": "a1", "from": "w1", "state": "done", "result": "x"}
         side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
         self.turn()
-        asked = json.loads(self.link.recv(10_000).splitlines()[-1])
-        self.assertEqual("callback", asked["m"])
-        self.link.sendall(json.dumps({"m": "word", "n": asked["n"], "good": True}).encode() + b"\n")
+        query = json.loads(self.link.recv(10_000).splitlines()[-1])
+        self.assertEqual("callback", query["m"])
+        self.link.sendall(json.dumps({"m": "word", "n": query["n"], "good": True}).encode() + b"\n")
         self.assertEqual(503, self.answer(side).status)
         self.wait(100)
         self.take("POST /album")
         self.assertEqual(set(), self.app.server.ids_in_transfer)
 
-    def test_one_that_can_never_be_taken_on_is_given_up_in_the_end_and_holds_no_descriptor(self) -> None:
+    def test_a_connection_that_cannot_be_adopted_is_closed_after_the_last_retry(self) -> None:
         self.hand_over()
         client, accepted = self.connection()
         self.adopt_connection_fails(*[system_error(errno.ENFILE)] * (MAX_ADOPT_RETRIES + 1))
@@ -256,9 +256,9 @@
         self.wait(3_000)
         self.assertEqual(0, self.app.upgrade.adoption.waiting)
         self.assertLessEqual(len([line for line in self.lines if line.startswith("adopt ")]), 4)
-        self.assertEqual(b"", client.recv(1_000))  # so no copy of the other end is left
+        self.assertEqual(b"", client.recv(1_000))  # so no copy of the other end is open
 
-    def test_one_whose_client_is_gone_is_given_up_at_once(self) -> None:
+    def test_a_connection_whose_client_disconnected_is_closed_at_once(self) -> None:
         self.hand_over()
         for number in (errno.ENOTCONN, errno.EINVAL, errno.ECONNRESET):
             with self.subTest(errno.errorcode[number]):
@@ -270,7 +270,7 @@
                 client.close()
                 self.assertEqual(descriptors, open_descriptors())
 
-    def test_a_close_that_fails_ends_nothing(self) -> None:
+    def test_a_failed_close_ends_neither_the_link_nor_the_connection(self) -> None:
         self.hand_over()
         client, accepted = self.connection()
         close = os.close
@@ -288,8 +288,8 @@
         self.assertIn(b" 200 ", client.recv(1_000))
 
 
-class HandingOver(Loopback):
-    """The process that runs lacks a descriptor for the copies that it hands over."""
+class HandOverErrors(Loopback):
+    """The predecessor has no descriptor left for the copies that it hands over."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -305,7 +305,7 @@
         link.sendall(b'{"m": "hello", "version": 1}\n')
         return link
 
-    def test_a_listener_that_cannot_be_copied_ends_the_call_and_the_next_one_gets_it(self) -> None:
+    def test_a_listener_that_cannot_be_copied_is_sent_on_the_next_request(self) -> None:
         for number in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EBADF):
             with self.subTest(errno.errorcode[number]):
                 descriptors = open_descriptors()
@@ -325,7 +325,7 @@
         self.assertIn(b'"state"', data + link.recv(100_000))
         os.close(descriptors_sent[0])
 
-    def test_a_connection_that_cannot_be_copied_is_served_on_here(self) -> None:
+    def test_a_connection_that_cannot_be_copied_stays_with_this_process(self) -> None:
         side = self.client()
         side.send(http.request("GET", "/up", "x"))
         self.assertEqual(200, self.answer(side).status)
@@ -339,10 +339,10 @@
             self.assertEqual(200, self.answer(side).status)
 
 
-class Polls(Loopback):
-    """The look at what a peer has sent fails."""
+class PollErrors(Loopback):
+    """The system call that checks for unread bytes of a peer fails."""
 
-    def test_a_poll_that_fails_loses_nothing(self) -> None:
+    def test_a_failed_poll_loses_no_request(self) -> None:
         self.begin()
         side = self.client()
         side.send(self.job("a1"))
@@ -360,7 +360,7 @@
 
 
 class Pipe:
-    """A pipe in the place of standard error."""
+    """A pipe in place of standard error."""
 
     def __init__(self) -> None:
         self.read_end, self.write_end = os.pipe()
@@ -377,8 +377,8 @@
         os.close(self.write_end)
 
 
-class LogErrors(unittest.TestCase):
-    """Writes of lines fail."""
+class LogWriteErrors(unittest.TestCase):
+    """Writes of log lines fail."""
 
     def setUp(self) -> None:
         self.pipe = Pipe()
@@ -392,7 +392,7 @@
     def texts(self) -> list[str]:
         return [line.split(" ", 1)[1] for line in self.pipe.lines()]
 
-    def test_lines_that_fail_are_counted_and_none_comes_out_later(self) -> None:
+    def test_lines_that_fail_are_counted_and_never_written_later(self) -> None:
         for number in (errno.EAGAIN, errno.ENOSPC, errno.EIO, errno.EPIPE, errno.EINTR, errno.EBADF):
             with self.subTest(errno.errorcode[number]):
                 self.log.write("a", "before")
@@ -400,11 +400,11 @@
                     for _ in range(3):
                         self.log.write("b", "fails")
                 self.log.write("a", "after")
-                # Each try first tells what was held back: that line fails as well, and is counted itself.
-                held = self.texts()
-                self.assertEqual(["a before", "a after"], [held[0], held[-1]])
-                self.assertTrue(held[1].startswith("suppressed "), held)
-                self.assertNotIn("b fails", held)
+                # Each write is preceded by a line on suppressed lines, which fails and is counted as well.
+                texts = self.texts()
+                self.assertEqual(["a before", "a after"], [texts[0], texts[-1]])
+                self.assertTrue(texts[1].startswith("suppressed "), texts)
+                self.assertNotIn("b fails", texts)
 
     def test_a_line_cut_by_a_short_write_is_ended_before_the_next(self) -> None:
         write = os.write
@@ -427,18 +427,18 @@
             self.assertEqual(1, self.log.suppressed["a"])
             self.assertRaises(OSError, StandardError().fileno)
 
-    def test_errors_of_the_system_take_a_line_a_second_and_are_counted(self) -> None:
+    def test_system_errors_are_logged_once_per_second_and_counted(self) -> None:
         for n in range(100):
             self.clock[0] = n * 30.0
             self.log.failure("twisted", system_error(errno.EINVAL))
-        told = [text for text in self.texts() if text.startswith("system ")]
-        self.assertEqual(3, len(told))
+        system_lines = [text for text in self.texts() if text.startswith("system ")]
+        self.assertEqual(3, len(system_lines))
         self.log.failure("request", ValueError("x"))
         self.assertTrue(any(text.startswith("bug request: ValueError") for text in self.texts()))
 
 
-class Reloading(Loopback):
-    """The configuration can't be read at SIGHUP."""
+class ReloadErrors(Loopback):
+    """The configuration cannot be read at SIGHUP."""
 
     def setUp(self) -> None:
         self.begin()
@@ -454,11 +454,11 @@
 
         self.app.read = counted
 
-    def test_a_file_that_cannot_be_read_for_a_moment_is_taken_afterwards(self) -> None:
+    def test_a_temporary_read_error_is_retried(self) -> None:
         self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EIO")] * 3)
-        old = self.app.config
+        old_config = self.app.config
         self.app.sighup()
-        self.assertIs(old, self.app.config)
+        self.assertIs(old_config, self.app.config)
         self.assertEqual(
             (1, 0), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
         )
@@ -469,7 +469,7 @@
         self.assertEqual(4, self.reads)
         self.assertEqual(1, len([line for line in self.lines if "nothing changed" in line]))
 
-    def test_one_that_stays_unreadable_is_given_up_and_the_next_signal_reads_it_anew(self) -> None:
+    def test_an_unreadable_file_is_read_again_only_on_the_next_signal(self) -> None:
         self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EIO")] * (RELOAD_TRIES + 1))
         self.app.sighup()
         self.wait(RELOAD_RETRY * (RELOAD_TRIES + 5))
@@ -482,7 +482,7 @@
             (1, 1), (self.app.engine.counters.settings_load_errors, self.app.engine.counters.settings_loads)
         )
 
-    def test_signals_in_a_row_make_one_row_of_tries(self) -> None:
+    def test_repeated_signals_share_one_series_of_retries(self) -> None:
         self.read_fails(*[UnreadableError("RELAY_CONFIG: /x: EMFILE")] * 5)
         for _ in range(5):
             self.app.sighup()
@@ -491,8 +491,8 @@
         self.assertEqual((6, 1), (self.reads, self.app.engine.counters.settings_loads))
 
 
-class Reading(unittest.TestCase):
-    """Files of the configuration that fail to be read, are half written, or hold what no key may hold."""
+class ConfigurationFiles(unittest.TestCase):
+    """Configuration files that cannot be read, are truncated, or hold invalid values."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -500,7 +500,7 @@
         self.file = Path(folder.name, "config.json")
         self.file.write_text(json.dumps(platform()))
 
-    def test_each_error_of_a_read_names_the_key_and_the_path(self) -> None:
+    def test_each_read_error_names_the_key_and_the_path(self) -> None:
         for number in (errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOENT, errno.EACCES, errno.ENOMEM,
                        errno.EISDIR, errno.ESTALE, errno.ELOOP):  # fmt: skip
             with (
@@ -516,24 +516,24 @@
             ):
                 load(None, {"RELAY_CONFIG": "/x", "ELDERSTALL_FRONT": "/y"})
 
-    def test_a_file_cut_anywhere_is_turned_down(self) -> None:
+    def test_a_truncated_file_is_rejected(self) -> None:
         text = self.file.read_text()
         for size in range(0, len(text) - 1, 7):
             self.file.write_text(text[:size])
             with self.assertRaises(ConfigError):
                 load(str(self.file), {})
 
-    def test_whatever_stands_in_the_place_of_a_value_only_errors_of_the_configuration_come(self) -> None:
-        odd: tuple[Any, ...] = (
+    def test_any_wrong_value_raises_only_configuration_errors(self) -> None:
+        wrong_values: tuple[Any, ...] = (
             None, True, -1, 1e308, float("inf"), 10**400, "", "\u00b2", "a:\u00b2", "a:" + "9" * 5_000,
             [], [[]], {}, {"": None}, [None])  # fmt: skip
-        for path in paths_of(platform()):
-            for value in odd:
-                raw: Any = copy.deepcopy(platform())  # parts of it are shared with other tests
-                at = raw
-                for step in path[:-1]:
-                    at = at[step]
-                at[path[-1]] = copy.deepcopy(value)
+        for path in value_paths(platform()):
+            for value in wrong_values:
+                raw: Any = copy.deepcopy(platform())  # some of its objects are shared with other tests
+                container = raw
+                for key in path[:-1]:
+                    container = container[key]
+                container[path[-1]] = copy.deepcopy(value)
                 with self.subTest(f"{path} = {str(value)[:20]!r}"):
                     try:
                         config_of(raw, {})
@@ -541,14 +541,14 @@
                         self.assertRegex(str(error), r"^[a-z_.]+: ")
 
 
-def paths_of(at: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Give the way to each value of a JSON object."""
-    items = at.items() if isinstance(at, dict) else enumerate(at) if isinstance(at, list) else ()
-    return [found for name, value in items for found in ((*path, name), *paths_of(value, (*path, name)))]
+def value_paths(node: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the path to each value of a JSON object."""
+    items = node.items() if isinstance(node, dict) else enumerate(node) if isinstance(node, list) else ()
+    return [found for name, value in items for found in ((*path, name), *value_paths(value, (*path, name)))]
 
 
-class WholeProgram(Program):
-    """The program as a process meets real errors."""
+class ProgramProcess(Program):
+    """The program, as a process, meets real errors."""
 
     def start_with(self, raw: dict[str, Any]) -> subprocess.CompletedProcess[str]:
         self.file.write_text(json.dumps(raw))
@@ -556,7 +556,7 @@
             [sys.executable, "-m", "elderstall", "--config", str(self.file)], cwd=ROOT, timeout=PATIENCE,
             env={**os.environ, "TMPDIR": ""}, capture_output=True, text=True, check=False)  # fmt: skip
 
-    def test_addresses_in_use_end_it_with_a_message_and_a_status(self) -> None:
+    def test_addresses_in_use_end_the_program_with_a_message_and_a_status(self) -> None:
         self.begin()
         for key, address in (("listen", self.address), ("console", self.console)):
             with self.subTest(key):
@@ -567,26 +567,26 @@
                 self.assertIn(text, done.stderr)
                 self.assertNotIn("Traceback", done.stderr)
 
-    def test_clients_that_come_while_it_has_no_free_descriptor_are_served_once_it_has(self) -> None:
+    def test_clients_that_connect_without_a_free_descriptor_are_served_later(self) -> None:
         self.begin()
         pid = self.program.pid
         limits = resource.prlimit(pid, resource.RLIMIT_NOFILE)
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (3, limits[1]))
-        lines = [self.connect() for _ in range(5)]
-        for line in lines:
-            line.sock.sendall(http.request("GET", "/up", "x"))
-        patience = time.monotonic() + PATIENCE
+        connections = [self.connect() for _ in range(5)]
+        for connection in connections:
+            connection.sock.sendall(http.request("GET", "/up", "x"))
+        time_limit = time.monotonic() + PATIENCE
         while not any(" accept failed with EMFILE" in call for call in self.calls):
             self.assertIsNone(self.program.poll())
-            self.assertLess(time.monotonic(), patience, "no error of accept was said")
+            self.assertLess(time.monotonic(), time_limit, "no error of accept was logged")
         resource.prlimit(pid, resource.RLIMIT_NOFILE, limits)
-        for line in lines:
-            self.assertEqual(200, line.read().status)
-            line.sock.close()
+        for connection in connections:
+            self.assertEqual(200, connection.read().status)
+            connection.sock.close()
         self.assertEqual(200, self.ask(self.job("a1")).status)
         self.assertFalse([call for call in self.calls if " bug " in call])
 
-    def test_a_standard_error_that_is_closed_changes_nothing_and_not_the_exit_status(self) -> None:
+    def test_a_closed_standard_error_does_not_change_the_exit_status(self) -> None:
         raw = {**platform(), "listen": "127.0.0.1:0", "discovery": self.discovery.address}
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "config.json").write_text(json.dumps(raw))
@@ -606,7 +606,7 @@
             program.send_signal(signal.SIGTERM)
             self.assertEqual(0, program.wait(PATIENCE))
 
-    def test_a_first_configuration_that_cannot_be_read_ends_it_with_the_path(self) -> None:
+    def test_an_unreadable_configuration_at_start_ends_the_program_naming_the_path(self) -> None:
         for path in ("/proc/self/mem", tempfile.gettempdir(), "/nowhere/config.json"):
             with self.subTest(path):
                 done = subprocess.run([sys.executable, "-m", "elderstall", "--config", path], cwd=ROOT,
@@ -615,7 +615,7 @@
                 self.assertTrue(done.stderr.startswith(f"elderstall: RELAY_CONFIG: {path}: "), done.stderr)
                 self.assertEqual(1, done.stderr.count("\n"))
 
-    def test_a_message_that_cannot_be_written_does_not_change_the_status(self) -> None:
+    def test_an_error_message_that_cannot_be_written_does_not_change_the_exit_status(self) -> None:
         with open("/dev/full", "w") as full:
             done = subprocess.run([sys.executable, "-m", "elderstall", "--config", "/nowhere"], cwd=ROOT,
                                   stderr=full, check=False)  # fmt: skip
