--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -1,6 +1,6 @@
-"""A socket module for Twisted's TCP transports whose calls fail when a test says so.
+"""A socket module for Twisted's TCP transports whose calls fail as a test specifies.
 
-The sockets are real ones on loopback. A fault names a call, and may be limited to the connections to one
+The sockets are real sockets on loopback. A fault names a call, and may be limited to the connections to one
 port and to a number of calls.
 """
 
@@ -15,31 +15,31 @@
 from typing import Any, TypeVar
 from unittest import mock
 
-SHORT = -1  # in place of an error: the call takes or gives one byte only
-NOTHING = 0  # in place of an error: the system takes no byte, without an error
+ONE_BYTE_ONLY = -1  # in place of an error number: the call sends or receives a single byte
+ERROR_ZERO = 0  # raised as an OSError with number 0, except by connect_ex, which then connects
 
 
 @dataclass(slots=True)
 class Fault:
-    """How one call fails."""
+    """A system call that fails: with which error, how often and on which connections."""
 
     call: str  # socket, connect, send, recv, setsockopt or getsockopt
     error: int
-    times: int | None = 1  # None: until the fault is taken out
-    port: int | None = None  # of connections to this port only
-    happened: int = 0
+    times: int | None = 1  # None: until the fault is removed
+    port: int | None = None  # only connections to this port fail; None: all
+    occurrences: int = 0
 
-    def happens(self, call: str, port: int | None) -> bool:
-        """Say whether a call fails, and count it."""
-        if call != self.call or self.port not in (None, port) or self.happened == self.times:
+    def triggers(self, call: str, port: int | None) -> bool:
+        """Return whether a call fails, and count the failure."""
+        if call != self.call or self.port not in (None, port) or self.occurrences == self.times:
             return False
-        self.happened += 1
+        self.occurrences += 1
         return True
 
 
 @dataclass(slots=True)
 class FaultPlan:
-    """The faults in force."""
+    """The faults that are active."""
 
     faults: list[Fault] = field(default_factory=list)
 
@@ -48,34 +48,35 @@
         self.faults.append(fault)
         return fault
 
-    def next(self, call: str, port: int | None = None) -> int | None:
-        """Give the error of a call, or None where it works."""
-        return next((fault.error for fault in self.faults if fault.happens(call, port)), None)
+    def next_error(self, call: str, port: int | None = None) -> int | None:
+        """Return the error number of a call, or None if the call works."""
+        return next((fault.error for fault in self.faults if fault.triggers(call, port)), None)
 
     def check(self, call: str, port: int | None = None) -> int | None:
-        """Raise the error of a call; gives SHORT where it only does less than asked."""
-        error = self.next(call, port)
-        if error is None or error == SHORT:
+        """Raise the error of a call; return ONE_BYTE_ONLY if the call only transfers less than requested."""
+        error = self.next_error(call, port)
+        if error is None or error == ONE_BYTE_ONLY:
             return error
         raise OSError(error, os.strerror(error))
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls fail by the plan."""
+    """A socket whose calls fail according to a plan."""
 
     plan: FaultPlan
     port: int | None = None
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept a connection; its calls fail by the plan too, under the port that it came to."""
+        """Accept a connection whose calls fail by the same plan, under the port that it was made to."""
         fd, address = self._accept()  # type: ignore[attr-defined]
-        made = FaultySocket(self.family, self.type, self.proto, fileno=fd)
-        made.plan, made.port = self.plan, self.getsockname()[1]
-        return made, address
+        accepted = FaultySocket(self.family, self.type, self.proto, fileno=fd)
+        accepted.plan = self.plan
+        accepted.port = self.getsockname()[1]
+        return accepted, address
 
     def connect_ex(self, address: Any) -> int:
         self.port = address[1]
-        return self.plan.next("connect", self.port) or super().connect_ex(address)
+        return self.plan.next_error("connect", self.port) or super().connect_ex(address)
 
     def send(self, data: Any, flags: int = 0) -> int:
         short = self.plan.check("send", self.port)
@@ -95,16 +96,16 @@
 
 
 class FaultySocketModule:
-    """The module ``socket`` but for the sockets that it makes."""
+    """The module ``socket``, except that its sockets are faulty."""
 
     def __init__(self, plan: FaultPlan) -> None:
         self.plan = plan
 
     def socket(self, *args: Any, **named: Any) -> FaultySocket:
         self.plan.check("socket")
-        made = FaultySocket(*args, **named)
-        made.plan = self.plan
-        return made
+        faulty_socket = FaultySocket(*args, **named)
+        faulty_socket.plan = self.plan
+        return faulty_socket
 
     def __getattr__(self, name: str) -> Any:
         return getattr(socket, name)
@@ -113,23 +114,23 @@
 Plan = TypeVar("Plan", bound=FaultPlan)
 
 
-def hand_in(case: unittest.TestCase, plan: Plan) -> Plan:
-    """Have Twisted make its sockets with the faults of a plan while a test runs."""
-    for module in ("tcp", "base"):  # of clients, and of listeners
+def install_faults(case: unittest.TestCase, plan: Plan) -> Plan:
+    """Make Twisted create its sockets with the faults of a plan for the duration of a test."""
+    for module in ("tcp", "base"):  # the modules of clients and of listeners
         patch = mock.patch(f"twisted.internet.{module}.socket", FaultySocketModule(plan))
         patch.start()
         case.addCleanup(patch.stop)
     return plan
 
 
-def descriptors() -> int:
-    """Count this process's open descriptors."""
+def open_descriptors() -> int:
+    """Return the number of this process's open descriptors."""
     return len(os.listdir("/proc/self/fd"))
 
 
 @contextmanager
 def no_descriptor_leaked(case: unittest.TestCase) -> Iterator[None]:
-    """See that as many descriptors are open afterwards as before."""
-    before = descriptors()
+    """Assert that as many descriptors are open afterwards as before."""
+    before = open_descriptors()
     yield
-    case.assertEqual(before, descriptors())
+    case.assertEqual(before, open_descriptors())
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -15,7 +15,7 @@
 from elderstall.net import http
 from elderstall.net.peer import unread
 from elderstall.net.upstream.request import BUDGET_MARGIN_MS, budget_to_send
-from tests.faulty_sockets import SHORT, FaultPlan, hand_in
+from tests.faulty_sockets import ONE_BYTE_ONLY, FaultPlan, install_faults
 from tests.loopback import Loopback, Side
 
 ACCEPTED = http.response(202)
@@ -303,7 +303,7 @@
     """The system accepts a request's bytes late, or one at a time."""
 
     def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
-        self.plan = hand_in(self, FaultPlan())
+        self.plan = install_faults(self, FaultPlan())
         super().begin(workers, progress, folder, **more)
         self.port = self.listeners[0].getsockname()[1]
 
@@ -313,10 +313,11 @@
                 self.begin()
                 fault = self.plan.add("send", error, None, self.port)
                 client = self.send("a1")
-                self.until(lambda fault=fault: fault.happened > 0)  # type: ignore[misc]
-                happened = fault.happened
+                self.until(lambda fault=fault: fault.occurrences > 0)  # type: ignore[misc]
+                happened = fault.occurrences
                 self.turn(200)
-                self.assertEqual(happened, fault.happened)  # no busy loop: the next write waits for its timer
+                # No busy loop: the next write waits for its timer.
+                self.assertEqual(happened, fault.occurrences)
                 self.jump(600)
                 self.plan.faults.clear()
                 self.jump(10)
@@ -330,7 +331,7 @@
         self.begin()
         fault = self.plan.add("send", errno.EAGAIN, None, self.port)
         client = self.send("a1", budget=400)
-        self.until(lambda: fault.happened > 0)
+        self.until(lambda: fault.occurrences > 0)
         self.stall(400)
         self.plan.faults.clear()
         self.wait(20)
@@ -339,10 +340,10 @@
 
     def test_short_writes_send_the_whole_request(self) -> None:
         self.begin()
-        fault = self.plan.add("send", SHORT, 50, self.port)
+        fault = self.plan.add("send", ONE_BYTE_ONLY, 50, self.port)
         client = self.send("a1")
         worker, _ = self.receive_attempt("a1")
-        self.assertEqual(50, fault.happened)
+        self.assertEqual(50, fault.occurrences)
         self.serve("a1", worker, client)
         client = self.send("a2")
         worker, _ = self.receive_attempt("a2")
--- a/tests/test_worker_read_errors_fleet.py
+++ b/tests/test_worker_read_errors_fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from elderstall.net import http
-from tests.faulty_sockets import FaultPlan, hand_in
+from tests.faulty_sockets import FaultPlan, install_faults
 from tests.loopback import Loopback, Side
 
 WORKERS, SLOTS = 4, 4
@@ -37,9 +37,9 @@
         self.rng = random.Random(seed)
         self.ports = [0]
         self.active = False
-        self.happened = 0
+        self.occurrences = 0
 
-    def next(self, call: str, port: int | None = None) -> int | None:
+    def next_error(self, call: str, port: int | None = None) -> int | None:
         if (
             not self.active
             or call != "recv"
@@ -47,7 +47,7 @@
             or self.rng.random() >= FAILING_READ_FRACTION
         ):
             return None
-        self.happened += 1
+        self.occurrences += 1
         return self.error
 
 
@@ -86,7 +86,7 @@
 
     def play(self, error: int, seed: int) -> tuple[Counter[int], Counter[int]]:
         """Return answers by status: of jobs that arrived while reads failed, and of later jobs."""
-        self.plan = hand_in(self, RareFault(error, seed))
+        self.plan = install_faults(self, RareFault(error, seed))
         self.begin(workers=WORKERS, classes=CLASSES)
         ports = self.plan.ports = [sock.getsockname()[1] for sock in self.listeners]
         self.models = {port: QueueingWorker(f"w{n + 1}") for n, port in enumerate(ports)}
@@ -151,7 +151,7 @@
             for seed in (2, 3):
                 with self.subTest(error=errno.errorcode[error], seed=seed):
                     during, after = self.play(error, seed)
-                    self.assertGreater(self.plan.happened, 3)
+                    self.assertGreater(self.plan.occurrences, 3)
                     self.assertLessEqual(set(during), {200, 502})  # 502: not safe to repeat
                     self.assertEqual({200}, set(after))
                     self.end()
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -17,7 +17,14 @@
 from elderstall.engine.endpoint_feed import EndpointFeed
 from elderstall.net import http
 from elderstall.net.upstream.connect_errors import is_local_error
-from tests.faulty_sockets import SHORT, Fault, FaultPlan, descriptors, hand_in, no_descriptor_leaked
+from tests.faulty_sockets import (
+    ONE_BYTE_ONLY,
+    Fault,
+    FaultPlan,
+    install_faults,
+    no_descriptor_leaked,
+    open_descriptors,
+)
 from tests.loopback import Loopback, Side
 
 ACCEPTED = http.response(202)
@@ -65,7 +72,7 @@
     """A dispatcher whose socket calls fail as a ``FaultPlan`` says."""
 
     def begin(self, workers: int = 1, progress: bool = False, folder: str = "", **more: Any) -> None:
-        self.plan = hand_in(self, FaultPlan())
+        self.plan = install_faults(self, FaultPlan())
         super().begin(workers, progress, folder, **more)
         self.ports = [sock.getsockname()[1] for sock in self.listeners]
         self.discovery_port = self.lists.getsockname()[1]
@@ -131,11 +138,11 @@
         self.turn()
         self.came()
         self.close_ended()
-        return descriptors()
+        return open_descriptors()
 
     def assert_handled(self, fault: Fault, reported: int = 0) -> None:
         """Assert that the fault happened, and that exactly ``reported`` errors reached the reactor."""
-        self.assertGreater(fault.happened, 0)
+        self.assertGreater(fault.occurrences, 0)
         self.assertEqual([], [line for line in self.lines if line.startswith("bug")])
         self.assertEqual(reported, len(self.reactor_errors), self.reactor_errors)
         del self.reactor_errors[:]
@@ -214,7 +221,7 @@
                 self.plan.faults.clear()
                 for client in clients:
                     self.assertIn(self.finish(client).status, (200, 503))
-                self.assertLess(fault.happened, 100)
+                self.assertLess(fault.occurrences, 100)
                 self.wait_with_heartbeats(2_000)
                 self.serve("b1", UNSAFE)
                 self.assert_handled(fault)
@@ -282,7 +289,7 @@
         for error in WRITE_ERRORS:
             with self.subTest(error=errno.errorcode[error]):
                 self.begin(workers=2)
-                self.plan.add("send", SHORT, 1, self.ports[0])
+                self.plan.add("send", ONE_BYTE_ONLY, 1, self.ports[0])
                 fault = self.plan.add("send", error, 1, self.ports[0])
                 for n in range(4):
                     self.serve(f"a{n}", UNSAFE)
@@ -292,9 +299,9 @@
     def test_sends_are_interrupted_and_short(self) -> None:
         self.begin()
         interrupted = self.plan.add("send", errno.EINTR, 5, self.ports[0])
-        short = self.plan.add("send", SHORT, 20, self.ports[0])
+        short = self.plan.add("send", ONE_BYTE_ONLY, 20, self.ports[0])
         self.serve("a1", UNSAFE)
-        self.assertEqual((5, 20), (interrupted.happened, short.happened))
+        self.assertEqual((5, 20), (interrupted.occurrences, short.occurrences))
         self.assertEqual(1, len(self.sides))
 
     def test_waits_and_calls_are_interrupted(self) -> None:
@@ -318,11 +325,11 @@
 
     def test_reads_are_short(self) -> None:
         self.begin()
-        fault = self.plan.add("recv", SHORT, 40, self.ports[0])
+        fault = self.plan.add("recv", ONE_BYTE_ONLY, 40, self.ports[0])
         self.serve("a1", UNSAFE)
         self.turn(60)  # its 202 comes byte by byte
         self.serve("a2", UNSAFE)
-        self.assertEqual(40, fault.happened)
+        self.assertEqual(40, fault.occurrences)
         self.assertEqual(1, len(self.sides))
 
     def test_the_read_of_a_202_fails(self) -> None:
@@ -384,7 +391,7 @@
                 self.tell(43, whole=True, w1="up")
                 self.serve("a1")
                 self.wait_for_list_calls(list_calls + 1)
-                self.assertEqual(1, fault.happened)
+                self.assertEqual(1, fault.occurrences)
                 self.tell(44, whole=True, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 self.assert_handled(fault)
@@ -398,10 +405,10 @@
 
     def test_the_watch_is_read_in_short_pieces(self) -> None:
         self.begin()
-        fault = self.plan.add("recv", SHORT, 100, self.discovery_port)
+        fault = self.plan.add("recv", ONE_BYTE_ONLY, 100, self.discovery_port)
         self.tell(43, whole=True, w1="draining")
         self.turn(200)
-        self.assertEqual(100, fault.happened)
+        self.assertEqual(100, fault.occurrences)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_no_connection_for_some_seconds(self) -> None:
@@ -410,20 +417,20 @@
                 with self.subTest(call=call, error=errno.errorcode[error]):
                     self.begin()
                     list_calls = len(self.asked_lists())
-                    before = descriptors()
+                    before = open_descriptors()
                     self.watches[-1].sock.close()
                     del self.watches[:]
                     port = None if call == "socket" else self.discovery_port
                     fault = self.plan.add(call, error, None, port)
                     self.wait(5_000)
-                    self.assertLess(fault.happened, 30)
+                    self.assertLess(fault.occurrences, 30)
                     self.plan.faults.clear()
                     self.wait_for_list_calls(1)
                     self.assertGreater(list_calls, 0)
                     self.serve("a1")
                     self.assert_handled(fault)
                     self.count_descriptors()
-                    self.assertEqual(before, descriptors())
+                    self.assertEqual(before, open_descriptors())
                     self.end()
 
     def test_the_call_for_the_list_is_written_with_errors(self) -> None:
