--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -231,7 +231,7 @@
 
     @invariant()
     def bounds(self) -> None:
-        if hasattr(self, "c"):
+        if hasattr(self, "call"):
             assert len(self.sent) <= self.max_attempts and self.ends <= 1
             assert (self.call.end is not None) == (self.ends == 1)
             budget = self.budget
