--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -40,10 +40,10 @@
 from elderstall.upgrade.adoption import close_descriptor
 
 DISCOVERY_CONNECT_TIMEOUT_S = 2.0
-LISTEN_BACKLOG = 1024
+LISTEN_BACKLOG = 1024  # clients' connections that wait to be accepted
 CONSOLE_BACKLOG = 64  # operators' connections that wait to be accepted
 LISTEN_RETRY_INTERVAL_MS = 100.0  # between attempts to open a listener that lacked resources
-MAX_LISTEN_RETRIES = 50  # takes less time than the platform waits for a start
+MAX_LISTEN_RETRIES = 50  # 5 s in all, which is less than the platform waits for a start
 RELOAD_RETRY_INTERVAL_MS = 250.0  # between attempts to read a file that was unreadable at SIGHUP
 MAX_RELOAD_RETRIES = 12  # 3 s: new settings must be in use 4 s after the signal
 
@@ -165,7 +165,7 @@
         self.find_predecessor()
 
     def find_predecessor(self) -> None:
-        """Begin as the successor of a process that runs for the same dispatcher, or alone without one."""
+        """Look for a process of the same dispatcher to take over from; begin with its offer, or with None."""
         if self.upgrade.handover is None:
             self.begin(None)
         else:
@@ -179,8 +179,8 @@
     ) -> None:
         """Open a listener and call ``opened`` with it; retry while descriptors or memory are short."""
         if self.shutdown.has_begun:
-            # A predecessor that learns of a serving successor stops accepting clients, so this process must
-            # not listen once its own shutdown has begun.
+            # The shutdown may have begun while the listener was being retried. A predecessor that learns of
+            # a serving successor stops accepting clients, so this process must not listen any more.
             self.release_inherited()
             return
         try:
@@ -205,7 +205,7 @@
             self.inherited = None
 
     def handover_failed(self, failure: Failure) -> None:
-        """Exit, as the predecessor does not hand over."""
+        """Exit: the hand-over, or the start that followed the search for a predecessor, has failed."""
         self.cannot_begin(failure.value)
 
     def cannot_begin(self, error: BaseException | None) -> None:
@@ -215,7 +215,7 @@
         self.reactor.callLater(0, self.reactor.stop)
 
     def begin(self, offer: Offer | None) -> None:
-        """Load the endpoint list and the predecessor's state, if any, then listen.
+        """Load the endpoint list and the predecessor's state, if any, then listen and ``serve``.
 
         Clients may connect as soon as ``/up`` has answered, so the list must be known before.
         """
@@ -296,8 +296,8 @@
             self.reload_retry.cancel()
             self.reload_retry = None
         try:
-            read = self.read()
-            new = merge_reloaded(self.config, read)
+            file_config = self.read()
+            new = merge_reloaded(self.config, file_config)
         except UnreadableError as error:
             if retries_left == MAX_RELOAD_RETRIES:
                 self.reload_failed(error)
@@ -308,21 +308,21 @@
         except ConfigError as error:
             self.reload_failed(error)
         else:
-            self.change_configuration(read, new)
+            self.change_configuration(file_config, new)
 
     def reload_failed(self, error: ConfigError) -> None:
         """Count and log that the configuration in use stays."""
         self.engine.counters.settings_load_errors += 1
         self.log.write("reload", f"nothing changed: {error}")
 
-    def change_configuration(self, read: Config, new: Config) -> None:
-        """Apply ``new``, which is ``read`` without the changes that need a restart."""
+    def change_configuration(self, file_config: Config, new: Config) -> None:
+        """Apply ``new``, which is ``file_config`` without the changes that need a restart."""
         self.engine.counters.settings_loads += 1
-        if keys := changed_fixed_keys(self.config, read):
+        if keys := changed_fixed_keys(self.config, file_config):
             self.log.write("reload", f"only a restart changes {', '.join(keys)}")
         old = self.config
         self.config = replace(new, known=None)
-        discovery_moved = read.discovery != old.discovery
+        discovery_moved = file_config.discovery != old.discovery
         self.apply_limits()
         if (new.settings, new.answer_slack_ms, new.max_open) != (
             old.settings,
@@ -336,13 +336,17 @@
                 f"classes are {', '.join(self.engine.classes)}; {new.settings.max_attempts} attempts",
             )
         self.log.write(
-            "reload", f"discovery is at {read.discovery}" + ("" if discovery_moved else ", as before")
+            "reload", f"discovery is at {file_config.discovery}" + ("" if discovery_moved else ", as before")
         )
         if discovery_moved:
-            self.discovery.move(read.discovery)
+            self.discovery.move(file_config.discovery)
 
     def apply_limits(self) -> None:
-        """Pass the configured limits to each component."""
+        """Pass the limits, the names of report fields and the source of weights to the running components.
+
+        The maximum length of the endpoint list is not among them: it keeps its value from the start, even
+        if the memory limit has changed.
+        """
         self.workers.connections.limit = self.upgrade.worker_connections
         self.workers.report_fields = self.config.report_fields
         self.workers.keep_alive.max_idle_timeout = self.config.idle_timeout_ms
@@ -356,7 +360,7 @@
         self.server.enforce_limits()
 
     def drain(self) -> None:
-        """Begin the shutdown; clients and jobs get time to finish."""
+        """Begin the shutdown; it calls ``end`` when clients and jobs have finished or run out of time."""
         self.shutdown.begin()
 
     def end(self) -> None:
--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -1,4 +1,7 @@
-"""Adapter between the operators' simulator and the decisions of many dispatchers: translation only."""
+"""Adapter between the operators' simulator (not ``elderstall.simulation``) and the decisions of dispatchers.
+
+It reads messages as lines of JSON, passes the events to the dispatchers and writes their actions.
+"""
 
 from __future__ import annotations
 
@@ -66,7 +69,7 @@
 
 
 def parse_endpoint(entry: Fields, live: bool) -> Endpoint:
-    """Return one entry of a list; a rating counts as the weight only where weights follow the jobs held."""
+    """Return one entry of a list; ``rating`` is the weight only if ``live`` (weight_source is "live")."""
     return Endpoint(
         entry["worker"],
         entry.get("generation_hw") or "",
@@ -145,8 +148,8 @@
 }
 
 
-class Host:
-    """The dispatchers of one process; they share only the endpoint lists, which the protocol numbers."""
+class SimulatorAdapter:
+    """The simulated dispatchers; they share only the endpoint lists, which messages name by slot number."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
@@ -154,7 +157,7 @@
         self.serial = 0
         self.dispatchers: dict[int, Dispatcher] = {}
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
-        self.live = False  # whether the weights in lists follow the jobs held
+        self.live = False  # whether weight_source is "live" in the latest NewInstance, for the lists of all
 
     def write_actions(self, who: int, actions: Iterable[Action]) -> None:
         """Write the actions of one dispatcher."""
@@ -207,7 +210,7 @@
                 raise WireError(f"malformed JSON: {err}") from None
             if not isinstance(message, dict):
                 raise WireError("a message must be an object")
-            try:
+            try:  # an unknown slot is a KeyError too, and is reported as a missing field
                 translated = self.translate(message)
             except KeyError as err:
                 raise WireError(f"missing field {err} in {message.get('m', 'message')}") from err
@@ -220,7 +223,7 @@
 def main() -> int:
     """Serve the simulator on standard input and output; return the exit status."""
     try:
-        Host(sys.stdout).run(sys.stdin)
+        SimulatorAdapter(sys.stdout).run(sys.stdin)
     except WireError as err:
         print(f"benchlink: {err}", file=sys.stderr)
         return 2
--- a/elderstall/cli/group.py
+++ b/elderstall/cli/group.py
@@ -33,7 +33,7 @@
 
 
 def rehearse() -> click.Group:
-    """Return the simulator's commands under their former name, with a notice, for one version."""
+    """Return the simulator's commands under their deprecated name, with a notice to use ``simulate``."""
     group = simulate()
 
     def notice() -> None:
--- a/elderstall/cli/run.py
+++ b/elderstall/cli/run.py
@@ -51,7 +51,8 @@
         return 0
     reactor: Any = monotonic_reactor.install()  # Any, as mypy does not know zope's interfaces
     app = App(config, reactor, lambda: load(args.config, os.environ, args.front))
-    # Before the program listens: from then on a signal without a handler would end it.
+    # Set before the program listens, so that a signal to a serving process shuts it down in order. Until here
+    # SIGHUP is only noted, and SIGTERM ends the process at once.
     signal.signal(signal.SIGTERM, app.sigterm)
     signal.signal(signal.SIGINT, app.sigterm)
     signal.signal(signal.SIGHUP, app.sighup)
--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -99,12 +99,13 @@
     for name in ("class", "service", "served", "late", "refused", "failed", "p50 ms", "p99 ms"):
         table.add_column(name, justify="left" if name == "class" else "right")
     listed_endings = ("served", "late", "refused")
-    for name, c in figures["classes"].items():
-        endings, latency = c["endings"], c["latency_ms"]
+    for name, class_figures in figures["classes"].items():
+        endings = class_figures["endings"]
+        latency = class_figures["latency_ms"]
         failed = sum(n for what, n in endings.items() if what not in (*listed_endings, "left"))
         table.add_row(
             name,
-            percent(c["service"]),
+            percent(class_figures["service"]),
             *(str(endings.get(e, 0)) for e in listed_endings),
             str(failed),
             *(f"{latency[q]:.0f}" if latency else "-" for q in ("p50", "p99")),
@@ -117,12 +118,12 @@
         f"{percent(core_time['down'] + core_time['paused'])} down or paused; ",
         f"{figures['work']['wasted_s']:.0f} of {figures['work']['core_s']:.0f} core s wasted",
     )
-    for t in figures["troubles"]:
+    for fault in figures["troubles"]:
         print_line(
-            f"  {t['at_s']:g} s  {t['kind']}",
-            f" for {t['for_s']:g} s" if t["for_s"] else "",
-            ": " + ", ".join(t["struck"][:6]) if t["struck"] else "",
-            " ..." if len(t["struck"]) > 6 else "",
+            f"  {fault['at_s']:g} s  {fault['kind']}",
+            f" for {fault['for_s']:g} s" if fault["for_s"] else "",
+            ": " + ", ".join(fault["struck"][:6]) if fault["struck"] else "",
+            " ..." if len(fault["struck"]) > 6 else "",
         )
     if figures["most_lost"]:
         print_line(
@@ -135,8 +136,8 @@
     print_line(f"{1e6 * cpu / max(1, figures['requests']):.0f} us of CPU a request on this machine")
 
 
-def print_broken_rules(figures: dict[str, Any]) -> None:
-    """Print the first broken rules, each with the whole history of its request."""
+def print_violations(figures: dict[str, Any]) -> None:
+    """Print the first violated rules, each with the whole history of its request."""
     rules = figures["rules"]
     for violation in rules["first"]:
         print_error(f"rule {violation['rule']} broken at {violation['at_s']:g} s: {violation['what']}")
@@ -177,7 +178,7 @@
     if json_path != "-":
         print_figures(figures, cpu)
     if figures["rules"]["broken"]:
-        print_broken_rules(figures)
+        print_violations(figures)
         return EXIT_FAILED
     return EXIT_OK
 
@@ -212,7 +213,7 @@
         "dispatchers": len(scenario.dispatchers.weights),
         "rate": round(rate, 3),
         "load": round(rate * scenario.mean_work / 1000 / scenario.capacity, 4),
-        "troubles": [t.kind for t in scenario.faults],
+        "troubles": [fault.kind for fault in scenario.faults],
     }
 
 
@@ -325,7 +326,8 @@
         for name in ("", first, second if second != first else "second", "difference", "95% interval"):
             out.add_column(name, justify="left" if not name else "right")
         for d in table:
-            low, high = d.difference - (d.half or 0.0), d.difference + (d.half or 0.0)
+            low = d.difference - (d.half or 0.0)
+            high = d.difference + (d.half or 0.0)
             out.add_row(
                 d.name,
                 f"{d.first:.4f}",
--- a/elderstall/client/__init__.py
+++ b/elderstall/client/__init__.py
@@ -1,6 +1,6 @@
-"""The client library: deadlines, retries and reconnects, shared by all client processes.
+"""The client library's decisions about deadlines, retries, the choice of a dispatcher and reconnects.
 
-It holds decisions without I/O (``policy``, ``budget``, ``targets``, ``reconnect``), the protocol they need,
-and thin I/O layers for Twisted, threads and asyncio that carry them out. The caller passes in time and random
-numbers. Dispatchers import nothing from here.
+The modules (``policy``, ``budget``, ``targets``, ``reconnect``) do no I/O: the caller carries out what they
+decide and passes in time and random numbers. The simulated clients run ``policy`` and ``budget``. Dispatchers
+import nothing from here.
 """
--- a/elderstall/client/budget.py
+++ b/elderstall/client/budget.py
@@ -18,7 +18,7 @@
     """
 
     share: float = 0.2  # tokens added by each call
-    reserve: float = 10.0  # tokens at the start, also the maximum
+    reserve: float = 10.0  # tokens at the start, also the maximum; below 1 no retry is ever allowed
     refill_per_s: float = 0.5  # tokens a second, without which a process with few calls could hardly retry
     tokens: float = math.nan
     refilled_at: float | None = None  # ms
@@ -43,17 +43,17 @@
         self.calls += 1
         self.tokens = min(self.reserve, self.tokens + self.share)
 
-    def can_retry(self, now: float) -> bool:
-        """Return whether there is a token for a retry now; count a denial."""
+    def check_token(self, now: float) -> bool:
+        """Return whether there is a token for a retry now; if not, count the denial in ``denied``."""
         self._refill(now)
         if self.tokens >= 1:
             return True
         self.denied += 1
         return False
 
-    def take_token(self, now: float) -> bool:
-        """Take a token for a retry that is sent now; return False without one."""
-        if not self.can_retry(now):
+    def consume_token(self, now: float) -> bool:
+        """Remove a token for a retry that is sent now; return False, and count the denial, without one."""
+        if not self.check_token(now):
             return False
         self.tokens -= 1
         self.retries += 1
--- a/elderstall/client/policy.py
+++ b/elderstall/client/policy.py
@@ -1,8 +1,8 @@
 """Retry decisions for a call: a state machine without I/O, clock or randomness of its own.
 
 A call consists of attempts. After each, the I/O layer reports the result, and gets back whether to send
-again, to wait, or how the call ends. A retry depends on what is *proven* about the attempt: a class that must
-not repeat is retried only after an attempt that was never sent or that the dispatcher refused. Times are
+again, to wait, or how the call ends. A retry depends on what is *proven* about the attempt: a class that is
+not repeatable is retried only after an attempt that was never sent or that the dispatcher refused. Times are
 milliseconds of one clock.
 """
 
@@ -25,17 +25,17 @@
 
     UNSENT = "unsent"  # the dispatcher cannot have read a byte of it
     REFUSED = "turned away"  # answered 429 or 503: a retry is harmless
-    MAY_HAVE_RUN = "may have run"
-    ANSWERED = "answered"  # with a result, or with an error that a retry would not change
+    MAY_HAVE_RUN = "may have run"  # no complete answer, or any other status
+    ANSWERED = "answered"  # 200, or a 4xx error that a retry would not change
 
 
-class Ending(Enum):
+class CallOutcome(Enum):
     """How a call ended."""
 
     DONE = "done"
     REFUSED = "refused"  # answered 429 or 503, without a further attempt
     REJECTED = "rejected"  # the request itself is wrong: 4xx
-    FAILED = "failed"
+    FAILED = "failed"  # the last attempt may have run, without a result
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     CANCELLED = "cancelled"
@@ -46,7 +46,7 @@
     """A class of calls."""
 
     name: str
-    deadline: float  # ms that a caller waits, over all attempts
+    timeout_ms: float  # time that a caller waits, over all attempts
     repeatable: bool = False  # whether running it twice is harmless
 
 
@@ -95,26 +95,26 @@
     """Send an attempt now."""
 
     call_id: str
-    budget_ms: float  # for X-Budget-Ms; the attempt is cancelled after it
+    time_left_ms: float  # until the call's deadline, for X-Budget-Ms; the attempt is cancelled after it
     is_retry: bool  # X-Again: 1
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Call ``on_wait_over`` at this time."""
+    """Call ``on_wait_over`` at ``until_ms``."""
 
-    until: float
+    until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The call has ended; returned once."""
+    """The call has ended; a call returns exactly one ``End``."""
 
-    ending: Ending
+    outcome: CallOutcome
     may_have_run: bool
     body: bytes = b""
     status: int | None = None
-    retry_after: float | None = None  # ms after which a new call may succeed
+    retry_after_ms: float | None = None  # time after which a new call may succeed
 
 
 Action = Send | Wait | End
@@ -141,24 +141,24 @@
         self,
         call_class: CallClass,
         retry_policy: RetryPolicy,
-        budget: RetryBudget,
+        retry_budget: RetryBudget,
         now: float,
         new_id: Callable[[], str],
         uniform: Iterator[float],
-        time_left: float | None = None,
+        time_left_ms: float | None = None,
     ) -> None:
         self.call_class = call_class
         self.retry_policy = retry_policy
-        self.budget = budget
+        self.retry_budget = retry_budget
         self.new_id = new_id
         self.uniform = uniform
-        self.deadline = now + (
-            call_class.deadline if time_left is None else min(time_left, call_class.deadline)
+        self.deadline_ms = now + (
+            call_class.timeout_ms if time_left_ms is None else min(time_left_ms, call_class.timeout_ms)
         )
         self.attempts = 0
         self.attempt_in_progress = False
         self.may_have_run = False  # any attempt
-        self.retry_at: float | None = None  # when the next attempt is sent
+        self.retry_at_ms: float | None = None  # when the next attempt is sent
         self.end_without_retry: End | None = None  # the result if no further attempt is made
         self.end: End | None = None
 
@@ -168,19 +168,22 @@
         """Start the first attempt."""
         if self.attempts or self.end is not None:
             raise CallStateError("the call has already begun")
-        self.budget.record_call(now)
-        if self.deadline - now <= 0:
-            return self._finish(End(Ending.TIMED_OUT, False))
+        self.retry_budget.record_call(now)
+        if self.deadline_ms - now <= 0:
+            return self._finish(End(CallOutcome.TIMED_OUT, False))
         return self._send(now)
 
     def on_wait_over(self, now: float) -> Action:
-        """Send the planned retry, wait further, or end the call if time or budget has run out."""
-        if self.end is not None or self.attempt_in_progress or self.retry_at is None:
+        """Send the planned retry, wait further, or end the call if time or retry budget has run out."""
+        if self.end is not None or self.attempt_in_progress or self.retry_at_ms is None:
             raise CallStateError("the call is not waiting for a retry")
-        if now < self.retry_at:
-            return Wait(self.retry_at)
+        if now < self.retry_at_ms:
+            return Wait(self.retry_at_ms)
         assert self.end_without_retry is not None
-        if self.deadline - now <= self.retry_policy.min_time_left_ms or not self.budget.take_token(now):
+        if (
+            self.deadline_ms - now <= self.retry_policy.min_time_left_ms
+            or not self.retry_budget.consume_token(now)
+        ):
             return self._finish(self.end_without_retry)
         return self._send(now)
 
@@ -198,26 +201,26 @@
             return self._finish(end)  # it may have run, and a second run could charge twice
         return self._plan_retry(now, end)
 
-    def timed_out(self, now: float, unsent: bool = False) -> End:
+    def on_timeout(self, now: float, unsent: bool = False) -> End:
         """End the call at its deadline; the I/O layer cancels the attempt in progress.
 
-        ``unsent``: that attempt is proven unsent.
+        ``unsent``: that attempt is proven unsent. ``now`` is not used.
         """
         if self.end is not None:
             raise CallStateError("the call has already ended")
         if self.attempt_in_progress and not unsent:
             self.may_have_run = True
         self.attempt_in_progress = False
-        return self._finish(End(Ending.TIMED_OUT, self.may_have_run))
+        return self._finish(End(CallOutcome.TIMED_OUT, self.may_have_run))
 
-    def cancelled(self, unsent: bool = False) -> End:
+    def on_cancel(self, unsent: bool = False) -> End:
         """End the call because its caller cancelled it."""
         if self.end is not None:
             raise CallStateError("the call has already ended")
         if self.attempt_in_progress and not unsent:
             self.may_have_run = True
         self.attempt_in_progress = False
-        return self._finish(End(Ending.CANCELLED, self.may_have_run))
+        return self._finish(End(CallOutcome.CANCELLED, self.may_have_run))
 
     # ---- decisions ----
 
@@ -225,17 +228,19 @@
         """Return what a result proves, and how the call ends on it without a retry."""
         if isinstance(result, NoAnswer):
             if result.unsent:
-                return Proof.UNSENT, End(Ending.UNREACHABLE, self.may_have_run)
-            return Proof.MAY_HAVE_RUN, End(Ending.FAILED, True)
+                return Proof.UNSENT, End(CallOutcome.UNREACHABLE, self.may_have_run)
+            return Proof.MAY_HAVE_RUN, End(CallOutcome.FAILED, True)
         status = result.status
         if status == 200:
-            return Proof.ANSWERED, End(Ending.DONE, True, result.body, status)
+            return Proof.ANSWERED, End(CallOutcome.DONE, True, result.body, status)
         if status in REFUSAL_STATUSES:
-            retry_after = parse_retry_after(result.retry_after)
-            return Proof.REFUSED, End(Ending.REFUSED, self.may_have_run, result.body, status, retry_after)
+            retry_after_ms = parse_retry_after(result.retry_after)
+            return Proof.REFUSED, End(
+                CallOutcome.REFUSED, self.may_have_run, result.body, status, retry_after_ms
+            )
         if 400 <= status < 500:
-            return Proof.ANSWERED, End(Ending.REJECTED, self.may_have_run, result.body, status)
-        return Proof.MAY_HAVE_RUN, End(Ending.FAILED, True, result.body, status)
+            return Proof.ANSWERED, End(CallOutcome.REJECTED, self.may_have_run, result.body, status)
+        return Proof.MAY_HAVE_RUN, End(CallOutcome.FAILED, True, result.body, status)
 
     def _plan_retry(self, now: float, end: End) -> Action:
         """Plan a further attempt, or end the call if none may follow."""
@@ -244,21 +249,23 @@
             return self._finish(end)
         backoff_ms = self.retry_policy.backoff_ms * 2.0 ** min(self.attempts - 1, 30)
         jitter = min(self.retry_policy.max_backoff_ms, backoff_ms) * next(self.uniform)
-        due = now + (end.retry_after or 0.0) + jitter  # Retry-After is a minimum; jitter spreads the clients
-        if self.deadline - due <= self.retry_policy.min_time_left_ms:
+        due_ms = (
+            now + (end.retry_after_ms or 0.0) + jitter
+        )  # Retry-After is a minimum; jitter spreads the clients
+        if self.deadline_ms - due_ms <= self.retry_policy.min_time_left_ms:
             return self._finish(end)  # at once, as waiting for the deadline gains nothing
-        if not self.budget.can_retry(now):
+        if not self.retry_budget.check_token(now):
             return self._finish(end)
-        self.retry_at = due
-        return Wait(due)
+        self.retry_at_ms = due_ms
+        return Wait(due_ms)
 
     def _send(self, now: float) -> Send:
         self.attempts += 1
         self.attempt_in_progress = True
-        self.retry_at = None
-        return Send(self.new_id(), self.deadline - now, self.attempts > 1)
+        self.retry_at_ms = None
+        return Send(self.new_id(), self.deadline_ms - now, self.attempts > 1)
 
     def _finish(self, end: End) -> End:
         self.end = end
-        self.retry_at = None
+        self.retry_at_ms = None
         return end
--- a/elderstall/client/reconnect.py
+++ b/elderstall/client/reconnect.py
@@ -18,7 +18,7 @@
     """Limits on opening connections. Raises ValueError for invalid values."""
 
     rate: float = 20.0  # connections a second
-    burst: float = 5.0
+    burst: float = 5.0  # connections that may be opened at once after a pause
     backoff_ms: float = 100.0
     max_backoff_ms: float = 5_000.0
     max_waiting: int = 10_000  # callers that wait for a connection; further ones are rejected at once
@@ -67,7 +67,7 @@
             )
             self.refilled_at = now
 
-    def take_granted(self, now: float) -> list[Hashable]:
+    def pop_granted(self, now: float) -> list[Hashable]:
         """Remove and return the callers that may connect now, earliest deadline first; drop expired ones."""
         self._refill(now)
         granted: list[Hashable] = []
@@ -87,15 +87,19 @@
         return granted
 
     def next_grant_at(self, now: float) -> float | None:
-        """Return when to call ``take_granted`` again; None if no caller waits."""
+        """Return when to call ``pop_granted`` again; None if no caller waits."""
         if not self.waiting:
             return None
         self._refill(now)
         return max(now, self.blocked_until, now + max(0.0, 1 - self.tokens) / self.pacing.rate * 1000)
 
-    def record_result(self, now: float, good: bool) -> None:
-        """Record whether a connect succeeded; after a failure, block connects for the backoff."""
-        if good:
+    def record_result(self, now: float, succeeded: bool) -> None:
+        """Record whether a connect succeeded.
+
+        A failure blocks connects for the backoff; a success ends any block, also one that the failure
+        of another connect has just set.
+        """
+        if succeeded:
             self.failures = 0
             self.blocked_until = -math.inf
             return
--- a/elderstall/client/targets.py
+++ b/elderstall/client/targets.py
@@ -25,8 +25,8 @@
     active_attempts: int = 0
     failures: int = 0  # in a row
     ejections: int = 0
-    ejected_until: float | None = None  # gets no attempts before, and then a probe first
-    probing: bool = False
+    ejected_until: float | None = None  # ms; no attempts until a probe after this time has succeeded
+    is_probing: bool = False  # a probe was sent, and its result is not known yet
 
 
 class Targets:
@@ -52,10 +52,10 @@
         first.active_attempts += 1
         return first
 
-    def record_result(self, target: Target, now: float, good: bool) -> None:
-        """Record the result of an attempt; a refusal counts as good, as the dispatcher is alive."""
+    def record_result(self, target: Target, now: float, succeeded: bool) -> None:
+        """Record the result of an attempt; a refusal counts as a success, as the dispatcher is alive."""
         target.active_attempts -= 1
-        if good:
+        if succeeded:
             target.failures = 0
             if target.ejected_until is None:
                 target.ejections = 0
@@ -72,27 +72,27 @@
         ejection_ms = min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2.0 ** min(target.ejections, 16))
         target.ejections += 1
         target.ejected_until = now + ejection_ms
-        target.probing = False
+        target.is_probing = False
 
-    def take_due_probes(self, now: float) -> list[Target]:
-        """Return the dispatchers to probe at ``/up`` now; each once until ``record_probe``."""
+    def start_due_probes(self, now: float) -> list[Target]:
+        """Return the dispatchers to probe at ``/up`` now; none again before its ``record_probe``."""
         due = [
             t
             for t in self.targets
-            if t.ejected_until is not None and not t.probing and now >= t.ejected_until
+            if t.ejected_until is not None and not t.is_probing and now >= t.ejected_until
         ]
         for t in due:
-            t.probing = True
+            t.is_probing = True
         return due
 
     def next_probe_at(self) -> float | None:
         """Return when the next probe is due; None without a dispatcher to probe."""
-        due = [t.ejected_until for t in self.targets if t.ejected_until is not None and not t.probing]
+        due = [t.ejected_until for t in self.targets if t.ejected_until is not None and not t.is_probing]
         return min(due, default=None)
 
     def record_probe(self, target: Target, now: float, up: bool) -> None:
         """Record a probe's result: 200 at ``/up`` ends the ejection; 503 means that it shuts down."""
-        target.probing = False
+        target.is_probing = False
         if up:
             target.ejected_until = None
             target.failures = 0
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -1,4 +1,8 @@
-"""Reading, checking and defaults of the configuration; every error message begins with the key at fault."""
+"""Reading, checking and defaults of the configuration.
+
+An error message begins with the key at fault, or with the source ("config", "front", "RELAY_CONFIG") if the
+whole of it cannot be used.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +24,8 @@
 OWN_DESCRIPTORS_DIVISOR = 16  # one descriptor in 16, and at least 16, is for the program itself
 CONSOLE_DESCRIPTORS = MAX_CONSOLE_CONNECTIONS + 1  # reserved for the console, its listener included
 WORKER_DESCRIPTORS_FRACTION = 0.3  # of the remaining descriptors, for connections to workers
-CLIENT_SHEDDING_FRACTION = 0.8  # of the clients' descriptors are used before connections are shed
-MIN_SOCKETS = 64
+CLIENT_SHEDDING_FRACTION = 0.8  # of the clients' descriptors; with more connections, some are shed
+MIN_SOCKETS = 64  # the lowest limits.sockets that is accepted
 MAX_PORT = 65_535
 MAX_PORT_DIGITS = 5
 IDLE_MEMORY_MIB = 24.0  # used by an idle program
@@ -34,7 +38,7 @@
 
 
 class ConfigError(Exception):
-    """Configuration that cannot be used; the message begins with the key."""
+    """Configuration that cannot be used; the message begins with the key or the source."""
 
 
 class UnreadableError(ConfigError):
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Progress:
-    """Settings of the listener with server-sent events, from an operator's file."""
+    """Settings of the listener that sends progress as server-sent events, from an operator's file."""
 
     enabled: bool = False
     retry_ms: int = 1_000  # reconnection time sent to clients in the stream
@@ -61,7 +65,7 @@
     discovery: str
     seed: int
     settings: Settings
-    known: Any
+    known: Any  # the endpoint list in the file, used at the start
     live_weights: bool
     report_fields: tuple[str, ...]
     answer_slack_ms: float
@@ -71,7 +75,7 @@
     worker_connections: int
     client_shedding_threshold: int
     max_client_connections: int
-    kept_bytes_limit: int
+    kept_bytes_limit: int  # of requests that are not complete yet
     progress: Progress = Progress()
     console: tuple[str, int] | None = None  # address of the operators' console
     folder: str | None = None  # where the processes of this dispatcher find each other during an upgrade
@@ -111,7 +115,7 @@
 
 
 def load_progress(path: str | None) -> Progress:
-    """Read the operator's file for the listener with progress; without a file it is disabled."""
+    """Return the settings of the listener that sends progress; without a file it is disabled."""
     if not path:
         return Progress()
     try:
@@ -160,8 +164,8 @@
     report = read_section(settings_raw, "load_report", "settings.")
     try:
         settings = parse_settings(settings_raw)
-        # On sockets, changes of the list arrive only over a watch, so the dispatcher also watches where an
-        # agent pushes the list; list_is_pushed still records that the agent does.
+        # On sockets, changes of the list arrive only over a watch, so the dispatcher always watches.
+        # list_is_pushed keeps the original setting: the list is pushed where the file asks for no watch.
         settings = replace(settings, watches_list=True, list_is_pushed=not settings.watches_list)
     except KeyError as error:
         raise ConfigError(f"settings: {error} is missing") from None
@@ -217,12 +221,13 @@
     )  # raw without the list, which is kept only once
 
 
-# Key of the file -> fields of Config that the open sockets depend on.
+# Key of the file -> fields of Config that only a restart changes. merge_reloaded keeps ``seed`` too, but a
+# change of it is not reported.
 FIXED_FIELDS = {"name": "name", "listen": "host port", "console": "console"}
 
 
 def changed_fixed_keys(old: Config, new: Config) -> list[str]:
-    """Return the keys that differ and that only a restart can change."""
+    """Return the keys of FIXED_FIELDS that differ, and ``front.progress.enabled`` if it does."""
     keys = [
         key
         for key, names in FIXED_FIELDS.items()
@@ -231,16 +236,21 @@
     return keys + ["front.progress.enabled"] * (old.progress.enabled is not new.progress.enabled)
 
 
-def find_missing_key(old: Any, new: Any, key: str = "") -> str | None:
+def find_missing_key(old: Any, new: Any, prefix: str = "") -> str | None:
     """Return a key of ``old`` that is missing from ``new``, None if there is none.
 
-    New entries of a list must have the keys that all old entries have.
+    A key whose object or list has become a value of another type counts as missing. New entries of a list
+    must have the keys that all old entries have. ``prefix`` is the path of ``old``: empty, or with a dot at
+    its end, which is removed where the path itself is returned.
     """
     if isinstance(old, dict) and isinstance(new, dict):
         for name, value in old.items():
             if name not in new:
-                return f"{key}{name}"
-            if name != "known" and (found := find_missing_key(value, new[name], f"{key}{name}.")) is not None:
+                return f"{prefix}{name}"
+            if (
+                name != "known"
+                and (found := find_missing_key(value, new[name], f"{prefix}{name}.")) is not None
+            ):
                 return found
     elif isinstance(old, list) and isinstance(new, list):
         entries = [e for e in old if isinstance(e, dict)]
@@ -251,10 +261,10 @@
             if all(name in other for other in entries)
         }
         for index, entry in enumerate(new if entries else ()):
-            if (found := find_missing_key(shared, entry, f"{key[:-1]}[{index}].")) is not None:
+            if (found := find_missing_key(shared, entry, f"{prefix[:-1]}[{index}].")) is not None:
                 return found
     elif isinstance(old, dict | list):
-        return key[:-1]
+        return prefix[:-1]
     return None
 
 
--- a/elderstall/simulation/clients.py
+++ b/elderstall/simulation/clients.py
@@ -327,9 +327,9 @@
             self.world.tally.retries += action.is_retry
             self.clients.send(request)
         elif isinstance(action, Wait):
-            self.world.loop.at(action.until, self.woken, request)
+            self.world.loop.at(action.until_ms, self.woken, request)
         else:
-            self.clients.close(request, action.ending.value, self.world.loop.now)
+            self.clients.close(request, action.outcome.value, self.world.loop.now)
 
     def ended(self, request: Request) -> None:
         """Remove the library's call of a closed request."""
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from elderstall.benchlink import Host, WireError
+from elderstall.benchlink import SimulatorAdapter, WireError
 
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
@@ -31,7 +31,7 @@
 
 def run_host(messages: list[Any]) -> list[dict[str, Any]]:
     out = io.StringIO()
-    Host(out).run(m if isinstance(m, str) else json.dumps(m) for m in messages)
+    SimulatorAdapter(out).run(m if isinstance(m, str) else json.dumps(m) for m in messages)
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -15,9 +15,9 @@
     Answer,
     Call,
     CallClass,
+    CallOutcome,
     CallStateError,
     End,
-    Ending,
     NoAnswer,
     RetryPolicy,
     Send,
@@ -27,7 +27,8 @@
 from elderstall.client.reconnect import ConnectPacing, ConnectQueue
 from elderstall.client.targets import FAILURES_TO_EJECT, MAX_EJECTED_FRACTION, Targets
 
-SAFE, UNSAFE = CallClass("fetch", 1_000.0, True), CallClass("purchase", 1_000.0)
+SAFE = CallClass("fetch", 1_000.0, True)
+UNSAFE = CallClass("purchase", 1_000.0)
 
 
 def new_call(
@@ -50,7 +51,7 @@
 def test_a_served_call_ends_with_its_body() -> None:
     call = new_call()
     assert call.begin(0.0) == Send("id1", 1_000.0, False)
-    assert call.on_result(10.0, Answer(200, b"deck")) == End(Ending.DONE, True, b"deck", 200)
+    assert call.on_result(10.0, Answer(200, b"deck")) == End(CallOutcome.DONE, True, b"deck", 200)
     with pytest.raises(CallStateError):
         call.on_result(11.0, Answer(200))
 
@@ -67,14 +68,14 @@
     ("result", "safe", "unsafe"),
     [
         (NoAnswer(unsent=True), Wait, Wait),
-        (NoAnswer(unsent=False), Wait, (Ending.FAILED, True)),
+        (NoAnswer(unsent=False), Wait, (CallOutcome.FAILED, True)),
         (Answer(503), Wait, Wait),
         (Answer(429), Wait, Wait),
-        (Answer(500), Wait, (Ending.FAILED, True)),
-        (Answer(502), Wait, (Ending.FAILED, True)),
-        (Answer(504), Wait, (Ending.FAILED, True)),
-        (Answer(204), Wait, (Ending.FAILED, True)),
-        (Answer(400), (Ending.REJECTED, False), (Ending.REJECTED, False)),
+        (Answer(500), Wait, (CallOutcome.FAILED, True)),
+        (Answer(502), Wait, (CallOutcome.FAILED, True)),
+        (Answer(504), Wait, (CallOutcome.FAILED, True)),
+        (Answer(204), Wait, (CallOutcome.FAILED, True)),
+        (Answer(400), (CallOutcome.REJECTED, False), (CallOutcome.REJECTED, False)),
     ],
 )
 def test_a_retry_depends_on_what_is_proven_about_the_attempt(
@@ -87,7 +88,7 @@
         if expected is Wait:
             assert isinstance(got, Wait)
         else:
-            assert isinstance(got, End) and (got.ending, got.may_have_run) == expected
+            assert isinstance(got, End) and (got.outcome, got.may_have_run) == expected
 
 
 @pytest.mark.parametrize(
@@ -118,17 +119,17 @@
     call = new_call(UNSAFE)
     call.begin(0.0)
     end = call.on_result(0.0, Answer(503, b"full", retry_after="5"))
-    assert end == End(Ending.REFUSED, False, b"full", 503, 5_000.0)
+    assert end == End(CallOutcome.REFUSED, False, b"full", 503, 5_000.0)
 
 
 def test_a_timed_out_purchase_may_have_run_unless_proven_unsent() -> None:
     for unsent in (False, True):
         call = new_call(UNSAFE)
         call.begin(0.0)
-        assert call.timed_out(1_000.0, unsent) == End(Ending.TIMED_OUT, not unsent)
+        assert call.on_timeout(1_000.0, unsent) == End(CallOutcome.TIMED_OUT, not unsent)
     call = new_call(UNSAFE)
     call.begin(0.0)
-    assert call.cancelled() == End(Ending.CANCELLED, True)
+    assert call.on_cancel() == End(CallOutcome.CANCELLED, True)
 
 
 def test_the_budget_bounds_retries_in_an_outage() -> None:
@@ -143,7 +144,7 @@
                 sent += 1
                 action = call.on_result(now, NoAnswer(unsent=True))
             else:
-                now = action.until
+                now = action.until_ms
                 action = call.on_wait_over(now)
     assert budget.calls == 1_000 and sent - 1_000 == budget.retries <= 10 + 200 and budget.retries > 190
     assert budget.denied > 500
@@ -191,14 +192,14 @@
         self.action = action
         if isinstance(action, Send):
             assert self.safe or not self.ran, "a purchase that may have run was sent again"
-            assert action.budget_ms == 1_000.0 - self.now > 0 and action.is_retry == bool(self.sent)
+            assert action.time_left_ms == 1_000.0 - self.now > 0 and action.is_retry == bool(self.sent)
             assert action.call_id not in {s.call_id for s in self.sent}
             self.sent.append(action)
         elif isinstance(action, Wait):
-            assert self.now <= action.until < 1_000.0
+            assert self.now <= action.until_ms < 1_000.0
         else:
             self.ends += 1
-            assert action.may_have_run == self.ran or action.ending is Ending.DONE
+            assert action.may_have_run == self.ran or action.outcome is CallOutcome.DONE
 
     @precondition(lambda self: isinstance(self.action, Send))
     @rule(result=results, after=st.floats(0.0, 400.0))
@@ -212,14 +213,14 @@
     @precondition(lambda self: isinstance(self.action, Wait))
     @rule(late=st.floats(0.0, 300.0))
     def end_wait(self, late: float) -> None:
-        self.now = min(999.9, max(self.now, self.action.until + late))  # type: ignore[union-attr]
+        self.now = min(999.9, max(self.now, self.action.until_ms + late))  # type: ignore[union-attr]
         self.record_action(self.call.on_wait_over(self.now))
 
     @precondition(lambda self: not isinstance(self.action, End))
     @rule(unsent=st.booleans(), cancel=st.booleans())
     def cancel_or_time_out(self, unsent: bool, cancel: bool) -> None:
         self.ran = self.ran or (isinstance(self.action, Send) and not unsent)
-        self.record_action(self.call.cancelled(unsent) if cancel else self.call.timed_out(1_000.0, unsent))
+        self.record_action(self.call.on_cancel(unsent) if cancel else self.call.on_timeout(1_000.0, unsent))
 
     @precondition(lambda self: isinstance(self.action, End))
     @rule(result=results)
@@ -260,13 +261,13 @@
     bad = targets.by_address["a"]
     for _ in range(FAILURES_TO_EJECT):
         bad.active_attempts += 1
-        targets.record_result(bad, 0.0, good=False)
+        targets.record_result(bad, 0.0, succeeded=False)
     assert all(targets.pick().address != "a" for _ in range(20))
-    assert targets.take_due_probes(500.0) == [] and targets.next_probe_at() == 1_000.0
-    assert targets.take_due_probes(1_000.0) == [bad] and targets.take_due_probes(1_001.0) == []
+    assert targets.start_due_probes(500.0) == [] and targets.next_probe_at() == 1_000.0
+    assert targets.start_due_probes(1_000.0) == [bad] and targets.start_due_probes(1_001.0) == []
     targets.record_probe(bad, 1_100.0, up=False)
     assert targets.next_probe_at() == 1_100.0 + 2_000.0
-    targets.take_due_probes(3_200.0)
+    targets.start_due_probes(3_200.0)
     targets.record_probe(bad, 3_200.0, up=True)
     assert any(targets.pick().address == "a" for _ in range(20))
 
@@ -295,9 +296,10 @@
     for n in range(300):
         assert queue.enqueue(n, deadline=10_000.0 - n)
     seen: list[object] = []
-    now, peak = 0.0, 0
+    now = 0.0
+    peak = 0
     while len(seen) < 60:
-        got = queue.take_granted(now)
+        got = queue.pop_granted(now)
         peak = max(peak, len(got))
         seen += got
         now = queue.next_grant_at(now) or now
@@ -309,10 +311,10 @@
     queue = ConnectQueue(ConnectPacing(backoff_ms=100.0, max_backoff_ms=400.0), itertools.repeat(1.0))
     queue.enqueue("a", math.inf)
     for length in (100.0, 200.0, 400.0, 400.0):
-        queue.record_result(0.0, good=False)
-        assert queue.next_grant_at(0.0) == length and queue.take_granted(length - 1) == []
-    queue.record_result(0.0, good=True)
-    assert queue.take_granted(0.0) == ["a"]
+        queue.record_result(0.0, succeeded=False)
+        assert queue.next_grant_at(0.0) == length and queue.pop_granted(length - 1) == []
+    queue.record_result(0.0, succeeded=True)
+    assert queue.pop_granted(0.0) == ["a"]
 
 
 def test_removed_and_expired_callers_are_not_connected_and_the_queue_is_bounded() -> None:
@@ -327,17 +329,18 @@
         False,
     ]
     queue.remove("b")
-    assert queue.take_granted(50.0) == ["c"] and queue.next_grant_at(50.0) is None
+    assert queue.pop_granted(50.0) == ["c"] and queue.next_grant_at(50.0) is None
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 300.0), st.booleans()), max_size=120))
 def test_grants_never_exceed_the_rate(results: list[tuple[float, bool]]) -> None:
     pacing = ConnectPacing(rate=5.0, burst=3.0)
     queue = ConnectQueue(pacing, itertools.repeat(0.5))
-    now, grants = 0.0, 0
+    now = 0.0
+    grants = 0
     for n, (gap, good) in enumerate(results):
         now += gap
         queue.enqueue(n, now + 500.0)
-        grants += len(queue.take_granted(now))
+        grants += len(queue.pop_granted(now))
         queue.record_result(now, good)
         assert grants <= pacing.burst + pacing.rate * now / 1000 + 1e-6
