--- a/elderstall/benchlink.py
+++ b/elderstall/benchlink.py
@@ -154,20 +154,24 @@
     def __init__(self, out: TextIO) -> None:
         self.out = out
         self.now = 0.0
-        self.serial = 0
+        self.batch_serial = 0
         self.dispatchers: dict[int, Dispatcher] = {}
         self.lists: dict[int, tuple[Endpoint, ...]] = {}
         self.live = False  # whether weight_source is "live" in the latest NewInstance, for the lists of all
 
-    def write_actions(self, who: int, actions: Iterable[Action]) -> None:
+    def write_actions(self, dispatcher_id: int, actions: Iterable[Action]) -> None:
         """Write the actions of one dispatcher."""
-        self.out.writelines(f'{{"who":{who},{ACTIONS[type(action)](action)}}}\n' for action in actions)
+        self.out.writelines(
+            f'{{"who":{dispatcher_id},{ACTIONS[type(action)](action)}}}\n' for action in actions
+        )
 
-    def dispatch(self, who: int, event: Event) -> None:
+    def dispatch(self, dispatcher_id: int, event: Event) -> None:
         """Pass an event to its dispatcher and write the actions that it returns; skip an ended dispatcher."""
-        if (dispatcher := self.dispatchers.get(who)) is not None:
+        if (dispatcher := self.dispatchers.get(dispatcher_id)) is not None:
             actions = dispatcher.handle(self.now, event)
-            self.out.writelines(f'{{"who":{who},{ACTIONS[type(action)](action)}}}\n' for action in actions)
+            self.out.writelines(
+                f'{{"who":{dispatcher_id},{ACTIONS[type(action)](action)}}}\n' for action in actions
+            )
 
     def translate(self, message: Fields) -> tuple[int, Event] | None:
         """Handle one message of a batch; return its dispatcher and event if it is for a dispatcher."""
@@ -176,9 +180,9 @@
             return message["who"], parse_event(message)
         if message_type == "BeginBatch":
             self.now = message["time"]
-            self.serial = message["serial"]
+            self.batch_serial = message["serial"]
         elif message_type == "OverToYou":
-            self.out.write(f'{{"m":"Yield","serial":{self.serial}}}\n')
+            self.out.write(f'{{"m":"Yield","serial":{self.batch_serial}}}\n')
             self.out.flush()
         elif message_type == "Members":
             scope = lookup(LIST_SCOPES, message["scope"], "scope")
--- a/elderstall/client/policy.py
+++ b/elderstall/client/policy.py
@@ -247,6 +247,7 @@
         self.end_without_retry = end
         if self.attempts >= self.retry_policy.max_attempts:
             return self._finish(end)
+        # The exponent is limited, as 2.0 ** 1024 raises OverflowError.
         backoff_ms = self.retry_policy.backoff_ms * 2.0 ** min(self.attempts - 1, 30)
         jitter = min(self.retry_policy.max_backoff_ms, backoff_ms) * next(self.uniform)
         due_ms = (
--- a/elderstall/client/reconnect.py
+++ b/elderstall/client/reconnect.py
@@ -103,6 +103,7 @@
             self.failures = 0
             self.blocked_until = -math.inf
             return
+        # The exponent is limited, as 2.0 ** 1024 raises OverflowError.
         max_wait_ms = min(self.pacing.max_backoff_ms, self.pacing.backoff_ms * 2.0 ** min(self.failures, 30))
         self.failures += 1
         self.blocked_until = max(self.blocked_until, now + max_wait_ms * next(self.uniform))
--- a/elderstall/client/targets.py
+++ b/elderstall/client/targets.py
@@ -41,8 +41,9 @@
 
     def pick(self, avoid: str | None = None) -> Target:
         """Return a dispatcher for an attempt, if possible not the one at ``avoid``; count the attempt."""
-        ready = [t for t in self.targets if t.ejected_until is None] or self.targets
-        others = [t for t in ready if t.address != avoid] or ready
+        # At most half are ejected, so some are always available and the fallback to all is not used.
+        available = [t for t in self.targets if t.ejected_until is None] or self.targets
+        others = [t for t in available if t.address != avoid] or available
         first = others[int(next(self.uniform) * len(others))]
         if len(others) > 1:
             rest = [t for t in others if t is not first]
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -65,7 +65,7 @@
     discovery: str
     seed: int
     settings: Settings
-    known: Any  # the endpoint list in the file, used at the start
+    known: Any  # the endpoint list in the file; None once it has been loaded
     live_weights: bool
     report_fields: tuple[str, ...]
     answer_slack_ms: float
@@ -80,7 +80,7 @@
     console: tuple[str, int] | None = None  # address of the operators' console
     folder: str | None = None  # where the processes of this dispatcher find each other during an upgrade
     max_list_entries: int = 1_000_000  # in one list of workers; follows from the memory limit
-    raw: Any = field(default=None, compare=False, repr=False)  # the parsed file
+    raw: Any = field(default=None, compare=False, repr=False)  # the parsed file, without the list
 
 
 def parse_address(text: Any, key: str) -> tuple[str, int]:
@@ -180,7 +180,7 @@
     host, port = parse_address(required_text("listen"), "listen")
     parse_address(required_text("discovery"), "discovery")
     seed = raw.get("seed", "0")
-    try:
+    try:  # a JSON number is accepted, too; its fraction is cut off
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (ValueError, TypeError, OverflowError):
         raise ConfigError(f"seed: {seed!r} is not a hexadecimal number") from None
@@ -205,6 +205,7 @@
         answer_slack_ms=read_number(rules, "answer_slack", 0.0, "settings.rules"),
         idle_timeout_ms=read_number(limits, "conn_idle", 10_000.0, "settings.limits", 1)
         * IDLE_TIMEOUT_FRACTION,
+        # 0 means the default, too.
         connect_timeout_ms=read_number(limits, "connect_timeout", 250.0, "settings.limits") or 250.0,
         max_open=int(read_number(limits, "max_open", 20_000, "settings.limits", 1)),
         worker_connections=workers,
