--- a/elderstall/simulation/compare.py
+++ b/elderstall/simulation/compare.py
@@ -50,13 +50,13 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """Two means and their difference, second less first, with a 95% interval; None with a single pair."""
+    """Two means and their difference, second less first, with a 95% confidence interval."""
 
     name: str
     first: float
     second: float
     difference: float
-    half: float | None  # the width of the interval, halved
+    half: float | None  # half the width of the interval; None with a single pair
 
     @property
     def clear(self) -> bool:
--- a/elderstall/simulation/figures.py
+++ b/elderstall/simulation/figures.py
@@ -26,7 +26,7 @@
 WINDOW_BINS = 5  # bins in each entry of "windows"
 WORST_WINDOW_BINS = 10  # bins over which the worst service is taken
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
-MAX_LOST_REQUESTS = 10  # requests listed, those with the most priority weight
+MAX_UNSERVED_LISTED = 10  # unserved requests listed ("most_lost"), those with the most priority weight
 ENDINGS = ("served", "late", "refused", "failed", "timed out", "unreachable", "lost", "left")
 
 
@@ -63,12 +63,15 @@
         self.classes = {c.cls.name: PriorityWeight() for c in scenario.classes}
         self.tenants = {t.name: PriorityWeight() for t in scenario.tenants}  # of requests within the quota
         self.endings: dict[str, Counter[str]] = {c.cls.name: Counter() for c in scenario.classes}
-        self.latencies = {c.cls.name: HdrHistogram(1, 3_600_000_000, 3) for c in scenario.classes}  # us
+        self.latencies = {
+            c.cls.name: HdrHistogram(1, 3_600_000_000, 3) for c in scenario.classes
+        }  # us, to 1 h
         self.requests = self.tries = self.retries = self.attempts = self.connections = self.probes = 0
         self.core_ms = self.useful_ms = 0.0
-        self.work_requested = self.late_weight = 0.0  # standard work; priority weight
+        # Standard work; priority weight of the requests that failed after their latency objective.
+        self.work_requested = self.late_failure_weight = 0.0
         # Heap of the requests that were not served, limited to those with the most priority weight.
-        self.lost: list[tuple[float, int, str, str, float]] = []
+        self.unserved: list[tuple[float, int, str, str, float]] = []
 
     def bin_of(self, request: Request) -> Bin:
         """Return the bin in which a request arrived; the last one takes later requests too."""
@@ -97,10 +100,10 @@
         if ending in ("served", "late"):
             self.latencies[name].record_value(max(1, round((at - request.arrived_at) * 1000)))
         elif ending != "left" and at > request.latency_objective_at:
-            self.late_weight += request.priority_weight
+            self.late_failure_weight += request.priority_weight
         if ending != "served":
             entry = (request.priority_weight, request.number, name, ending, request.arrived_at)
-            (heappush if len(self.lost) < MAX_LOST_REQUESTS else heappushpop)(self.lost, entry)
+            (heappush if len(self.unserved) < MAX_UNSERVED_LISTED else heappushpop)(self.unserved, entry)
         if ending == "served":
             arrival_bin.priority_weight.earned += request.priority_weight
             arrival_bin.classes[name].earned += request.priority_weight
@@ -180,14 +183,14 @@
     goal = scenario.goal
     wasted = max(0.0, tally.core_ms - tally.useful_ms)
     requests = max(1, tally.requests)
-    # The mean speed converts core time to standard work, as the work requested is counted in it.
+    # The mean speed converts core time to standard work, because ``work_requested`` is in standard work.
     speed = sum(host.model.speed * host.kind.cores for host in world.worker_hosts.values()) / sum(
         host.kind.cores for host in world.worker_hosts.values()
     )
     prices = {
         "waste": goal.price_waste * wasted * speed / max(1e-9, tally.work_requested),
         "connections": goal.price_connection * tally.connections / requests,
-        "late failures": goal.price_late_failure * tally.late_weight / max(1e-9, requested),
+        "late failures": goal.price_late_failure * tally.late_failure_weight / max(1e-9, requested),
     }
     figure = None
     if whole is not None and worst is not None:
@@ -269,7 +272,7 @@
                 "share_of_worth": rounded(priority_weight / requested),
             }
             for priority_weight, number, name, ending, arrived_at in sorted(
-                tally.lost, key=lambda row: (-row[0], row[1])
+                tally.unserved, key=lambda row: (-row[0], row[1])
             )
         ],
         "troubles": [
--- a/elderstall/simulation/listing.py
+++ b/elderstall/simulation/listing.py
@@ -31,7 +31,7 @@
         self.entries: dict[str, Endpoint] = {}
         self.log: list[tuple[int, Endpoint]] = []
         self.version = 1
-        self.watch_started_at: dict[Process, float] = {}  # by process; ms
+        self.watch_started_at: dict[Process, float] = {}  # by watching process; ms
         self.pending: set[Process] = set()  # processes with a notification scheduled
         self.busy_until = 0.0  # ms; when all calls so far have been served
         self.outages = 0
@@ -57,7 +57,7 @@
     # ---- changes of workers ----
 
     def changed(self, worker_host: WorkerHost, notice: float) -> None:
-        """Publish a worker host's state after a delay, as it is at that time."""
+        """Publish, after a delay in ms, the state that a worker host has when the delay ends."""
         self.world.loop.after(notice, self.publish_state, worker_host)
 
     def publish_state(self, worker_host: WorkerHost) -> None:
--- a/elderstall/simulation/reading.py
+++ b/elderstall/simulation/reading.py
@@ -39,14 +39,14 @@
 )
 
 SCHEMA = Path(__file__).with_name("schema.xml")
-# Sections that may occur at most once.
+# Optional sections that may occur at most once; ``load`` is required.
 SINGLE_SECTIONS = ("network", "rules", "list", "reports", "clients", "dispatchers", "goal")
 UNUSED_OVERRIDE = "a section or key that it names is not in the scenario file"
 OVERRIDE_SOURCE = "--set"  # stands for a file name at overridden values
 MAX_WORKERS = 5_000  # a mistyped larger number is rejected before it exhausts the machine's memory
 MAX_DISPATCHERS = 1_000
 MAX_JOBS = 50_000_000
-MAX_USUAL_LOAD = 5.0  # times the fleet's capacity; a higher load is a warning
+LOAD_WARNING_THRESHOLD = 5.0  # times the fleet's capacity; a higher load can be simulated
 SHIPPED = Path(__file__).parent.parent.parent / "deploy" / "rehearsals"
 ENDING = ".conf"
 
@@ -137,7 +137,7 @@
         self.warnings: list[str] = []
 
     def position(self, section: Any) -> SourcePosition:
-        """Return the position of a section; that of the file's head where it has none."""
+        """Return the position of a section; that of the start of the file where it has none."""
         return self.loader.value_positions.get(id(section), self.loader.root_position)
 
     def line(self, section: Any, key: str) -> int:
@@ -310,7 +310,7 @@
         relative_load = rate * scenario.mean_work / 1000 / scenario.capacity
         if jobs > MAX_JOBS:
             self.fail(section, "rate", f"{jobs:.0f} jobs; at most {MAX_JOBS} can be simulated")
-        if relative_load > MAX_USUAL_LOAD:
+        if relative_load > LOAD_WARNING_THRESHOLD:
             self.warn(section, "rate", f"the load is {relative_load:.0f} times the fleet's capacity")
         return Traffic(rate, self.fraction(section, "swing"), section.swing_period, section.shape)
 
@@ -455,8 +455,9 @@
 
 
 def read(path: Path, changes: Sequence[str] = ()) -> tuple[Scenario, list[str]]:
-    """Return the scenario of a file, with values overridden by ``section/key=value``, and the warnings.
+    """Return the scenario of a file, with values overridden, and the warnings.
 
+    An override has the form ``key=value`` or ``section/key=value``.
     Raises ScriptError for what cannot be simulated.
     """
     location = path_from_url(path.resolve().as_uri())
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -32,7 +32,10 @@
 HOST = "127.0.0.1"
 # These strike clients or dispatchers, which are real here.
 UNSUPPORTED_FAULTS = ("burst", "heavy-tail", "dispatcher-restart")
-INFO_SLOTS = ("cores_needed", "slots")  # keys of X-Call-Info with the slots of a job
+INFO_SLOTS = (
+    "cores_needed",
+    "slots",
+)  # keys of X-Call-Info with the slots of a job; the first present applies
 
 
 class ExecutionCounts:
@@ -51,7 +54,7 @@
             self.unsafe.add(attempt.request_id)
 
     def is_informed(self, process: object, worker_host: object) -> bool:
-        """Return True, as which dispatcher knew of a start is not known here."""
+        """Return True: dispatchers run outside this process, so what they know of a worker is unknown."""
         return True
 
     def cold_worker_overloaded(self, worker_host: WorkerHost) -> None:
@@ -79,7 +82,7 @@
         """Listen, on the same ports as before if there were any."""
         for dispatcher in self.platform.dispatcher_clients:
             if dispatcher in self.ports:
-                continue  # a silent worker host has gone on listening
+                continue  # an unreachable worker host keeps its ports open and ignores what arrives
             factory = ProtocolFactory(lambda dispatcher=dispatcher: WorkerConnection(self, dispatcher))  # type: ignore[misc]
             port = self.platform.reactor.listenTCP(
                 self.port_numbers.get(dispatcher, 0), factory, interface=HOST
@@ -202,7 +205,7 @@
         """Return whether a dispatcher and a worker host reach each other."""
         return not worker_host.silent_faults and self.cut[dispatcher.rank, worker_host.name] <= 0
 
-    def count(self) -> int:
+    def next_connection_number(self) -> int:
         """Return the number of a new connection."""
         self.connection_count += 1
         return self.connection_count
@@ -211,7 +214,7 @@
         """Return the workers' addresses for one dispatcher, by name."""
         return {name: f"{HOST}:{host.port_numbers[dispatcher]}" for name, host in self.worker_hosts.items()}
 
-    def job(self, load: ClassLoad, message: http.Message) -> SocketJob:
+    def job_from_request(self, load: ClassLoad, message: http.Message) -> SocketJob:
         """Return a job, its work given by the hint or drawn. Raises ValueError for a malformed hint."""
         cost = message.headers.get("X-Call-Cost")
         work = float(cost) / 1000 if cost else next(self.work_draws[load.cls.name])
@@ -225,7 +228,7 @@
             raise ValueError("work or slots out of range")
         return SocketJob(load, min(work, load.longest), slots)
 
-    def ends(self, message: http.Message) -> float:
+    def expiry_of(self, message: http.Message) -> float:
         """Return when the sender stops waiting (ms). Raises ValueError where the budget is not a number."""
         budget = message.headers.get("X-Budget-Ms")
         return self.loop.now + float(budget) if budget else float("inf")
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -29,7 +29,7 @@
     from elderstall.simulation.worker_host import WorkerHost
 
 HEARTBEAT_INTERVAL_MS = 2_000.0  # between the empty lines that keep a watch alive
-CALLBACK_TIMEOUT_MS = 2_000.0  # for a dispatcher to answer a call-back
+CALLBACK_TIMEOUT_MS = 2_000.0  # to connect to a dispatcher, and for it to answer a call-back
 CALLBACK_RETRY_DELAY_MS = 300.0
 MAX_WAITING_CALLBACKS = 10_000  # per dispatcher; beyond it the oldest call-back is dropped and counted
 STATES = {
@@ -132,16 +132,16 @@
     classes: dict[str, ClassLoad]
     listing: ListService
 
-    def count(self) -> int:
+    def next_connection_number(self) -> int:
         """Return the number of a new connection."""
 
     def addresses(self, dispatcher: DispatcherClient) -> dict[str, str]:
         """Return the workers' addresses for one dispatcher, by name."""
 
-    def job(self, load: ClassLoad, message: http.Message) -> SocketJob:
+    def job_from_request(self, load: ClassLoad, message: http.Message) -> SocketJob:
         """Return a job with its work and slots. Raises ValueError for a malformed hint."""
 
-    def ends(self, message: http.Message) -> float:
+    def expiry_of(self, message: http.Message) -> float:
         """Return when the sender stops waiting (ms). Raises ValueError for a malformed budget."""
 
 
@@ -165,7 +165,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         worker_host = self.worker_host
-        self.number = self.platform.count()
+        self.number = self.platform.next_connection_number()
         self.transport.setTcpNoDelay(True)
         if len(worker_host.links) >= worker_host.kind.connections:
             self.transport.abortConnection()
@@ -212,7 +212,10 @@
             return
         try:
             attempt = SocketAttempt(
-                self, request_id, self.platform.job(load, message), self.platform.ends(message)
+                self,
+                request_id,
+                self.platform.job_from_request(load, message),
+                self.platform.expiry_of(message),
             )
         except ValueError:
             self.answer(400)
@@ -232,7 +235,7 @@
             self.dataReceived(b"")
 
     def close(self) -> None:
-        """Reset the connection; see ``upstream.Link``."""
+        """Reset the connection, as ``reset`` does; see ``upstream.Link``."""
         self.transport.abortConnection()
 
     def reset(self) -> None:
@@ -261,9 +264,13 @@
 
 
 class DispatcherClient:
-    """Sends call-backs to one dispatcher: one at a time, in order, over a persistent connection."""
+    """Sends call-backs to one dispatcher, one at a time, over a persistent connection.
+
+    A call-back that fails is queued again at the end after a delay, so later ones may overtake it.
+    Worker hosts use it in place of the simulated ``Process`` and ``DispatcherHost``, whose attributes it has.
+    """
 
-    alive = True  # read by worker hosts, which take this for the dispatcher's process
+    alive = True  # as ``Process.alive``
 
     def __init__(self, platform: SocketContext, rank: int, host: str, port: int) -> None:
         self.platform = platform
