--- a/elderstall/simulation/report.py
+++ b/elderstall/simulation/report.py
@@ -53,6 +53,7 @@
 def service_plot(figures: dict[str, Any]) -> str:
     """Return the plot of service and load by window."""
     windows = figures["windows"]
+    # A window is ``WINDOW_BINS`` (5) seconds long: its middle is at 2.5 s, and its bar is a little narrower.
     middle = [w["from_s"] + 2.5 for w in windows]
     figure = Figure(figsize=(9, 4.6), layout="constrained")
     upper, lower = figure.subplots(2, 1, sharex=True, height_ratios=(2, 1))
--- a/elderstall/simulation/serve.py
+++ b/elderstall/simulation/serve.py
@@ -214,10 +214,10 @@
         """Return the workers' addresses for one dispatcher, by name."""
         return {name: f"{HOST}:{host.port_numbers[dispatcher]}" for name, host in self.worker_hosts.items()}
 
-    def job_from_request(self, load: ClassLoad, message: http.Message) -> SocketJob:
+    def job_from_request(self, class_load: ClassLoad, message: http.Message) -> SocketJob:
         """Return a job, its work given by the hint or drawn. Raises ValueError for a malformed hint."""
         cost = message.headers.get("X-Call-Cost")
-        work = float(cost) / 1000 if cost else next(self.work_draws[load.cls.name])
+        work = float(cost) / 1000 if cost else next(self.work_draws[class_load.cls.name])
         info = dict(
             field.strip().partition("=")[::2]
             for field in (message.headers.get("X-Call-Info") or "").split(",")
@@ -226,7 +226,7 @@
         slots = next((int(float(info[name])) for name in INFO_SLOTS if name in info), 1)
         if not 0 <= work < 1e9 or not 1 <= slots < 1_000:
             raise ValueError("work or slots out of range")
-        return SocketJob(load, min(work, load.longest), slots)
+        return SocketJob(class_load, min(work, class_load.longest), slots)
 
     def expiry_of(self, message: http.Message) -> float:
         """Return when the sender stops waiting (ms). Raises ValueError where the budget is not a number."""
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -87,7 +87,7 @@
         self.load = load
         self.work = work
         self.slots = slots
-        self.saved = 0.0
+        self.saved = 0.0  # fraction of its work that lost attempts have saved
         self.runs = 0
 
     @property
@@ -115,8 +115,8 @@
             self.link.answer(202)
         else:
             self.worker_host.attempts.pop(self.request_id, None)  # type: ignore[attr-defined]
-            load = self.worker_host.load_json(outcome.report)  # type: ignore[attr-defined]
-            report = (("X-Load-Report", json.dumps(load)),) if load else ()
+            load_report = self.worker_host.load_json(outcome.report)  # type: ignore[attr-defined]
+            report = (("X-Load-Report", json.dumps(load_report)),) if load_report else ()
             self.link.answer(503, (("X-Rejected", "1"), *report))
 
     def link_lost(self) -> None:
@@ -138,7 +138,7 @@
     def addresses(self, dispatcher: DispatcherClient) -> dict[str, str]:
         """Return the workers' addresses for one dispatcher, by name."""
 
-    def job_from_request(self, load: ClassLoad, message: http.Message) -> SocketJob:
+    def job_from_request(self, class_load: ClassLoad, message: http.Message) -> SocketJob:
         """Return a job with its work and slots. Raises ValueError for a malformed hint."""
 
     def expiry_of(self, message: http.Message) -> float:
@@ -206,15 +206,15 @@
             return
         request_id = message.headers.get("X-Call-Id")
         class_name = path.lstrip("/").split("/", 1)[0]
-        load = self.platform.classes.get(class_name)
-        if message.method != "POST" or load is None or not request_id:
+        class_load = self.platform.classes.get(class_name)
+        if message.method != "POST" or class_load is None or not request_id:
             self.answer(404)
             return
         try:
             attempt = SocketAttempt(
                 self,
                 request_id,
-                self.platform.job_from_request(load, message),
+                self.platform.job_from_request(class_load, message),
                 self.platform.expiry_of(message),
             )
         except ValueError:
@@ -293,9 +293,9 @@
         }
         if outcome.ending is Ending.SERVED:
             call["result"] = f"{attempt.job.load.cls.name} {attempt.request_id} by {attempt.worker_host.name}"
-        load = attempt.worker_host.load_json(outcome.report)  # type: ignore[attr-defined]
-        if load:
-            call["load"] = load
+        load_report = attempt.worker_host.load_json(outcome.report)  # type: ignore[attr-defined]
+        if load_report:
+            call["load"] = load_report
         attempt.worker_host.attempts.pop(attempt.request_id, None)  # type: ignore[attr-defined]
         self.queue(call)
 
