--- a/elderstall/client/__init__.py
+++ b/elderstall/client/__init__.py
@@ -1,6 +1,6 @@
-"""The client library: deadlines, retries and reconnects, once for all client processes.
+"""The client library's decisions about deadlines, retries, the choice of a dispatcher and reconnects.
 
-What may enter: decisions without I/O (``policy``, ``budget``, ``targets``, ``reconnect``), the protocol they
-need, and thin skins for Twisted, threads and asyncio that carry them out. Time and random numbers are handed
-in. Nothing here is imported by a dispatcher.
+The modules (``policy``, ``budget``, ``targets``, ``reconnect``) do no I/O: the caller carries out what they
+decide and passes in time and random numbers. The simulated clients run ``policy`` and ``budget``. Dispatchers
+import nothing from here.
 """
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -1,6 +1,6 @@
-"""The planned end: what was taken is answered, clients are let go, then the process ends.
+"""Graceful shutdown: answers accepted jobs, closes the clients' connections and ends the process.
 
-The platform kills a process some time after SIGTERM; all times here keep a margin to that.
+The platform sends SIGKILL some time after SIGTERM; all times here keep a margin to that.
 """
 
 from __future__ import annotations
@@ -16,21 +16,23 @@
 from elderstall.net.server.listener import Server
 from elderstall.upgrade import Upgrade
 
-SERVE_FOR = 700.0  # ms after SIGTERM for which new jobs are taken as always
-DEADLINE_LIMIT = 3_000.0  # ms that the longest deadline counts for: SERVE_FOR later the platform may kill
-LET_GO_AFTER = 2_000.0  # ms after SIGTERM: dispatchers end 3 s apart, and clients should find the next one
-KILL_MARGIN = 300.0  # ms before that by which all is answered, however busy the machine is
-CHECK_INTERVAL = 50.0  # ms between looks whether all is answered
+SERVING_PERIOD_MS = 700.0  # after SIGTERM, new jobs are accepted as usual for this time
+# SIGKILL may follow SIGTERM after min(longest deadline, MAX_COUNTED_DEADLINE_MS) + SERVING_PERIOD_MS.
+MAX_COUNTED_DEADLINE_MS = 3_000.0
+# After SIGTERM. Dispatchers are stopped 3 s apart, and clients should reconnect to the next one before that.
+CLOSE_IDLE_AFTER_MS = 2_000.0
+KILL_MARGIN_MS = 300.0  # all jobs are answered this long before SIGKILL, for a busy machine
+CHECK_INTERVAL_MS = 50.0  # between checks whether all jobs are answered
 
 
 class Program(Protocol):
-    """What the planned end needs of the program around it."""
+    """The program, as far as the shutdown uses it."""
 
     port: Any  # the listening port; None until clients are accepted
 
 
 class Shutdown:
-    """Serves on for a while, lets clients go, and ends the process once nothing is owed."""
+    """Keeps serving for a while, closes idle clients, and ends the process once no work is left."""
 
     def __init__(
         self,
@@ -43,55 +45,71 @@
         upgrade: Upgrade,
         finish: Callable[[], None],
     ) -> None:
-        self.program, self.deadlines, self.log, self.finish = program, deadlines, log, finish
-        self.engine, self.server, self.console, self.upgrade = engine, server, console, upgrade
-        self.begun = False
+        self.program = program
+        self.deadlines = deadlines
+        self.log = log
+        self.finish = finish
+        self.engine = engine
+        self.server = server
+        self.console = console
+        self.upgrade = upgrade
+        self.has_begun = False
         self.earliest_end = 0.0
 
     def begin(self) -> None:
-        """Begin the planned end, unless it is under way."""
-        if self.begun:
+        """Start the shutdown, unless it has started."""
+        if self.has_begun:
             return
-        self.begun = True
-        self.log.write("drain", f"{len(self.engine.jobs)} jobs are out")
+        self.has_begun = True
+        self.log.write(
+            "drain", f"{len(self.engine.jobs)} jobs in progress; shutting down once they are answered"
+        )
         self.server.drain()
-        longest = min(max(c.deadline for c in self.engine.classes.values()), DEADLINE_LIMIT)
-        all_answered_after = longest + SERVE_FOR - KILL_MARGIN
-        self.server.until = self.deadlines.now() + all_answered_after
-        self.earliest_end = self.deadlines.now() + SERVE_FOR
-        self.deadlines.after(SERVE_FOR, self.shorten_budgets)
-        self.deadlines.after(min(LET_GO_AFTER, all_answered_after), self.server.close_idle_clients)
+        longest = min(
+            max(job_class.deadline for job_class in self.engine.classes.values()), MAX_COUNTED_DEADLINE_MS
+        )
+        all_answered_after = longest + SERVING_PERIOD_MS - KILL_MARGIN_MS
+        self.server.shutdown_deadline = self.deadlines.now() + all_answered_after
+        self.earliest_end = self.deadlines.now() + SERVING_PERIOD_MS
+        self.deadlines.after(SERVING_PERIOD_MS, self.shorten_budgets)
+        self.deadlines.after(min(CLOSE_IDLE_AFTER_MS, all_answered_after), self.server.close_idle_clients)
         self.check()
 
     def shorten_budgets(self) -> None:
-        """Take jobs for the time left only: one that comes now and is unanswered at SIGKILL is lost."""
-        self.server.shortened = True
+        """Limit the budgets of new jobs to the time left: a job unanswered at SIGKILL is lost."""
+        self.server.limits_budgets = True
 
     def check(self) -> None:
-        """End once nothing is owed and every client's connection is closed."""
-        if self.owes_something() or not self.nothing_unread():
-            self.deadlines.after(CHECK_INTERVAL, self.check)
+        """End the process once no work or client connection is left; else check again later."""
+        if self.has_unfinished_work() or not self.is_input_drained():
+            self.deadlines.after(CHECK_INTERVAL_MS, self.check)
             return
-        self.log.write("exit", "all that was taken is answered")
+        self.log.write("exit", "all accepted jobs are answered; exiting")
         self.finish()
 
-    def owes_something(self) -> bool:
-        """Say whether an answer is due, or a connection is a client's or on its way to the next process."""
+    def has_unfinished_work(self) -> bool:
+        """Return whether jobs, client connections, hand-overs or console answers are unfinished.
+
+        Hand-overs are those to the successor and those from the predecessor.
+        """
         handover = self.upgrade.handover
         return bool(
             len(self.engine.jobs)
             or not self.server.is_quiescent
-            or any(c.client or c.handed_descriptor is not None for c in self.server.connections)
+            or any(
+                connection.is_client or connection.handed_descriptor is not None
+                for connection in self.server.connections
+            )
             or (handover is not None and handover.has_unconfirmed)
             or self.upgrade.adoption.waiting
             or self.console.answering
         )
 
-    def nothing_unread(self) -> bool:
-        """Say that nothing waits in the system that clients hold for taken, as far as can be seen.
+    def is_input_drained(self) -> bool:
+        """Return whether no connection or request waits unread in the kernel, as far as can be seen.
 
-        New connections keep coming for a while after SIGTERM. What lies in the listener's queue, or unread
-        on a connection, would be lost with this process; unless another one goes on with the listener.
+        New connections keep arriving for a while after SIGTERM. Those in the listener's queue, and unread
+        requests, would be lost with this process, unless a successor serves the same listener.
         """
         if self.program.port is None or self.upgrade.has_serving_successor:
             return True
