--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -135,13 +135,15 @@
         self.rng = random.Random(seed)
         self.transport = StubTransport(self.deadlines, self.rng)
         self.engine = Engine(settings, seed, self.deadlines, self.transport, FailingLog())
-        self.engine.endpoints.request_changes = lambda: self.engine.endpoints.take(ListScope.CHANGES)
+        self.engine.endpoints.request_changes = lambda: self.engine.endpoints.handle_list_update(
+            ListScope.CHANGES
+        )
         self.jobs = 0
         self.engine.start(listed)
 
     def change(self, entry: Endpoint) -> None:
         """Apply one change of the endpoint list."""
-        self.engine.endpoints.take(ListScope.CHANGES, (entry,))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (entry,))
 
     def idle(self, duration_ms: float) -> None:
         """Advance the virtual time."""
--- a/benchmarks/scale/larger.py
+++ b/benchmarks/scale/larger.py
@@ -290,7 +290,7 @@
 
     def start_watch(self, connection: ServerConnection, _: http.Message) -> None:
         """Start a watch with the whole list."""
-        connection.answer(http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")]))
+        connection.answer(http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")]))
         self.send_line(connection, self.whole_list())
         self.watches.append(connection)
 
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.fleets import entries
 from benchmarks.scale.hollow import DispatcherHarness, settings_of
 from benchmarks.scale.measures import cpu_ms
-from elderstall.config import config_of
+from elderstall.config import parse_config
 from elderstall.net.console import figures_text
 
 WORKERS = 1_000
@@ -61,7 +61,7 @@
     text = json.dumps(config_object(teams, classes))
     settings = settings_of(230, teams, classes)
     dispatcher = DispatcherHarness(settings, entries(WORKERS))
-    parsing_ms = min(cpu_ms(lambda: config_of(json.loads(text), {})) for _ in range(REPEATS))
+    parsing_ms = min(cpu_ms(lambda: parse_config(json.loads(text), {})) for _ in range(REPEATS))
     applying_ms = min(
         cpu_ms(lambda: dispatcher.engine.change_settings(settings, 8.0, 1_000)) for _ in range(REPEATS)
     )
--- a/elderstall/app.py
+++ b/elderstall/app.py
@@ -85,7 +85,7 @@
             self.log,
             self.connect_discovery,
             self.workers,
-            self.engine.endpoints.take,
+            self.engine.endpoints.handle_list_update,
             config.discovery,
             config.live_weights,
         )
--- a/elderstall/config.py
+++ b/elderstall/config.py
@@ -78,7 +78,8 @@
     kept_bytes_limit: int  # of requests that are not complete yet
     progress: Progress = Progress()
     console: tuple[str, int] | None = None  # address of the operators' console
-    folder: str | None = None  # where the processes of this dispatcher find each other during an upgrade
+    # Where the processes of this dispatcher find each other during an upgrade.
+    handover_directory: str | None = None
     max_list_entries: int = 1_000_000  # in one list of workers; follows from the memory limit
     raw: Any = field(default=None, compare=False, repr=False)  # the parsed file, without the list
 
@@ -145,7 +146,7 @@
     return max(MIN_LIST_ENTRIES, int(available_bytes / LIST_ENTRY_BYTES))
 
 
-def config_of(raw: Any, env: Mapping[str, str], front: str | None = None) -> Config:
+def parse_config(raw: Any, env: Mapping[str, str], front: str | None = None) -> Config:
     """Return the checked configuration; keys that ``raw`` lacks may come from the environment."""
     if not isinstance(raw, dict):
         raise ConfigError("config: must be an object")
@@ -216,7 +217,7 @@
         ),
         progress=load_progress(front),
         console=parse_address(console, "console") if console else None,
-        folder=env.get("TMPDIR") or None,
+        handover_directory=env.get("TMPDIR") or None,
         max_list_entries=max_list_entries(memory),
         raw={**raw, "known": None} if "known" in raw else raw,
     )  # raw without the list, which is kept only once
@@ -304,4 +305,4 @@
         raise UnreadableError(f"RELAY_CONFIG: {path}: {error}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"RELAY_CONFIG: {path}: {error}") from None
-    return config_of(raw, env, front or env.get("ELDERSTALL_FRONT"))
+    return parse_config(raw, env, front or env.get("ELDERSTALL_FRONT"))
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -47,7 +47,7 @@
         self._call_pending = True
         self.request_changes()
 
-    def take(self, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> None:
+    def handle_list_update(self, scope: ListScope, entries: tuple[Endpoint, ...] = ()) -> None:
         """Handle a list update, or the failure of a call or a watch."""
         now = self.deadlines.now()
         if scope in (ListScope.FAILED, ListScope.SILENT):
--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -118,7 +118,7 @@
     def start(self, known: tuple[Endpoint, ...], learned: dict[str, Any] | None = None) -> None:
         """Start with the last known endpoint list and the state that the predecessor had learned."""
         self.feed.feed(Started())
-        self.endpoints.take(ListScope.WHOLE, known)
+        self.endpoints.handle_list_update(ListScope.WHOLE, known)
         self.endpoints.started = True
         if learned is not None:
             self.feed.feed(LearnedStateReceived(learned))
--- a/elderstall/net/event_stream.py
+++ b/elderstall/net/event_stream.py
@@ -11,7 +11,7 @@
 from elderstall.net import http
 
 MEDIA_TYPE = "text/event-stream"
-MAX_EVENT_CHARACTERS = http.MAX_BODY  # of one event, the same number as the bytes of a body
+MAX_EVENT_CHARACTERS = http.MAX_BODY_BYTES  # of one event, the same number as the bytes of a body
 
 
 @dataclass(slots=True, frozen=True)
--- a/elderstall/net/http.py
+++ b/elderstall/net/http.py
@@ -10,9 +10,9 @@
 from elderstall.net.buffer import Buffer
 
 MAX_TRAILER_LINE = 8192  # bytes
-MAX_HEAD = 16 * 1024  # bytes, also of all trailers together
+MAX_HEAD_BYTES = 16 * 1024  # also of all trailers together
 MAX_HEADERS = 100
-MAX_BODY = 64 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 TARGET = re.compile(rb"[\x21-\x7e]+\Z")
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*\Z")
@@ -87,7 +87,7 @@
     target: str = ""
     status: int = 0  # of a response
 
-    def plain(self) -> dict[str, Any]:
+    def to_fields(self) -> dict[str, Any]:
         """Return a complete request as JSON-serializable data."""
         return {
             "version": self.version,
@@ -98,8 +98,8 @@
         }
 
     @classmethod
-    def from_plain(cls, data: dict[str, Any]) -> Message:
-        """Return the request that ``plain`` has encoded."""
+    def from_fields(cls, data: dict[str, Any]) -> Message:
+        """Return the request that ``to_fields`` has encoded."""
         major, minor = data["version"]
         headers = Headers((name, value) for name, value in data["headers"])
         return cls((major, minor), headers, data["body"].encode("latin-1"), data["method"], data["target"])
@@ -141,7 +141,7 @@
     """
 
     responses: bool = False
-    max_body: int = MAX_BODY
+    max_body: int = MAX_BODY_BYTES
     buffer: Buffer = field(default_factory=Buffer)
     state: str = "head"  # or length, chunk-size, chunk, chunk-end, trailer, rest (to the end)
     left: int = 0  # bytes of the body or chunk still to come
@@ -233,7 +233,7 @@
                 if (text := self.take_line(MAX_TRAILER_LINE)) is None:
                     return None
                 self.extra += len(text)
-                if self.extra > MAX_HEAD:
+                if self.extra > MAX_HEAD_BYTES:
                     raise MessageError(431, "trailers too long")
                 if not text:
                     return self.end_message()
@@ -246,7 +246,7 @@
             if self.extra > 16:  # bytes: eight empty lines
                 raise MessageError(400, "empty lines")
         length = self.buffer.find(b"\r\n\r\n")
-        if length > MAX_HEAD or (length < 0 and len(self.buffer) > MAX_HEAD):
+        if length > MAX_HEAD_BYTES or (length < 0 and len(self.buffer) > MAX_HEAD_BYTES):
             raise MessageError(431, "head too long")
         if length < 0:
             start = self.buffer.peek(16)
@@ -323,7 +323,7 @@
             self.left = 0
 
 
-def head_of(first_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
+def encode_head(first_line: str, headers: Iterable[tuple[str, str]]) -> bytes:
     """Return an encoded head."""
     lines = [first_line, *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(lines).encode("latin-1")
@@ -341,7 +341,7 @@
         fields.append(("Content-Length", str(len(body))))
     if close:
         fields.append(("Connection", "close"))
-    return head_of(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", fields) + body
+    return encode_head(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", fields) + body
 
 
 def request(
@@ -355,7 +355,7 @@
     fields = [("Host", host), *headers]
     if body or method == "POST":
         fields.append(("Content-Length", str(len(body))))
-    return head_of(f"{method} {target} HTTP/1.1", fields) + body
+    return encode_head(f"{method} {target} HTTP/1.1", fields) + body
 
 
 def chunk(data: bytes) -> bytes:
--- a/elderstall/net/peer.py
+++ b/elderstall/net/peer.py
@@ -30,7 +30,7 @@
         return unknown
 
 
-def left(transport: Any) -> bool:
+def has_peer_closed(transport: Any) -> bool:
     """Return whether the peer has closed or reset the connection, even if unread bytes precede that.
 
     A failed poll counts as no: a client that is still connected must not lose its answer.
@@ -38,7 +38,7 @@
     return bool(poll_events(transport, CLOSED_EVENTS, unknown=0) & CLOSED_EVENTS)
 
 
-def unread(source: Any) -> bool:
+def has_unread_data(source: Any) -> bool:
     """Return whether bytes or an end can be read, or a connection accepted.
 
     A failed poll counts as yes: closing would lose an unread request; an open connection is checked again.
@@ -46,7 +46,7 @@
     return bool(poll_events(source, READABLE_OR_CLOSED_EVENTS, unknown=select.POLLIN))
 
 
-def unwritten(transport: Any) -> bool:
+def has_unwritten_data(transport: Any) -> bool:
     """Return whether the transport holds bytes not yet written to the socket; False for one in memory."""
     queued: int = getattr(transport, "_tempDataLen", 0)
     return queued > 0 or len(getattr(transport, "dataBuffer", b"")) > getattr(transport, "offset", 0)
--- a/elderstall/net/server/closing.py
+++ b/elderstall/net/server/closing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from elderstall.net import http
-from elderstall.net.peer import left, unread, unwritten
+from elderstall.net.peer import has_peer_closed, has_unread_data, has_unwritten_data
 from elderstall.net.server.admission import Activity
 from elderstall.net.server.requests import BUSY_RETRY_AFTER_MS, HeaderFields, retry_after
 from elderstall.net.server.state import CloseReason, ConnectionState, Stage
@@ -42,7 +42,7 @@
         )
         if self.message is not None and now < body_deadline:
             self.set_timeout(MAX_BODY_PAUSE_MS, reason)
-        elif not self.grace_used and unread(self.transport):
+        elif not self.grace_used and has_unread_data(self.transport):
             # A request, or the rest of one, may be unread: it is read first.
             self.grace_used = True
             self.set_timeout(UNREAD_DATA_GRACE_MS, reason)
@@ -68,7 +68,7 @@
         self.departure_check = None
         if not self.paused:
             return
-        if not left(self.transport):
+        if not has_peer_closed(self.transport):
             self.watch_departure()
         elif self.closing:
             self.end(self.reason)
@@ -158,7 +158,7 @@
         self.mark_ending()
         self.transport.loseConnection()
         # A peer that reads nothing would hold the connection for ever; a slow one still gets its answer.
-        delay = self.server.timeouts.write if unwritten(self.transport) else LINGER_TIMEOUT_MS
+        delay = self.server.timeouts.write if has_unwritten_data(self.transport) else LINGER_TIMEOUT_MS
         self.timeout = self.server.deadlines.after(delay, self.transport.abortConnection)
 
     def mark_ending(self) -> None:
@@ -190,5 +190,5 @@
     def can_shed(self) -> bool:
         """Whether closing the connection loses nothing that is owed to the peer."""
         if self.closing:
-            return not self.blocked and not unwritten(self.transport)
-        return not unread(self.transport)
+            return not self.blocked and not has_unwritten_data(self.transport)
+        return not has_unread_data(self.transport)
--- a/elderstall/net/server/handing_over.py
+++ b/elderstall/net/server/handing_over.py
@@ -159,7 +159,7 @@
         }
         if connection.transfer is not None and connection.original is not None:
             fields["job"] = self.engine.encode_transfer(connection.transfer)
-            fields["parcel"] = connection.original.plain()
+            fields["parcel"] = connection.original.to_fields()
             fields["last"] = connection.close_after
         return fields
 
@@ -180,7 +180,7 @@
 
     def adopt_job(self, connection: RequestConnection, fields: dict[str, Any]) -> None:
         """Resume the job of a connection that was handed over."""
-        connection.original = http.Message.from_plain(fields["parcel"])
+        connection.original = http.Message.from_fields(fields["parcel"])
         connection.busy = True
         connection.close_after = fields["last"]
         connection.body_size = len(connection.original.body)
--- a/elderstall/net/server/listener.py
+++ b/elderstall/net/server/listener.py
@@ -15,7 +15,7 @@
 from elderstall.log import Log
 from elderstall.messages import Client, JobRequest
 from elderstall.net import http
-from elderstall.net.peer import unread, unwritten
+from elderstall.net.peer import has_unread_data, has_unwritten_data
 from elderstall.net.server.admission import ConnectionTable
 from elderstall.net.server.callbacks import CallbackReceiver, ReportParser, WorkerCallback
 from elderstall.net.server.connection import ServerConnection
@@ -246,14 +246,16 @@
                 connection.is_client
                 and idle
                 and not self.hand_over_idle(connection)
-                and not unread(connection.transport)
+                and not has_unread_data(connection.transport)
             ):
                 connection.linger(CloseReason.DRAIN, discard=False)
 
     def close_if_drained(self) -> bool:
         """Close connections with no unread data; return whether no open connection is left."""
         open_connections = [connection for connection in self.table.connections if not connection.closing]
-        for connection in [connection for connection in open_connections if not unread(connection.transport)]:
+        for connection in [
+            connection for connection in open_connections if not has_unread_data(connection.transport)
+        ]:
             connection.linger(CloseReason.DRAIN, discard=False)
         return all(connection.closing for connection in open_connections)
 
@@ -261,6 +263,6 @@
     def is_quiescent(self) -> bool:
         """Whether no request is being handled and no answer is still being written."""
         return not any(
-            connection.has_active_request or unwritten(connection.transport)
+            connection.has_active_request or has_unwritten_data(connection.transport)
             for connection in self.table.connections
         )
--- a/elderstall/net/server/request_connection.py
+++ b/elderstall/net/server/request_connection.py
@@ -6,13 +6,14 @@
 
 from elderstall.messages import Answer, JobRequest, Rejected, Served
 from elderstall.net import http
-from elderstall.net.peer import left, unread
+from elderstall.net.peer import has_peer_closed, has_unread_data
 from elderstall.net.server.admission import Activity
 from elderstall.net.server.closing import ClosingConnection
 from elderstall.net.server.requests import HeaderFields, RequestError, retry_after
 from elderstall.net.server.state import CloseReason, SharedState
 
-MAX_READ_AHEAD_BYTES = http.MAX_HEAD + http.MAX_BODY  # kept behind the current request: one of maximum size
+# Kept behind the current request: one of maximum size.
+MAX_READ_AHEAD_BYTES = http.MAX_HEAD_BYTES + http.MAX_BODY_BYTES
 MAX_READ_AHEAD_OVER_LIMIT_BYTES = 4 * 1024  # used while the kept bytes are over the limit
 RESULT_HEADERS = (("Content-Type", "application/octet-stream"),)
 
@@ -162,7 +163,7 @@
     @property
     def has_pending_input(self) -> bool:
         """Whether data has been received after the current request."""
-        return not self.parser.idle or unread(self.transport)
+        return not self.parser.idle or has_unread_data(self.transport)
 
     def finish_request(self, *, close: bool) -> None:
         """Close the connection or continue with the next request after an answer."""
@@ -207,4 +208,4 @@
 
     def is_connected(self) -> bool:
         """Return whether the client is connected, even if its end has not been read yet."""
-        return not left(self.transport)
+        return not has_peer_closed(self.transport)
--- a/elderstall/net/server/streams.py
+++ b/elderstall/net/server/streams.py
@@ -47,7 +47,7 @@
         """Write the head of the answer."""
         length = ("Transfer-Encoding", "chunked") if self.chunked else ("Connection", "close")
         fields = [("Content-Type", MEDIA_TYPE), ("Cache-Control", "no-store"), length]
-        self.connection.transport.write(http.head_of("HTTP/1.1 200 OK", fields))
+        self.connection.transport.write(http.encode_head("HTTP/1.1 200 OK", fields))
 
     def write_event(self, name: str, data: str) -> None:
         """Write an event, after the head if it is the first."""
--- a/elderstall/net/upstream/connection.py
+++ b/elderstall/net/upstream/connection.py
@@ -14,7 +14,7 @@
 from elderstall.interface import Ending
 from elderstall.log import Log
 from elderstall.net import http
-from elderstall.net.peer import unread
+from elderstall.net.peer import has_unread_data
 from elderstall.net.upstream.exchange import Exchange, LastAnswer
 from elderstall.net.upstream.keep_alive import STALE_CONNECTION_WINDOW_MS, KeepAlive
 from elderstall.net.upstream.open_connections import OpenConnections
@@ -89,7 +89,7 @@
 
     # ---- the request ----
 
-    def start(self, request: WorkerRequest, exchange: Exchange, max_body: int = http.MAX_BODY) -> None:
+    def start(self, request: WorkerRequest, exchange: Exchange, max_body: int = http.MAX_BODY_BYTES) -> None:
         """Write a request and report its answer to ``exchange``."""
         self.stop_idle_timer()
         self.started_at = self.services.deadlines.now()
@@ -191,7 +191,7 @@
     @property
     def has_unread_input(self) -> bool:
         """Whether data or the connection's end is waiting that the reactor has not read yet."""
-        return unread(self.transport)
+        return has_unread_data(self.transport)
 
     @property
     def has_unfinished_answer(self) -> bool:
--- a/elderstall/net/upstream/pool.py
+++ b/elderstall/net/upstream/pool.py
@@ -97,7 +97,7 @@
         request: WorkerRequest,
         exchange: Exchange,
         *,
-        max_body: int = http.MAX_BODY,
+        max_body: int = http.MAX_BODY_BYTES,
         repeatable: bool = True,
     ) -> RequestHandle:
         """Send a request over an idle connection or a new one; return the handle that aborts it.
--- a/elderstall/shutdown.py
+++ b/elderstall/shutdown.py
@@ -12,7 +12,7 @@
 from elderstall.engine import Engine
 from elderstall.log import Log
 from elderstall.net.console import Console
-from elderstall.net.peer import unread
+from elderstall.net.peer import has_unread_data
 from elderstall.net.server.listener import Server
 from elderstall.upgrade import Upgrade
 
@@ -113,6 +113,6 @@
         """
         if self.program.port is None or self.upgrade.has_serving_successor:
             return True
-        if self.deadlines.now() < self.earliest_end or unread(self.program.port):
+        if self.deadlines.now() < self.earliest_end or has_unread_data(self.program.port):
             return False
         return self.server.close_if_drained()
--- a/elderstall/simulation/dispatcher_host.py
+++ b/elderstall/simulation/dispatcher_host.py
@@ -113,7 +113,7 @@
             self.version = version
             self.world.audit.notified(self, scope, entries)
             self.upstream.listed(entries, whole=scope is ListScope.WHOLE)
-        self.engine.endpoints.take(scope, entries)
+        self.engine.endpoints.handle_list_update(scope, entries)
 
     def accept(self, client_try: Try, budget: float) -> bool:
         """Accept a client's try; return False if there are too many jobs."""
--- a/elderstall/simulation/sockets.py
+++ b/elderstall/simulation/sockets.py
@@ -461,7 +461,7 @@
         self.version = version
         if not self.headers_sent:
             self.headers_sent = True
-            self.transport.write(http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")]))
+            self.transport.write(http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")]))
             self.platform.loop.after(HEARTBEAT_INTERVAL_MS, self.send_heartbeat)
         self.transport.write(http.chunk(line))
 
--- a/elderstall/upgrade/upgrade.py
+++ b/elderstall/upgrade/upgrade.py
@@ -89,11 +89,11 @@
         self.server = server
         self.state_transfer = StateTransfer(deadlines, engine, discovery, server)
         self.adoption = Adoption(reactor, deadlines, log, engine, server)
-        self.handover: Handover | None = None  # None: no folder for the Unix socket is set
+        self.handover: Handover | None = None  # None: no directory for the Unix socket is set
         config = application.config
-        if config.folder is not None:
+        if config.handover_directory is not None:
             name = f"elderstall-{config.host}-{config.port}"
-            self.connect(Handover(deadlines, log, reactor, config.folder, name))
+            self.connect(Handover(deadlines, log, reactor, config.handover_directory, name))
 
     def connect(self, handover: Handover) -> None:
         """Connect the hand-over link with the server and the engine."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,7 +20,7 @@
 from twisted.internet.task import Clock
 
 from elderstall.app import App
-from elderstall.config import Config, Progress, config_of
+from elderstall.config import Config, Progress, parse_config
 from elderstall.net import http
 from tests.scenario import entry, platform
 
@@ -107,11 +107,11 @@
         ]
         raw["discovery"] = address_of(self.lists)
         self.raw = raw
-        config = config_of(raw, {"TMPDIR": folder})
+        config = parse_config(raw, {"TMPDIR": folder})
         if progress:
             config = Config(**{**vars(config), "progress": Progress(enabled=True)})
         self.loop = Loop()
-        self.app = App(config, self.loop, lambda: config_of(self.raw, {}))
+        self.app = App(config, self.loop, lambda: parse_config(self.raw, {}))
         self.app.deadlines.seconds, self.app.deadlines.offset = self.loop.clock.seconds, 0.0
         self.app.deadlines.unix = self.app.deadlines.now  # a wall clock that is never stepped
         self.app.log.clock, self.app.log.refilled_at = self.app.deadlines.now, 0.0
@@ -265,7 +265,7 @@
     def tell(self, index: int, whole: bool = False, **states: str) -> None:
         """Tell a list, or changes of it, on the newest watch."""
         side = self.watches[-1]
-        head = b"" if side.message.status else http.head_of("HTTP/1.1 200 OK", CHUNKED)
+        head = b"" if side.message.status else http.encode_head("HTTP/1.1 200 OK", CHUNKED)
         side.message.status = 200  # its head has been sent
         entries = [
             entry(name, state, address_of(self.listeners[int(name[1:]) - 1]))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -36,7 +36,7 @@
 from twisted.python.failure import Failure
 
 from elderstall.app import App
-from elderstall.config import Config, Progress, config_of
+from elderstall.config import Config, Progress, parse_config
 from elderstall.net import http
 from elderstall.net.event_stream import EventParser, ServerEvent
 
@@ -208,7 +208,7 @@
         self.clock.advance(1000.0)
         self.config = config
         self.raw = platform()
-        self.app = App(config, self, lambda: config_of(self.raw, {}))
+        self.app = App(config, self, lambda: parse_config(self.raw, {}))
         self.app.deadlines.seconds = self.clock.seconds
         self.app.deadlines.offset = 0.0
         self.app.deadlines.unix = self.app.deadlines.now  # a wall clock that is never stepped
@@ -289,7 +289,7 @@
     world: World
 
     def begin(self, workers: int = 1, progress: bool = False, **more: Any) -> World:
-        config = config_of(platform(workers, **more), {})
+        config = parse_config(platform(workers, **more), {})
         if progress:
             config = Config(**{**vars(config), "progress": Progress(enabled=True)})
         self.world = World(config)
@@ -429,7 +429,7 @@
             data = http.response(200, json.dumps({"cpu_share": 0.5, "x0": float(rest)}).encode())
         elif first == "stream":
             fields = [("Content-Type", "text/event-stream; charset=utf-8"), ("Transfer-Encoding", "chunked")]
-            data = http.head_of("HTTP/1.1 200 OK", fields)
+            data = http.encode_head("HTTP/1.1 200 OK", fields)
         elif first == "event":
             name, _, text = rest.partition(" ")
             data = http.chunk(f"event: {name}\ndata: {text}\n\n".encode())
@@ -477,7 +477,7 @@
         peer = self.world.watches[-1]
         if peer.message is not None:
             peer.message = None
-            head = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+            head = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
             if what != "raw":
                 self.world.deliver(peer, head)
         if what == "raw":
--- a/tests/serve_trial.py
+++ b/tests/serve_trial.py
@@ -13,7 +13,7 @@
 from twisted.internet.threads import deferToThread
 
 from elderstall.app import App
-from elderstall.config import config_of
+from elderstall.config import parse_config
 from elderstall.simulation.scenario import Fault
 from elderstall.simulation.serve import SimulatedPlatform
 from tests.simulation_scenarios import scenario
@@ -59,7 +59,7 @@
     )
     platform.begin()
     app = App(
-        config_of(
+        parse_config(
             {**platform.dispatcher_config(platform.dispatcher_clients[0]), "listen": "127.0.0.1:0"}, {}
         ),
         loop,
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from elderstall.net import http
-from elderstall.net.peer import unread
+from elderstall.net.peer import has_unread_data
 from elderstall.net.upstream.request import BUDGET_MARGIN_MS, budget_to_send
 from tests.faulty_sockets import ONE_BYTE_ONLY, FaultPlan, install_faults
 from tests.loopback import Loopback, Side
@@ -103,9 +103,9 @@
 
         def slow(at: Any) -> bool:
             self.stall()
-            return unread(at)
+            return has_unread_data(at)
 
-        with mock.patch("elderstall.net.upstream.connection.unread", slow):
+        with mock.patch("elderstall.net.upstream.connection.has_unread_data", slow):
             self.send("a2")
             self.receive_attempt("a2")
         self.assertEqual(1, len(self.sides))
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -217,7 +217,7 @@
         client = self.send_job()
         worker = self.take("POST gone")
         worker.send(
-            http.head_of(
+            http.encode_head(
                 "HTTP/1.1 200 OK", [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
             )
         )
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -22,7 +22,7 @@
 
 from elderstall.app import App
 from elderstall.clocks import wall_offset
-from elderstall.config import config_of
+from elderstall.config import parse_config
 from elderstall.deadlines import Deadlines
 from elderstall.engine import Engine
 from elderstall.engine.job_transfer import CLOCK_TOLERANCE_MS, UNKNOWN_DEADLINE_BUDGET_MS
@@ -228,7 +228,7 @@
     def list_starts(self, index: int, whole: bool = False, **since: float) -> None:
         """Send a list of workers with their starts, Unix ms."""
         side = self.watches[-1]
-        head = b"" if side.message.status else http.head_of("HTTP/1.1 200 OK", CHUNKED)
+        head = b"" if side.message.status else http.encode_head("HTTP/1.1 200 OK", CHUNKED)
         side.message.status = 200
         entries = [
             entry(name, "up", address_of(self.listeners[int(name[1:]) - 1]), at) for name, at in since.items()
@@ -296,7 +296,7 @@
         state = offer.state
         if earlier_version:
             del state["clock"], state["starts"]
-        next_app = App(config_of(self.raw, {}), self.loop)
+        next_app = App(parse_config(self.raw, {}), self.loop)
         next_app.deadlines.seconds = self.loop.clock.seconds
         next_app.deadlines.offset = first.deadlines.offset + step
         next_app.deadlines.unix = next_app.deadlines.now
@@ -405,7 +405,7 @@
         old.unix = lambda: old.now() + step
         deadlines = Deadlines(self.clock, self.clock.seconds, old.now() + step)
         engine = Engine(self.engine.settings, 1, deadlines, self.transport, self.engine.log)
-        engine.endpoints.take(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
+        engine.endpoints.handle_list_update(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
         engine.decisions.handle = lambda now, event: []  # type: ignore[method-assign]
         return engine
 
@@ -559,7 +559,7 @@
 
         def watch(line: Line) -> None:
             line.read()
-            head = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+            head = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
             line.sock.sendall(head + http.chunk(b'{"index": 42, "snapshot": false, "endpoints": []}\n'))
             self.watched.release()
             joined.wait(PATIENCE)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -17,7 +17,7 @@
 from elderstall.messages import Outcome
 from elderstall.net import http
 from elderstall.net.handover.messages import ConnectionTransfer
-from elderstall.net.peer import unread, unwritten
+from elderstall.net.peer import has_unread_data, has_unwritten_data
 from elderstall.net.server.admission import MIN_SHED_AGE_MS
 from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL_MS, LINGER_TIMEOUT_MS
 from elderstall.net.server.connection import ServerConnection
@@ -136,7 +136,7 @@
         client.send(self.job("a2"))
         self.turn()
         self.assertTrue(self.is_closed(client))
-        self.assertTrue(unread(connection.transport))
+        self.assertTrue(has_unread_data(connection.transport))
         self.assertFalse(self.app.engine.jobs.is_known("a2"))
         self.assertEqual([], client.messages)
         client.sock.close()
@@ -194,10 +194,10 @@
                 client, connection = self.accepted_client()
                 client.send(data)
                 for _ in range(100):
-                    if unwritten(connection.transport):
+                    if has_unwritten_data(connection.transport):
                         break
                     reactor.iterate(0)
-                self.assertTrue(unwritten(connection.transport))
+                self.assertTrue(has_unwritten_data(connection.transport))
                 self.jump(100)  # the check for unwritten answers runs before the next turn
                 self.assertFalse(self.loop.stopped)
                 self.assertEqual(status, self.answer(client).status)
@@ -218,7 +218,7 @@
         connection = self.connection(client)
         connection.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         count = 0
-        while not unwritten(connection.transport):
+        while not has_unwritten_data(connection.transport):
             request_id = f"a{count}"
             count += 1
             client.send(self.job(request_id))
@@ -440,7 +440,7 @@
             "asked": 1,
             "age": 1.0,
             "job": state,
-            "parcel": json.loads(json.dumps(message.plain())),
+            "parcel": json.loads(json.dumps(message.to_fields())),
             "last": False,
         }
         return fields, accepted.detach(), client
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from elderstall.config import ConfigError, config_of
+from elderstall.config import ConfigError, parse_config
 from elderstall.net.console import CALL_TIMEOUT_MS, MAX_CONSOLE_CONNECTIONS
 from elderstall.net.handover.messages import Callback
 from tests.scenario import Scenario, platform
@@ -70,19 +70,19 @@
         """)
 
     def test_its_descriptors_are_reserved_and_it_is_optional(self) -> None:
-        without_console = config_of(platform(), {})
+        without_console = parse_config(platform(), {})
         raw = platform()
         self.assertIsNone(without_console.console)
-        self.assertEqual(("127.0.0.1", 9600), config_of(raw, {"RELAY_CONSOLE": "127.0.0.1:9600"}).console)
+        self.assertEqual(("127.0.0.1", 9600), parse_config(raw, {"RELAY_CONSOLE": "127.0.0.1:9600"}).console)
         raw["console"] = "127.0.0.1:9601"
-        with_console = config_of(raw, {})
+        with_console = parse_config(raw, {})
         self.assertEqual(("127.0.0.1", 9601), with_console.console)
         connections = [
             c.max_client_connections + c.worker_connections for c in (without_console, with_console)
         ]
         self.assertEqual(MAX_CONSOLE_CONNECTIONS + 1, connections[0] - connections[1])
         with self.assertRaisesRegex(ConfigError, "^console: "):
-            config_of({**raw, "console": "nowhere"}, {})
+            parse_config({**raw, "console": "nowhere"}, {})
 
 
 class Telemetry(Scenario):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -101,7 +101,7 @@
         self.events: list[Event] = []
         self.requested: list[Action] = []
         self.engine.decisions.handle = self.handle  # type: ignore[method-assign]
-        self.engine.endpoints.take(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
+        self.engine.endpoints.handle_list_update(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append(event)
@@ -132,10 +132,14 @@
 
     def test_nothing_is_sent_to_a_draining_worker(self) -> None:
         job = self.job("safe")
-        self.engine.endpoints.take(ListScope.CHANGES, (Endpoint("w", state=WorkerState.DRAINING),))
-        self.engine.endpoints.take(ListScope.WHOLE, (Endpoint("w", state=WorkerState.DRAINING),))
+        self.engine.endpoints.handle_list_update(
+            ListScope.CHANGES, (Endpoint("w", state=WorkerState.DRAINING),)
+        )
+        self.engine.endpoints.handle_list_update(
+            ListScope.WHOLE, (Endpoint("w", state=WorkerState.DRAINING),)
+        )
         self.clock.advance(1.0)
-        self.engine.endpoints.take(ListScope.CHANGES, (Endpoint("w", state=WorkerState.GONE),))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (Endpoint("w", state=WorkerState.GONE),))
         self.clock.advance(0.6)  # the later update does not restart the grace period
         self.request(SendAttempt(job, "w"), SendAttempt(job, "v"))
         self.assertEqual(([], 2), (self.transport.sent, self.never_sent()))
@@ -144,7 +148,9 @@
         """The grace period was fixed, where a deployment's settings may allow only 500 ms."""
         self.engine.change_settings(Settings(CLASSES, max_attempts=2, stop_sending_within=500.0), 8.0, 100)
         job = self.job("safe")
-        self.engine.endpoints.take(ListScope.CHANGES, (Endpoint("w", state=WorkerState.DRAINING),))
+        self.engine.endpoints.handle_list_update(
+            ListScope.CHANGES, (Endpoint("w", state=WorkerState.DRAINING),)
+        )
         self.clock.advance(0.4)
         self.request(SendAttempt(job, "w"))
         self.assertEqual(([], 1), (self.transport.sent, self.never_sent()))
@@ -209,7 +215,7 @@
 
     def test_a_ban_does_not_count_as_a_list_update(self) -> None:
         self.engine.endpoints.started = True
-        self.engine.endpoints.take(ListScope.CHANGES, (Endpoint("w"),))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (Endpoint("w"),))
         self.clock.advance(1.0)
         self.engine.endpoints.ban("w")
         self.assertEqual(1_000.0, self.engine.figures().list_age)
@@ -246,7 +252,7 @@
         other = Engine(Settings(CLASSES, max_attempts=2), 2, deadlines, self.transport, self.engine.log)
         events: list[Event] = []
         other.decisions.handle = lambda now, event: events.append(event) or []  # type: ignore
-        other.endpoints.take(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
+        other.endpoints.handle_list_update(ListScope.WHOLE, (Endpoint("w"), Endpoint("v")))
         other.jobs.taken_by_other_process.add("a1")
         other.import_job(other.decode_transfer(state), None, self.client)
         return other, events
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -167,7 +167,7 @@
                     "asked": 0,
                     "age": 1.0,
                     "job": state,
-                    "parcel": message.plain(),
+                    "parcel": message.to_fields(),
                     "last": False,
                 }
             ),
@@ -684,7 +684,7 @@
         {"balancers": 200},
         {"discovery": "automatic", "balancers": 200},
     )
-    RESPONSE_HEAD = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+    RESPONSE_HEAD = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
     LIST_LINE = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode() + b"\n"
 
     def wait_for_next_call(self, max_silence: float) -> float:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from elderstall.config import ConfigError, config_of, load_progress
+from elderstall.config import ConfigError, load_progress, parse_config
 from elderstall.deadlines import Deadlines
 from elderstall.log import Log
 from elderstall.net import http
@@ -50,7 +50,7 @@
     raw = b""
     for body, chunked in bodies:
         if chunked:
-            raw += http.head_of("POST /x HTTP/1.1", [("Transfer-Encoding", "chunked")])
+            raw += http.encode_head("POST /x HTTP/1.1", [("Transfer-Encoding", "chunked")])
             raw += b"".join(http.chunk(body[n : n + 50]) for n in range(0, len(body), 50)) + http.chunk(b"")
         else:
             raw += http.request("POST", "/x", "h", (), body)
@@ -221,7 +221,7 @@
         section = section[name]
     section[names[-1]] = value
     with pytest.raises(ConfigError, match=f"^{key}"):
-        config_of(raw, {})
+        parse_config(raw, {})
 
 
 def test_the_progress_file_is_validated(tmp_path: Any) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -143,7 +143,7 @@
 
     def watch(self, connection: Line) -> None:
         connection.read()
-        head = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+        head = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
         body = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode()
         connection.sock.sendall(head + http.chunk(body + b"\n"))
         connection.read()
@@ -155,7 +155,7 @@
             self.calls.append(f"{message.method} {request_id}")
             if self.streams:
                 head = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
-                connection.sock.sendall(http.head_of("HTTP/1.1 200 OK", head))
+                connection.sock.sendall(http.encode_head("HTTP/1.1 200 OK", head))
                 connection.sock.sendall(http.chunk(b'event: progress\ndata: {"share":0.5}\n\n'))
                 if request_id == "drop":
                     raise EOFError
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -14,7 +14,7 @@
 from tests.loopback import CHUNKED, Loopback, Side, address_of
 from tests.scenario import CLASSES, RULES, entry
 
-HEAD = http.head_of("HTTP/1.1 200 OK", CHUNKED)
+HEAD = http.encode_head("HTTP/1.1 200 OK", CHUNKED)
 FLEETS: tuple[dict[str, Any], ...] = ({}, {"balancers": 200}, {"discovery": "automatic", "balancers": 200})
 OTHER_CLASSES = [{**c, "deadline": 900} for c in CLASSES]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -81,7 +81,9 @@
             dispatcher.load(100, 40.0)
             cold = [replace(entry(workers + n), started=EPOCH + dispatcher.loop.now) for n in range(3)]
             for n, joining in enumerate(cold, 1):
-                dispatcher.engine.endpoints.take(ListScope.CHANGES, (entry(n, WorkerState.GONE), joining))
+                dispatcher.engine.endpoints.handle_list_update(
+                    ListScope.CHANGES, (entry(n, WorkerState.GONE), joining)
+                )
             with patch.object(
                 Worker, "warm_up_fraction", autospec=True, side_effect=Worker.warm_up_fraction
             ) as warm_up_fraction:
@@ -105,7 +107,7 @@
             dispatcher.load(40, 40.0)
             joining = replace(entry(workers + second), started=EPOCH + dispatcher.loop.now)
             leaving = entry(7 * second, WorkerState.GONE)
-            dispatcher.engine.endpoints.take(ListScope.CHANGES, (leaving, joining))
+            dispatcher.engine.endpoints.handle_list_update(ListScope.CHANGES, (leaving, joining))
         return len(dispatcher.transport.reached)
 
     def test_jobs_reach_at_most_twice_the_workers_of_a_usual_fleet(self) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Any
 
-from elderstall.config import ConfigError, config_of, load
+from elderstall.config import ConfigError, load, parse_config
 from elderstall.decisions import Dispatcher
 from elderstall.interface import (
     AttemptEnded,
@@ -149,7 +149,7 @@
             with self.subTest(name), self.assertRaisesRegex(ConfigError, name):
                 raw = platform()
                 raw["settings"]["limits"][name] = "no"
-                config_of(raw, {})
+                parse_config(raw, {})
         for attempts in (0, -1, "3", None, 1e999):
             self.world.raw = copy.deepcopy(good)
             with self.subTest(attempts=attempts):
@@ -206,7 +206,7 @@
 
     def test_zero_attempts_are_not_replaced_by_the_default(self) -> None:
         with self.assertRaisesRegex(ConfigError, "max_attempts"):
-            config_of(platform(limits={"max_attempts": 0}), {})
+            parse_config(platform(limits={"max_attempts": 0}), {})
 
 
 class DecisionState(unittest.TestCase):
--- a/tests/test_simulation_night.py
+++ b/tests/test_simulation_night.py
@@ -366,13 +366,13 @@
 
 def test_the_auditor_finds_an_attempt_sent_to_a_drained_worker(monkeypatch: pytest.MonkeyPatch) -> None:
     """The planted defect: the engine ignores list updates, while the auditor receives them."""
-    monkeypatch.setattr(EndpointFeed, "take", lambda self, scope, entries=(): None)
+    monkeypatch.setattr(EndpointFeed, "handle_list_update", lambda self, scope, entries=(): None)
     listed = Engine.start
 
     def start(self: Engine, known: tuple[Endpoint, ...], learned: Any = None) -> None:
         monkeypatch.undo()
         listed(self, known, learned)
-        self.endpoints.take = lambda scope, entries=(): None  # type: ignore[method-assign]
+        self.endpoints.handle_list_update = lambda scope, entries=(): None  # type: ignore[method-assign]
 
     monkeypatch.setattr(Engine, "start", start)
     world = World(
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from elderstall import Dispatcher
-from elderstall.config import config_of
+from elderstall.config import parse_config
 from elderstall.interface import (
     AttemptEnded,
     Effect,
@@ -98,7 +98,7 @@
         raw = platform(sockets=256)
         raw["settings"]["balancers"], raw["settings"]["rank"] = FLEET_SIZE, FLEET_SIZE - 1
         raw["known"] = json.loads(whole_list(range(FLEET_SIZE)))
-        config = config_of(raw, {})
+        config = parse_config(raw, {})
         self.assertEqual(FLEET_SIZE, config.settings.dispatchers)
         self.assertLess(config.worker_connections, FLEET_SIZE)  # fewer than workers; see test_wire.py
 
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -33,7 +33,7 @@
     MAX_RELOAD_RETRIES,
     RELOAD_RETRY_INTERVAL_MS,
 )
-from elderstall.config import Config, ConfigError, UnreadableError, config_of, load
+from elderstall.config import Config, ConfigError, UnreadableError, load, parse_config
 from elderstall.log import MAX_LINE_BYTES, Log, StandardError
 from elderstall.net import http, peer
 from elderstall.net.accepting import RESOURCE_ERRORS
@@ -197,7 +197,7 @@
             "tenant": "norte", "key": None, "hint": None, "slots": 1, "arrived": now - 10,
             "deadline": now + 8_000, "sent": 0, "ran": False, "unsure": [], "attempt": None,
         }  # fmt: skip
-        original = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").plain()
+        original = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").to_fields()
         return {"job": state, "parcel": original, "last": False}
 
     def test_adopting_a_listener_is_retried(self) -> None:
@@ -357,8 +357,8 @@
             poll.return_value.poll.side_effect = system_error(number)
             with self.subTest(errno.errorcode[number]), mock.patch("elderstall.net.peer.select.poll", poll):
                 connection = next(iter(self.app.server.connections))
-                self.assertFalse(peer.left(connection.transport))
-                self.assertTrue(peer.unread(connection.transport))
+                self.assertFalse(peer.has_peer_closed(connection.transport))
+                self.assertTrue(peer.has_unread_data(connection.transport))
         at_worker.send(http.response(202))
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
@@ -450,7 +450,7 @@
         self.reads = 0
 
     def read_fails(self, *errors: Exception) -> None:
-        read = failing(lambda: config_of(self.raw, {}), *errors)
+        read = failing(lambda: parse_config(self.raw, {}), *errors)
 
         def counted() -> Config:
             self.reads += 1
@@ -541,7 +541,7 @@
                 container[path[-1]] = copy.deepcopy(value)
                 with self.subTest(f"{path} = {str(value)[:20]!r}"):
                     try:
-                        config_of(raw, {})
+                        parse_config(raw, {})
                     except ConfigError as error:
                         self.assertRegex(str(error), r"^[a-z_.]+: ")
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -363,7 +363,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.engine.change_settings(replace(SETTINGS, classes=CORE_CLASSES, max_attempts=3), 8.0, 1_000)
-        self.engine.endpoints.take(ListScope.WHOLE, entries(LARGE))
+        self.engine.endpoints.handle_list_update(ListScope.WHOLE, entries(LARGE))
         assert self.engine.view.subset is not None
         self.member = next(iter(self.engine.view.members))
         self.events.clear()
@@ -398,14 +398,14 @@
     def test_its_drain_clock_keeps_running(self) -> None:
         self.leave_subset()
         number = int(self.member[1:])
-        self.engine.endpoints.take(ListScope.CHANGES, (entry(number, DRAINING),))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (entry(number, DRAINING),))
         self.clock.advance(2.1)
         job = self.job("safe")
         self.request(SendAttempt(job, self.member))
         self.assertEqual([], self.transport.sent)
 
     def test_the_decisions_learn_the_dispatchers_per_worker_before_the_list(self) -> None:
-        self.engine.endpoints.take(ListScope.WHOLE, entries(2 * LARGE))
+        self.engine.endpoints.handle_list_update(ListScope.WHOLE, entries(2 * LARGE))
         kinds = [type(event) for event in self.events]
         self.assertLess(kinds.index(SettingsChanged), kinds.index(EndpointListUpdate))
         settings_changed = next(event for event in self.events if isinstance(event, SettingsChanged))
@@ -416,14 +416,16 @@
     def test_a_list_update_without_changes_in_the_subset_still_ends_the_list_call(self) -> None:
         self.engine.endpoints.call()
         outside = next(w for w in self.engine.view.entries if w not in self.engine.view.members)
-        self.engine.endpoints.take(ListScope.CHANGES, (entry(int(outside[1:]), started=1.0),))
-        self.engine.endpoints.take(ListScope.CHANGES, (entry(int(outside[1:]), started=2.0),))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (entry(int(outside[1:]), started=1.0),))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (entry(int(outside[1:]), started=2.0),))
         self.assertEqual([EndpointListUpdate(ListScope.CHANGES)], self.events)
 
     def test_waiting_workers_are_admitted_by_a_timer(self) -> None:
         members = [int(name[1:]) for name in self.engine.view.members]
         self.clock.advance(10.0)
-        self.engine.endpoints.take(ListScope.CHANGES, tuple(entry(n, GONE) for n in members[:400]))
+        self.engine.endpoints.handle_list_update(
+            ListScope.CHANGES, tuple(entry(n, GONE) for n in members[:400])
+        )
         before = len(self.engine.view.members)
         self.assertTrue(self.engine.view.waiting)
         for _ in range(12):
