--- a/benchmarks/decision_digest.py
+++ b/benchmarks/decision_digest.py
@@ -34,7 +34,7 @@
 
 from benchmarks import random_events
 from elderstall.decisions import Dispatcher
-from elderstall.simulation.reading import ENDING, SHIPPED, find, read
+from elderstall.simulation.reading import SCENARIO_SUFFIX, SHIPPED_SCENARIOS, find, read
 from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import World
 
@@ -178,7 +178,7 @@
 
 def scenario_names() -> list[str]:
     """Return the names of the shipped scenarios."""
-    return sorted(path.stem for path in SHIPPED.glob(f"*{ENDING}"))
+    return sorted(path.stem for path in SHIPPED_SCENARIOS.glob(f"*{SCENARIO_SUFFIX}"))
 
 
 def run_names() -> list[str]:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -94,7 +94,7 @@
         if not done.called:
             done.callback(outcome)
 
-    def probe(self, worker: str) -> Deferred[Outcome]:
+    def poll_load(self, worker: str) -> Deferred[Outcome]:
         """Answer a poll with free slots."""
         self.polled += 1
         self.reached.add(worker)
@@ -108,7 +108,7 @@
         self.deadlines.after(1.0, done.callback, True)
         return done
 
-    def drop_idle(self, worker: str) -> None:
+    def close_pool(self, worker: str) -> None:
         """Do nothing, as there are no connections."""
 
 
--- a/elderstall/cli/simulate.py
+++ b/elderstall/cli/simulate.py
@@ -15,7 +15,7 @@
 
 from elderstall.cli.output import EXIT_FAILED, EXIT_OK, EXIT_USAGE, print_error, write_json
 from elderstall.simulation.audit import history_lines
-from elderstall.simulation.reading import ENDING, SHIPPED, ScriptError, find, read
+from elderstall.simulation.reading import SCENARIO_SUFFIX, SHIPPED_SCENARIOS, ScenarioError, find, read
 from elderstall.simulation.scenario import Scenario
 from elderstall.simulation.world import World
 
@@ -33,7 +33,7 @@
     """Return a checked scenario and print its warnings; an invalid one ends the command."""
     try:
         scenario, warnings = read(find(name), changes)
-    except ScriptError as error:
+    except ScenarioError as error:
         print_error(str(error))
         raise click.exceptions.Exit(EXIT_USAGE) from None
     for warning in warnings:
@@ -222,7 +222,7 @@
 @click.option(
     "--folder",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    default=SHIPPED,
+    default=SHIPPED_SCENARIOS,
     help="where the scenarios are",
     show_default=False,
 )
@@ -230,10 +230,10 @@
     """List the scenarios that come with the program."""
     rows = []
     all_valid = True
-    for path in sorted(folder.glob(f"*{ENDING}")):
+    for path in sorted(folder.glob(f"*{SCENARIO_SUFFIX}")):
         try:
             rows.append({**summarize(read(path)[0]), "name": path.stem})
-        except ScriptError as error:
+        except ScenarioError as error:
             print_error(str(error))
             all_valid = False
     if as_json:
--- a/elderstall/decisions/capacity.py
+++ b/elderstall/decisions/capacity.py
@@ -10,7 +10,7 @@
 from elderstall.decisions.context import ASSUMED_SLOTS, WHOLE_SLOTS_THRESHOLD, DecisionContext
 from elderstall.decisions.estimates import WorkEstimates
 from elderstall.decisions.records import Attempt, Worker
-from elderstall.routing.subset import MIN_LARGE_FLEET
+from elderstall.routing.subset import MIN_MANY_WORKERS
 
 KIND_PRIOR_JOBS = 5.0  # completed jobs at which a worker's own speed weighs as much as that of its kind
 SPEED_WINDOW_JOBS = 30.0  # over which learned speeds decay, to follow a worker that becomes slower
@@ -73,7 +73,7 @@
         would be kept long enough to be reused, and nearly every job would open one.
         """
         has_many_workers = (
-            self.context.settings.subset_dispatchers_per_worker or self._up_workers > MIN_LARGE_FLEET
+            self.context.settings.subset_dispatchers_per_worker or self._up_workers > MIN_MANY_WORKERS
         )
         if self._up_workers and has_many_workers:
             self.preferred_fraction = max(
--- a/elderstall/decisions/context.py
+++ b/elderstall/decisions/context.py
@@ -30,7 +30,7 @@
 
     classes: Mapping[str, JobClass]
     tier_edges: tuple[float, ...]  # minimum priority weight of each tier, highest first
-    large_fleet: bool  # has so many dispatchers that each sends little to any one worker
+    has_many_dispatchers: bool  # has so many dispatchers that each sends little to any one worker
     polls_before_placing: bool  # workers are polled before a job is sent to one of them
     polls_for_queued: bool  # workers with attempts in flight are polled while jobs are queued
     review_interval: float  # ms between reviews of the queue
@@ -49,9 +49,11 @@
     def from_settings(cls, settings: Settings) -> OperatingMode:
         """Derive the mode from the settings."""
         weight_factors = (1.0, settings.over_quota_weight) if settings.tenants else (1.0,)
-        large_fleet = settings.dispatchers * WHOLE_SLOTS_THRESHOLD > ASSUMED_SLOTS
+        has_many_dispatchers = settings.dispatchers * WHOLE_SLOTS_THRESHOLD > ASSUMED_SLOTS
         reports_free = settings.report_free_slots is not None
-        polls_before = large_fleet and reports_free and not settings.notifies_start and settings.probes
+        polls_before = (
+            has_many_dispatchers and reports_free and not settings.notifies_start and settings.probes
+        )
         polls_for_queued = (
             settings.reports_only_when_polled
             and reports_free
@@ -68,10 +70,10 @@
                     for factor in weight_factors
                 )
             ),
-            large_fleet=large_fleet,
+            has_many_dispatchers=has_many_dispatchers,
             polls_before_placing=polls_before,
             polls_for_queued=polls_for_queued,
-            review_interval=LARGE_FLEET_REVIEW_INTERVAL_MS if large_fleet else REVIEW_INTERVAL_MS,
+            review_interval=LARGE_FLEET_REVIEW_INTERVAL_MS if has_many_dispatchers else REVIEW_INTERVAL_MS,
             prompt_slack=PROMPT_SLACK_MS + 2 * settings.tick,
         )
 
--- a/elderstall/decisions/dispatcher.py
+++ b/elderstall/decisions/dispatcher.py
@@ -180,7 +180,7 @@
         self.shedding.set_weights(job_class.priority_weight for job_class in settings.classes)
         self.estimates.change_classes(settings.classes)
         self.solver.update_typical_work()
-        self.quotas.change_settings(settings.tenants, settings.dispatchers, mode.large_fleet)
+        self.quotas.change_settings(settings.tenants, settings.dispatchers, mode.has_many_dispatchers)
 
     def _handle_started(self, _: Started) -> None:
         """Start the solver's timer, and request the endpoint list."""
--- a/elderstall/decisions/endpoints.py
+++ b/elderstall/decisions/endpoints.py
@@ -89,7 +89,8 @@
         if worker is None:
             worker = Worker.from_endpoint(entry)
             self._hash_ordered.append(worker)
-            if self.context.mode.large_fleet:  # otherwise all dispatchers would start with the same workers
+            if self.context.mode.has_many_dispatchers:
+                # Otherwise all dispatchers would start with the same workers.
                 spread = self.capacity.estimates.typical / ASSUMED_SLOTS
                 worker.virtual_time = self.virtual_time + self.context.rng.random() * spread
         elif up and entry.started not in (None, worker.started):
--- a/elderstall/decisions/pools.py
+++ b/elderstall/decisions/pools.py
@@ -41,7 +41,9 @@
         # Pools start with equal sizes. With many dispatchers solving takes long to adapt, so tiers that only
         # jobs over quota use start with minimal pools there.
         used = {
-            mode.tier_of(job_class.priority_weight) for job_class in mode.classes.values() if mode.large_fleet
+            mode.tier_of(job_class.priority_weight)
+            for job_class in mode.classes.values()
+            if mode.has_many_dispatchers
         }
         sizes = tuple(1 if used and tier not in used else INITIAL_POOL_SIZE for tier in range(mode.tiers))
         self.adopt_policy(Policy((0,) * len(tier_pairs(mode.tiers)), sizes))
--- a/elderstall/engine/endpoint_feed.py
+++ b/elderstall/engine/endpoint_feed.py
@@ -25,14 +25,14 @@
         deadlines: Deadlines,
         decisions: DecisionFeed,
         figures: Figures,
-        drop_idle: Callable[[str], None],
+        close_pool: Callable[[str], None],
     ) -> None:
         self.settings = settings
         self.view = view
         self.deadlines = deadlines
         self.decisions = decisions
         self.figures = figures
-        self.drop_idle = drop_idle
+        self.close_pool = close_pool
         # Opens a watch, or calls discovery for changes.
         self.request_changes: Callable[[], None] = lambda: None
         self.started = False  # the list known at the start has been applied
@@ -115,7 +115,7 @@
             return False
         now = self.deadlines.now()
         if self.view.end_ban(worker, now):
-            self.drop_idle(worker)
+            self.close_pool(worker)
             self.notify(self.view.refresh(worker, now))
         return True
 
--- a/elderstall/engine/engine.py
+++ b/elderstall/engine/engine.py
@@ -71,7 +71,7 @@
         self.jobs = JobTable(max_open)
         self.rules = Rules(settings, deadlines, self.view)
         self.endpoints = EndpointFeed(
-            settings, self.view, deadlines, self.feed, self.counters, transport.drop_idle
+            settings, self.view, deadlines, self.feed, self.counters, transport.close_pool
         )
         self.answers = Answers(
             self.jobs,
@@ -287,7 +287,7 @@
             self.feed.feed(LoadPolled(action.worker, Ending.NEVER_SENT))
             return
         self.counters.polls += 1
-        polling = self.transport.probe(action.worker)
+        polling = self.transport.poll_load(action.worker)
         polling.addCallback(self._polled, action.worker).addErrback(self._not_polled, action.worker)
 
     def _polled(self, outcome: Outcome, worker: str) -> None:
--- a/elderstall/messages.py
+++ b/elderstall/messages.py
@@ -106,8 +106,8 @@
         The wait is short if the job can continue unconfirmed (``confirmation_required`` is false).
         """
 
-    def probe(self, worker: str) -> Deferred[Outcome]:
+    def poll_load(self, worker: str) -> Deferred[Outcome]:
         """Poll a worker for its load report; fires with the report or the failure."""
 
-    def drop_idle(self, worker: str) -> None:
-        """Close the idle connections to a worker whose process is gone."""
+    def close_pool(self, worker: str) -> None:
+        """Close a worker's pool: idle connections now, those in use when their request ends."""
--- a/elderstall/net/upstream/transport.py
+++ b/elderstall/net/upstream/transport.py
@@ -80,9 +80,9 @@
     def remove_endpoint(self, name: str) -> None:
         """Remove a worker's address and close its pool: delisted, changed address, restart or shutdown."""
         self.addresses.pop(name, None)
-        self.drop_idle(name)
+        self.close_pool(name)
 
-    def drop_idle(self, worker: str) -> None:
+    def close_pool(self, worker: str) -> None:
         """Remove a worker's pool: its idle connections close now, those in use when their requests end.
 
         See ``messages.AttemptTransport``; the next request creates a new pool.
@@ -187,7 +187,7 @@
         )
         return self._with_timeout(result, timeout_ms, on_timeout)
 
-    def probe(self, worker: str) -> Deferred[Outcome]:
+    def poll_load(self, worker: str) -> Deferred[Outcome]:
         """Poll a worker for its load report; see ``messages.AttemptTransport``."""
         result: Deferred[Outcome] = Deferred()
         pool = self._pool_for(worker)
--- a/elderstall/recovery/listing.py
+++ b/elderstall/recovery/listing.py
@@ -76,7 +76,8 @@
     def is_large_fleet(self) -> bool:
         """Return whether dispatchers are so many that their calls are spread.
 
-        The bound differs from that of ``OperatingMode.large_fleet``, which concerns load, not discovery.
+        The bound differs from that of ``OperatingMode.has_many_dispatchers``, which concerns load, not
+        discovery.
         """
         return self.dispatchers > MAX_SMALL_FLEET
 
--- a/elderstall/routing/subset.py
+++ b/elderstall/routing/subset.py
@@ -28,7 +28,7 @@
 MIN_SUBSET_SIZE = 1_024  # workers; a fleet of up to this size is never divided into subsets
 MIN_DISPATCHERS_PER_WORKER = 8  # on average; evens out unequal traffic of dispatchers that share a worker
 SIZE_TOLERANCE_FRACTION = 1 / 8  # smaller deviations change no size and remove no members: no flapping
-MIN_LARGE_FLEET = MIN_SUBSET_SIZE * (1 + SIZE_TOLERANCE_FRACTION)  # workers, above which a fleet is large
+MIN_MANY_WORKERS = MIN_SUBSET_SIZE * (1 + SIZE_TOLERANCE_FRACTION)  # workers, above which a fleet is large
 MIN_WORKERS_PER_KIND = 64  # from each kind's ring, and from the home zone's where crossing zones has a price
 KIND_MINIMUMS_DIVISOR = 4  # resizing reserves at most 1/4 of a subset for the minimums of all kinds together
 LAST_PREFERENCE_POSITION = 0.999  # just below 1: the last preference position on an arc
--- a/elderstall/routing/view.py
+++ b/elderstall/routing/view.py
@@ -6,7 +6,7 @@
 
 * In fleets of up to `subset.subset_size` workers, the whole list and every change, with bans applied. The
   change to a subset is made only above that size by `subset.SIZE_TOLERANCE_FRACTION`. Entries of more than
-  `subset.MIN_LARGE_FLEET` workers also have preference positions.
+  `subset.MIN_MANY_WORKERS` workers also have preference positions.
 * In larger fleets, a subset (`routing/subset.py`) and the changes within it, with bans applied and preference
   positions. A change outside the subset is only a dictionary update.
 
@@ -34,7 +34,7 @@
 )
 from elderstall.routing.reach import ZoneReach
 from elderstall.routing.subset import (
-    MIN_LARGE_FLEET,
+    MIN_MANY_WORKERS,
     SIZE_TOLERANCE_FRACTION,
     Subset,
     ring_distance,
@@ -268,7 +268,7 @@
     @property
     def is_large(self) -> bool:
         """Whether the fleet is so large that a dispatcher that knows all of it prefers a fraction."""
-        return self.up > MIN_LARGE_FLEET
+        return self.up > MIN_MANY_WORKERS
 
     def events_for(
         self,
--- a/elderstall/simulation/reading.py
+++ b/elderstall/simulation/reading.py
@@ -47,11 +47,11 @@
 MAX_DISPATCHERS = 1_000
 MAX_JOBS = 50_000_000
 LOAD_WARNING_THRESHOLD = 5.0  # times the fleet's capacity; a higher load can be simulated
-SHIPPED = Path(__file__).parent.parent.parent / "deploy" / "rehearsals"
-ENDING = ".conf"
+SHIPPED_SCENARIOS = Path(__file__).parent.parent.parent / "deploy" / "rehearsals"
+SCENARIO_SUFFIX = ".conf"
 
 
-class ScriptError(Exception):
+class ScenarioError(Exception):
     """A scenario file that cannot be simulated: file, line, key and reason."""
 
     def __init__(self, path: str, line: int | None, key: str, reason: str) -> None:
@@ -146,9 +146,9 @@
         return position.keys.get(key, position.line)
 
     def fail(self, section: Any, key: str, reason: str) -> NoReturn:
-        """Raise ScriptError for a key."""
+        """Raise ScenarioError for a key."""
         position = self.position(section)
-        raise ScriptError(
+        raise ScenarioError(
             position.path or self.path, self.line(section, key), position.qualified_key(key), reason
         )
 
@@ -207,7 +207,7 @@
         return kinds
 
     def fraction(self, section: Any, key: str, name: str = "") -> Any:
-        """Return the value of a key, a share of at most 100%. Raises ScriptError where it is larger."""
+        """Return the value of a key, a share of at most 100%. Raises ScenarioError where it is larger."""
         value = getattr(section, name or key.replace("-", "_"))
         if value is not None and value > 1:
             self.fail(section, key, f"{value:.0%} is above the maximum of 100%")
@@ -315,7 +315,7 @@
         return Traffic(rate, self.fraction(section, "swing"), section.swing_period, section.shape)
 
     def faults(self, scenario: Scenario) -> tuple[Fault, ...]:
-        """Return the faults by start time. Raises ScriptError for unknown targets or times past the end."""
+        """Return the faults by start time. Raises ScenarioError for unknown targets or times past the end."""
         worker_names = [worker.name for worker in scenario.workers]
         dispatcher_names = [f"n{rank + 1}" for rank in range(len(scenario.dispatchers.weights))]
         return tuple(
@@ -391,7 +391,7 @@
         return tenants
 
     def scenario(self) -> Scenario:
-        """Return the scenario. Raises ScriptError for what cannot be simulated."""
+        """Return the scenario. Raises ScenarioError for what cannot be simulated."""
         root = self.root
         if root.load is None:
             self.fail(None, "<load>", "the section is missing")
@@ -441,16 +441,16 @@
 def find(name: str, folder: Path | None = None) -> Path:
     """Return the path of a scenario file, given by path or by name among those that come with the program.
 
-    Raises ScriptError where there is none.
+    Raises ScenarioError where there is none.
     """
     path = Path(name)
-    shipped = (folder or SHIPPED) / f"{name}{ENDING}"
+    shipped = (folder or SHIPPED_SCENARIOS) / f"{name}{SCENARIO_SUFFIX}"
     if path.is_file():
         return path
     if shipped.is_file():
         return shipped
-    raise ScriptError(
-        name, None, "", "no such file, and no scenario of this name in " + str(folder or SHIPPED)
+    raise ScenarioError(
+        name, None, "", "no such file, and no scenario of this name in " + str(folder or SHIPPED_SCENARIOS)
     )
 
 
@@ -458,22 +458,22 @@
     """Return the scenario of a file, with values overridden, and the warnings.
 
     An override has the form ``key=value`` or ``section/key=value``.
-    Raises ScriptError for what cannot be simulated.
+    Raises ScenarioError for what cannot be simulated.
     """
     location = path_from_url(path.resolve().as_uri())
     for change in changes:
         if not re.fullmatch(r"[^=/]+(/[^=/]+)*=.*", change):
-            raise ScriptError(location, None, "--set", f"{change!r} is not of the form KEY=VALUE")
+            raise ScenarioError(location, None, "--set", f"{change!r} is not of the form KEY=VALUE")
     try:
         return read_with_sections(path, location, changes, ())
-    except ScriptError as error:
+    except ScenarioError as error:
         # ZConfig rejects an override in a section that the file leaves out, so such sections are added empty.
         absent = sorted({change.partition("/")[0] for change in changes} & set(SINGLE_SECTIONS))
         if error.reason != UNUSED_OVERRIDE or not absent:
             raise
         for count in range(len(absent), 0, -1):
             for names in combinations(absent, count):
-                with suppress(ScriptError):
+                with suppress(ScenarioError):
                     return read_with_sections(path, location, changes, names)
         raise
 
@@ -493,16 +493,16 @@
         text += "".join(f"\n<{name}>\n</{name}>" for name in empty_sections)
         root, _ = loader.loadFile(StringIO(text), path.resolve().as_uri())
     except OSError as error:
-        raise ScriptError(location, None, "", error.strerror or str(error)) from None
+        raise ScenarioError(location, None, "", error.strerror or str(error)) from None
     except UnicodeDecodeError:
-        raise ScriptError(location, None, "", "is not UTF-8 text") from None
+        raise ScenarioError(location, None, "", "is not UTF-8 text") from None
     except ZConfig.ConfigurationError as error:
         line = getattr(error, "lineno", None)
         url = getattr(error, "url", None)
         if url == OVERRIDE_SOURCE or not isinstance(line, int) or line < 0:
             overrides = "--set " + ", ".join(changes) if changes else ""
             reason = error.message or str(error)
-            raise ScriptError(
+            raise ScenarioError(
                 location,
                 None,
                 overrides,
@@ -510,7 +510,7 @@
                 UNUSED_OVERRIDE if "not all command line" in reason else reason,
             ) from None
         error_path = path_from_url(url) if isinstance(url, str) else location
-        raise ScriptError(
+        raise ScenarioError(
             error_path, line, loader.keys_by_line.get((error_path, line), ""), error.message
         ) from None
     reader = Reader(location, loader, root)
--- a/elderstall/simulation/upstream.py
+++ b/elderstall/simulation/upstream.py
@@ -102,7 +102,7 @@
         else:
             self.loop.after(CANCEL_TIMEOUT_MS, done.callback, False)
 
-    def probe(self, worker: str) -> Deferred[Outcome]:
+    def poll_load(self, worker: str) -> Deferred[Outcome]:
         """Poll a worker for its load report; a new connection adds the handshake's round trips.
 
         The limit on connections does not apply, and the connection opens even if the worker is paused.
@@ -147,7 +147,7 @@
             outcome = Outcome(Ending.TIMED_OUT, worker_unreachable=True)
             self.loop.after(self.network.connect_timeout, done.callback, outcome)
 
-    def drop_idle(self, worker: str) -> None:
+    def close_pool(self, worker: str) -> None:
         """Close the idle connections to a worker."""
         if (pool := self.pools.get(worker)) is not None:
             self.drop(pool)
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -151,7 +151,7 @@
                 worker, _ = self.receive_attempt("a1")
                 self.serve("a1", worker, client)
                 if not reused:
-                    self.app.workers.drop_idle("w1")
+                    self.app.workers.close_pool("w1")
                     self.turn()
                 self.held = None if reused else []
                 self.send("a2")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -61,12 +61,12 @@
         self.cancels.append(Deferred())
         return self.cancels[-1]
 
-    def probe(self, worker: str) -> Deferred[Outcome]:
+    def poll_load(self, worker: str) -> Deferred[Outcome]:
         done: Deferred[Outcome] = Deferred()
         self.probes.append((worker, done))
         return done
 
-    def drop_idle(self, worker: str) -> None:
+    def close_pool(self, worker: str) -> None:
         pass
 
 
--- a/tests/test_simulation_script.py
+++ b/tests/test_simulation_script.py
@@ -14,7 +14,7 @@
 from elderstall.simulation import values
 from elderstall.simulation.compare import difference
 from elderstall.simulation.draws import Draws
-from elderstall.simulation.reading import SHIPPED, ScriptError, find, read
+from elderstall.simulation.reading import SHIPPED_SCENARIOS, ScenarioError, find, read
 
 TEXT = """name test
 length 4s
@@ -78,7 +78,7 @@
     scenario_file: Path, old: str, new: str, line: int, key: str, reason: str
 ) -> None:
     scenario_file.write_text(TEXT.replace(old, new, 1))
-    with pytest.raises(ScriptError) as caught:
+    with pytest.raises(ScenarioError) as caught:
         read(scenario_file)
     assert (caught.value.line, caught.value.key) == (line, key) and reason in str(caught.value)
     assert f"test.conf:{line}" in str(caught.value)
@@ -87,7 +87,7 @@
 def test_an_error_in_an_included_file_names_that_file(scenario_file: Path) -> None:
     (scenario_file.parent / "more.inc").write_text("<tenant a>\n  share x\n  quota 1\n</tenant>\n")
     scenario_file.write_text(TEXT + "%include more.inc\n")
-    with pytest.raises(ScriptError, match=r"more\.inc:2: <tenant a> share"):
+    with pytest.raises(ScenarioError, match=r"more\.inc:2: <tenant a> share"):
         read(scenario_file)
 
 
@@ -103,7 +103,7 @@
     scenario, _ = read(scenario_file, ["clients/retries=3", "rules/max-attempts=2", "load/rate=6"])
     assert (scenario.clients.retries, scenario.rules.max_attempts, scenario.load.rate) == (3.0, 2, 6.0)
     for change in ("load/rate=x", "nobody/rate=1", "load/rate", "slow/at=99s", "clients/nothing=1"):
-        with pytest.raises(ScriptError):
+        with pytest.raises(ScenarioError):
             read(scenario_file, [change])
 
 
@@ -288,6 +288,6 @@
 
 
 def test_a_scenario_is_found_by_path_before_name() -> None:
-    assert find("calm") == SHIPPED / "calm.conf"
-    with pytest.raises(ScriptError):
+    assert find("calm") == SHIPPED_SCENARIOS / "calm.conf"
+    with pytest.raises(ScenarioError):
         find("calm.conff")
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -134,7 +134,7 @@
     def count_descriptors(self) -> int:
         """Return the number of open descriptors after closing all idle connections to workers."""
         for name in list(self.app.workers.pools):
-            self.app.workers.drop_idle(name)
+            self.app.workers.close_pool(name)
         self.turn()
         self.came()
         self.close_ended()
