--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,7 +1,8 @@
 """One dispatcher on real sockets, in this process, its clock in the test's hand.
 
 The reactor turns only when a test has it turn, so what was sent before a turn lies in the system unread, and
-which of two events comes first is the test's choice. Time is a clock that only ``wait`` and ``jump`` move.
+which of two events comes first is the test's choice. Time is a clock that only ``wait`` and
+``advance_clock_only`` move.
 Connections to workers can be kept from coming up until they are let.
 """
 
@@ -30,7 +31,7 @@
 TURNS = 12  # turns in which all that loopback carries has gone through both ends
 
 
-class Side:
+class PeerSocket:
     """The other end of a connection: reads what is there, without waiting."""
 
     def __init__(self, sock: socket.socket, responses: bool) -> None:
@@ -120,8 +121,8 @@
         self.held: list[tuple[Deferred[Any], Any]] | None = None  # connections that are kept from coming up
         connect = self.app.workers.connect
         self.app.workers.connect = lambda address, pool: self.up_late(connect(address, pool))
-        self.sides: list[Side] = []  # of workers, in the order of their connections
-        self.watches: list[Side] = []
+        self.sides: list[PeerSocket] = []  # of workers, in the order of their connections
+        self.watches: list[PeerSocket] = []
         self.addCleanup(self.end)
         self.app.start()
         self.turn()
@@ -160,21 +161,23 @@
             reactor.iterate(0.01 if n > TURNS else 0)
         self.fail(f"it never came; {self.lines}")
 
-    def jump(self, ms: float) -> None:
+    def advance_clock_only(self, ms: float) -> None:
         """Let time pass while the program is in another turn: what has come stays unread."""
         self.loop.clock.advance(ms / 1000)
 
     def wait(self, ms: float) -> None:
         end = self.loop.clock.seconds() + ms / 1000
         while (left := end - self.loop.clock.seconds()) > 1e-9:
-            self.jump(1000 * min(left, 0.01))
+            self.advance_clock_only(1000 * min(left, 0.01))
             self.turn(3)
         self.turn()
 
     # ---- clients ----
 
-    def client(self) -> Side:
-        side = Side(socket.create_connection(("127.0.0.1", self.app.port.getHost().port)), responses=True)
+    def client(self) -> PeerSocket:
+        side = PeerSocket(
+            socket.create_connection(("127.0.0.1", self.app.port.getHost().port)), responses=True
+        )
         self.addCleanup(side.sock.close)
         return side
 
@@ -191,7 +194,7 @@
         }
         return http.request("POST", f"/{job_class}?obj=7f", "api.internal", fields.items(), b"body")
 
-    def answer(self, side: Side) -> http.Message:
+    def answer(self, side: PeerSocket) -> http.Message:
         self.until(lambda: side.read() or bool(side.messages) or side.ended)  # type: ignore[func-returns-value]
         self.assertTrue(side.messages, f"ended with no answer; {self.lines}")
         return side.messages.pop(0)
@@ -207,7 +210,7 @@
         connecting.addCallbacks(lambda connection: held.append((late, connection)), lambda failure: None)
         return late
 
-    def let_up(self) -> None:
+    def release_connections(self) -> None:
         """Have those that were kept come up now."""
         held, self.held = self.held or [], None
         for late, connection in held:
@@ -215,7 +218,7 @@
                 late.callback(connection)
         self.turn()
 
-    def came(self) -> list[tuple[str, Side]]:
+    def came(self) -> list[tuple[str, PeerSocket]]:
         """Give what has come to any worker and was not taken yet, as ``POST a1``."""
         for sock in self.listeners:
             self.accept(sock, self.sides)
@@ -227,21 +230,21 @@
             for m in side.messages
         ]
 
-    def accept(self, sock: socket.socket, sides: list[Side]) -> None:
+    def accept(self, sock: socket.socket, sides: list[PeerSocket]) -> None:
         while True:
             try:
-                sides.append(Side(sock.accept()[0], responses=False))
+                sides.append(PeerSocket(sock.accept()[0], responses=False))
             except BlockingIOError:
                 return
 
-    def take(self, what: str) -> Side:
+    def take(self, what: str) -> PeerSocket:
         """Wait for a request at any worker, and give its connection."""
         self.until(lambda: any(name == what for name, _ in self.came()))
         side = next(side for name, side in self.came() if name == what)
         side.messages.pop(0)
         return side
 
-    def nothing(self) -> None:
+    def assert_nothing_received(self) -> None:
         """See that nothing has come to a worker."""
         self.turn()
         self.assertEqual([], [what for what, _ in self.came()])
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -23,7 +23,7 @@
     RESOURCE_ERRORS,
     Acceptor,
 )
-from tests.loopback import Loopback, Side, with_console
+from tests.loopback import Loopback, PeerSocket, with_console
 
 ACCEPT_ERRORS = sorted(
     (CONNECTION_ERRORS | RESOURCE_ERRORS | {errno.EAGAIN, errno.EINVAL, errno.EIO}) - {errno.ENOSPC}
@@ -90,7 +90,7 @@
         acceptor.port.socket.sock = listener
         return listener
 
-    def assert_served(self, side: Side) -> None:
+    def assert_served(self, side: PeerSocket) -> None:
         """Check that a client is served."""
         side.send(http.request("GET", "/up", "x"))
         self.assertEqual(200, self.answer(side).status)
@@ -211,7 +211,9 @@
         assert acceptor is not None
         listening = self.wrap_listener(acceptor)
         listening.lasting_error = errno.EPROTO
-        side = Side(socket.create_connection(("127.0.0.1", acceptor.port.getHost().port)), responses=True)
+        side = PeerSocket(
+            socket.create_connection(("127.0.0.1", acceptor.port.getHost().port)), responses=True
+        )
         self.addCleanup(side.sock.close)
         side.send(http.request("GET", "/api/ready", "x"))
         self.turn(LOOP_TURNS)
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -16,7 +16,7 @@
 from elderstall.net.peer import has_unread_data
 from elderstall.net.upstream.request import BUDGET_MARGIN_MS, budget_to_send
 from tests.faulty_sockets import ONE_BYTE_ONLY, FaultPlan, install_faults
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 
 ACCEPTED = http.response(202)
 UNSAFE, SAFE = "deck-build", "deck-fetch"
@@ -39,7 +39,7 @@
 
     def send(
         self, request_id: str, job_class: str = UNSAFE, budget: int = 4_000, accept: str = "*/*"
-    ) -> Side:
+    ) -> PeerSocket:
         side = self.client()
         side.send(self.job(request_id, job_class, budget, accept))
         self.ends[request_id] = self.app.deadlines.now() + budget
@@ -50,7 +50,7 @@
         )
         return side
 
-    def receive_attempt(self, request_id: str) -> tuple[Side, float]:
+    def receive_attempt(self, request_id: str) -> tuple[PeerSocket, float]:
         """Return a job's connection at its worker and its stated budget, after checking the budget."""
         self.until(lambda: any(name == f"POST {request_id}" for name, _ in self.came()))
         side = next(side for name, side in self.came() if name == f"POST {request_id}")
@@ -61,13 +61,13 @@
         self.assertGreaterEqual(budget_ms, left - BUDGET_MARGIN_MS - 1)  # less by no more than the margin
         return side, budget_ms
 
-    def serve(self, request_id: str, worker: Side, client: Side, name: str = "w1") -> None:
+    def serve(self, request_id: str, worker: PeerSocket, client: PeerSocket, name: str = "w1") -> None:
         worker.send(ACCEPTED)
         self.turn()
         self.call_back(request_id, worker=name)
         self.assertEqual(200, self.answer(client).status)
 
-    def name(self, worker: Side) -> str:
+    def name(self, worker: PeerSocket) -> str:
         ports = [sock.getsockname()[1] for sock in self.listeners]
         return f"w{ports.index(worker.sock.getsockname()[1]) + 1}"
 
@@ -80,8 +80,8 @@
         self.held = []
         client = self.send("a1")
         self.until(lambda: bool(self.held))
-        self.jump(1_000)
-        self.let_up()
+        self.advance_clock_only(1_000)
+        self.release_connections()
         worker, budget_ms = self.receive_attempt("a1")
         self.assertLessEqual(budget_ms, 3_000)
         self.serve("a1", worker, client)
@@ -92,7 +92,7 @@
         self.send("a1")
         self.until(lambda: bool(self.held))
         self.stall()
-        self.let_up()
+        self.release_connections()
         self.receive_attempt("a1")
 
     def test_a_process_stalled_while_sending_over_a_reused_connection(self) -> None:
@@ -137,11 +137,11 @@
         client = self.send("a1", budget=400)
         self.until(lambda: bool(self.held))
         self.stall(401)
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.wait(50)
         self.assertEqual(503, self.answer(client).status)  # it never ran
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_an_attempt_that_times_out_before_its_job(self) -> None:
         for reused in (False, True):
@@ -166,7 +166,7 @@
                 if not reused:
                     self.turn()
                     self.stall(300.0)
-                    self.let_up()
+                    self.release_connections()
                 self.turn()
                 self.assertEqual(["never sent"], [outcome.ending.value for outcome in outcomes])
                 self.assertLessEqual(sum(name == "POST a2" for name, _ in self.came()), int(not reused))
@@ -241,7 +241,7 @@
         self.wait(600)
         client.send(request[-1:])
         self.assertEqual(503, self.answer(client).status)
-        self.nothing()
+        self.assert_nothing_received()
 
 
 class LaterAttempts(AttemptDeadlines):
@@ -255,8 +255,8 @@
         self.held = []
         first.send(http.response(503, headers=(("X-Rejected", "1"),)))
         self.until(lambda: bool(self.held))
-        self.jump(700)
-        self.let_up()
+        self.advance_clock_only(700)
+        self.release_connections()
         second, budget_ms = self.receive_attempt("a1")
         self.assertLessEqual(budget_ms, 3_000)
         self.serve("a1", second, client, self.name(second))
@@ -277,8 +277,8 @@
         self.held = []
         self.send("a1", accept="text/event-stream")
         self.until(lambda: bool(self.held))
-        self.jump(1_000)
-        self.let_up()
+        self.advance_clock_only(1_000)
+        self.release_connections()
         _, budget_ms = self.receive_attempt("a1")
         self.assertLessEqual(budget_ms, 3_000)
 
@@ -320,9 +320,9 @@
                 self.turn(200)
                 # No busy loop: the next write waits for its timer.
                 self.assertEqual(happened, fault.occurrences)
-                self.jump(600)
+                self.advance_clock_only(600)
                 self.plan.faults.clear()
-                self.jump(10)
+                self.advance_clock_only(10)
                 self.turn()
                 worker, budget_ms = self.receive_attempt("a1")
                 self.assertLessEqual(budget_ms, 3_390)
@@ -338,7 +338,7 @@
         self.plan.faults.clear()
         self.wait(20)
         self.assertEqual(503, self.answer(client).status)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_short_writes_send_the_whole_request(self) -> None:
         self.begin()
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from elderstall.net import http
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 from tests.scenario import CLASSES
 
 PROCESS_DELAY_MS = 150.0  # for which the process may be delayed between two turns of its reactor
@@ -31,7 +31,7 @@
         """Add a class with a long deadline: the others' jobs could expire before the checks end."""
         super().begin(workers, progress=self.progress, classes=[*CLASSES, LONG_DEADLINE_CLASS], **more)
 
-    def send_job(self, request_id: str = "gone", job_class: str = "album") -> Side:
+    def send_job(self, request_id: str = "gone", job_class: str = "album") -> PeerSocket:
         client = self.client()
         accept = "text/event-stream" if self.progress else "*/*"
         client.send(self.job(request_id, job_class, accept=accept))
@@ -45,21 +45,21 @@
         self.take("POST first").send(ACCEPTED)
         self.turn()
 
-    def send_callback(self, request_id: str, state: str = "done", worker: str = "w1") -> Side:
+    def send_callback(self, request_id: str, state: str = "done", worker: str = "w1") -> PeerSocket:
         """Send a worker's callback, which is not read yet."""
         side = self.client()
         call = {"id": request_id, "from": worker, "state": state, "result": "deck"}
         side.send(http.request("POST", "/callback", "n1", (), json.dumps(call).encode()))
         return side
 
-    def worker_name(self, worker: Side) -> str:
+    def worker_name(self, worker: PeerSocket) -> str:
         ports = [sock.getsockname()[1] for sock in self.listeners]
         return f"w{ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def disconnect(self, client: Side) -> None:
+    def disconnect(self, client: PeerSocket) -> None:
         """Close a client's connection, and delay the process right after."""
         client.sock.close()
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
 
     def assert_no_attempt(self) -> None:
         """Assert that no attempt begins within 0.5 s, and that the job has ended."""
@@ -78,7 +78,7 @@
         client = self.send_job()
         client.sock.close()
         self.send_callback("first")
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.assert_no_attempt()
 
     def test_connection_to_its_worker_is_established(self) -> None:
@@ -87,7 +87,7 @@
         client = self.send_job(job_class="deck-build")
         self.until(lambda: bool(self.held))
         self.disconnect(client)
-        self.let_up()
+        self.release_connections()
         self.assert_no_attempt()
 
     def test_kept_connection_is_written_to_in_the_turn_of_the_decision(self) -> None:
@@ -103,7 +103,7 @@
         client = self.send_job()
         client.sock.close()
         self.send_callback("first")
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.assert_no_attempt()
 
     def test_workers_are_polled_for_their_load(self) -> None:
@@ -113,7 +113,7 @@
         asked = self.take("GET /metrics/load")
         client.sock.close()
         asked.send(http.response(200, b'{"cpu_share": 0.1, "x0": 2}'))
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.assert_no_attempt()
 
     def test_job_handed_back_waits_for_its_next_attempt(self) -> None:
@@ -123,7 +123,7 @@
         self.turn()
         client.sock.close()
         self.send_callback("gone", "returned")
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.assert_no_attempt()
 
     def test_rejected_job_waits_for_its_next_attempt(self) -> None:
@@ -132,7 +132,7 @@
         worker = self.take("POST gone")
         client.sock.close()
         worker.send(http.response(503, headers=[("X-Rejected", "1")]))
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.assert_no_attempt()
 
     def test_cancel_of_the_previous_attempt_is_in_flight(self) -> None:
@@ -182,7 +182,7 @@
         worker = self.take("POST gone")
         client.sock.close()
         worker.sock.close()
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.assert_no_attempt()
 
     def test_connections_to_the_worker_fail_repeatedly(self) -> None:
@@ -225,7 +225,7 @@
         self.turn()
         client.sock.close()
         worker.send(http.chunk(b"event: progress\ndata: 0.4\n\n"))
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.take("DELETE /jobs/gone").send(http.response(200))
         self.assert_no_attempt()
 
@@ -256,7 +256,7 @@
             os.close(descriptor)
         client.sock.close()
         link.close()
-        self.jump(PROCESS_DELAY_MS)
+        self.advance_clock_only(PROCESS_DELAY_MS)
         self.turn()
         self.call_back("first")
         self.assert_no_attempt()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -35,7 +35,7 @@
 from tests.loopback import CHUNKED, Loopback, address_of
 from tests.scenario import RULES, entry
 from tests.test_core import Client, EngineCase
-from tests.test_program import PATIENCE, ROOT, Line, Peer, Program
+from tests.test_program import ROOT, TIMEOUT_S, MessageConnection, PeerServer, Program
 
 HOUR = 3_600_000.0  # ms
 STEPS = (HOUR, -HOUR, -5_000.0, 5_000.0)
@@ -251,9 +251,9 @@
                 self.wall_offset_ms = step
                 self.list_starts(43, w2=self.wall())
                 self.assertTrue(self.cold("w2"))
-                self.jump(span - 100)
+                self.advance_clock_only(span - 100)
                 self.assertTrue(self.cold("w2"))
-                self.jump(200)
+                self.advance_clock_only(200)
                 self.assertFalse(self.cold("w2"))
 
     def test_a_whole_list_on_a_new_watch_changes_no_start_and_drops_no_connection(self) -> None:
@@ -275,10 +275,10 @@
         self.begin()
         self.list_starts(42, whole=True, w1=0)
         self.app.engine.endpoints.ban("w1")
-        self.jump(1_000.0)
+        self.advance_clock_only(1_000.0)
         self.wall_offset_ms = -QUARTER
         self.list_starts(43, w1=self.wall())  # restarted while banned
-        self.jump(500.0)
+        self.advance_clock_only(500.0)
         self.app.engine.endpoints.end_ban("w1")
         started = self.app.engine.decisions.endpoints.workers["w1"].started
         self.assertAlmostEqual(500.0, self.app.deadlines.now() - (started or 0), 1)
@@ -325,7 +325,7 @@
         self.turn()
         self.app.engine.endpoints.ban("w2")
         self.app.engine.endpoints.ban("w3")
-        self.jump(1_000.0)
+        self.advance_clock_only(1_000.0)
         self.app.engine.endpoints.end_ban("w3")
         worker = self.app.engine.decisions.endpoints.workers["w1"]
         worker.warm_up_sends.append((now, 55.0))
@@ -474,21 +474,21 @@
         super().setUp()
         self.watched = threading.Semaphore(0)
 
-    def watch(self, line: Line) -> None:
+    def watch(self, line: MessageConnection) -> None:
         self.watched.release()
         super().watch(line)  # sends one line, then nothing
 
-    def begin_stepped(self, step: float, budget: int = 15_000) -> Line:
+    def begin_stepped(self, step: float, budget: int = 15_000) -> MessageConnection:
         """Start the program with a job in progress, and step its clock."""
         self.file_of_step = Path(self.enterContext(tempfile.TemporaryDirectory()), "step")
         os.environ["STEP_FILE"] = str(self.file_of_step)
         self.addCleanup(os.environ.pop, "STEP_FILE", None)
         os.environ.pop("STEP_AT_START", None)
         self.begin()
-        self.assertTrue(self.watched.acquire(timeout=PATIENCE))
+        self.assertTrue(self.watched.acquire(timeout=TIMEOUT_S))
         line = self.connect()
         line.sock.sendall(self.job("held", "deck-build", budget))
-        self.assertTrue(self.seen.wait(PATIENCE))
+        self.assertTrue(self.seen.wait(TIMEOUT_S))
         self.file_of_step.write_text(str(step))
         self.program.send_signal(signal.SIGUSR1)
         while not any(" stepped by " in call for call in self.calls):
@@ -506,7 +506,8 @@
     def test_deadlines_hold_and_a_job_in_progress_is_answered(self) -> None:
         def stepped(step: float) -> None:
             line = self.begin_stepped(step)
-            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
+            # The timer set before the step has fired.
+            self.assertTrue(self.watched.acquire(timeout=TIMEOUT_S))
             self.call_back("held")
             self.assertEqual(b"deck held", line.read().body)
             self.assertEqual(
@@ -519,34 +520,35 @@
     def test_sigterm_ends_it(self) -> None:
         def stepped(step: float) -> None:
             line = self.begin_stepped(step)
-            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the timer set before the step has fired
+            # The timer set before the step has fired.
+            self.assertTrue(self.watched.acquire(timeout=TIMEOUT_S))
             self.program.send_signal(signal.SIGTERM)
             while self.ask(http.request("GET", "/up", "x")).status != 503:
                 pass
             self.call_back("held")
             self.assertEqual(b"deck held", line.read().body)
             line.sock.close()
-            self.assertEqual(0, self.program.wait(PATIENCE))
+            self.assertEqual(0, self.program.wait(TIMEOUT_S))
 
         self.for_each_step(stepped)
 
     def test_a_silent_watch_is_reopened_even_if_sighup_has_changed_its_address(self) -> None:
         def stepped(step: float) -> None:
             line = self.begin_stepped(step)
-            self.assertTrue(self.watched.acquire(timeout=PATIENCE))  # the first watch sends one line only
+            self.assertTrue(self.watched.acquire(timeout=TIMEOUT_S))  # the first watch sends one line only
             moved = threading.Semaphore(0)
 
-            def silent(there: Line) -> None:
+            def silent(there: MessageConnection) -> None:
                 moved.release()
                 there.read()
                 there.read()
 
-            other = Peer(silent)
+            other = PeerServer(silent)
             self.addCleanup(other.close)
             self.file.write_text(json.dumps({**self.raw, "discovery": other.address}))
             self.program.send_signal(signal.SIGHUP)
             for _ in range(2):  # a call, and a second one in parallel
-                self.assertTrue(moved.acquire(timeout=PATIENCE))
+                self.assertTrue(moved.acquire(timeout=TIMEOUT_S))
             self.call_back("held")
             self.assertEqual(b"deck held", line.read().body)
             line.sock.close()
@@ -557,19 +559,19 @@
         joined = threading.Event()
         came = threading.Event()
 
-        def watch(line: Line) -> None:
+        def watch(line: MessageConnection) -> None:
             line.read()
             head = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
             line.sock.sendall(head + http.chunk(b'{"index": 42, "snapshot": false, "endpoints": []}\n'))
             self.watched.release()
-            joined.wait(PATIENCE)
+            joined.wait(TIMEOUT_S)
             since = (time.time() + self.stepped_by) * 1000
             endpoint = entry("w2", address=self.second.address, since=since)
             text = json.dumps({"index": 43, "snapshot": False, "endpoints": [endpoint]}).encode()
             line.sock.sendall(http.chunk(text + b"\n"))
             line.read()
 
-        def work(line: Line) -> None:
+        def work(line: MessageConnection) -> None:
             while line.read().method == "POST":
                 came.set()
                 line.sock.sendall(http.response(202))
@@ -578,7 +580,7 @@
             joined.clear()
             came.clear()
             self.stepped_by = step
-            self.second = Peer(work)
+            self.second = PeerServer(work)
             self.addCleanup(self.second.close)
             self.discovery.serve = watch
             line = self.begin_stepped(step)  # its job occupies the only worker
@@ -586,7 +588,7 @@
             more = [self.connect() for _ in range(4)]
             for n, other in enumerate(more):
                 other.sock.sendall(self.job("never" if n == 0 else f"held{n}", "deck-fetch", 4_000))
-            self.assertTrue(came.wait(PATIENCE))
+            self.assertTrue(came.wait(TIMEOUT_S))
             for other in [line, *more]:
                 other.sock.close()
 
@@ -609,7 +611,7 @@
 
         self.for_each_step(stepped)
 
-    def upgraded(self, step: float, budget: int) -> Line:
+    def upgraded(self, step: float, budget: int) -> MessageConnection:
         """Start a successor after the step, which takes over from a process with a job in progress."""
         held = self.begin_stepped(step, budget)
         os.environ["STEP_AT_START"] = str(step)  # the successor's clock is stepped too
@@ -618,5 +620,5 @@
         while not any("handing over connections to it" in call for call in self.calls):
             self.ask(http.request("GET", "/up", "x"))
         self.program.send_signal(signal.SIGTERM)
-        self.assertEqual(0, self.program.wait(PATIENCE))  # its job was handed over
+        self.assertEqual(0, self.program.wait(TIMEOUT_S))  # its job was handed over
         return held
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -21,7 +21,7 @@
 from elderstall.net.server.admission import MIN_SHED_AGE_MS
 from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL_MS, LINGER_TIMEOUT_MS
 from elderstall.net.server.connection import ServerConnection
-from tests.loopback import Loopback, Side, reactor
+from tests.loopback import Loopback, PeerSocket, reactor
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 IDLE_CLOSE_DELAY_MS = 2_000.0  # after SIGTERM, at which connections between requests are closed
@@ -30,7 +30,7 @@
 class Closing(Loopback):
     """A dispatcher with one worker, and helpers for its clients' connections."""
 
-    def connection(self, client: Side) -> ServerConnection:
+    def connection(self, client: PeerSocket) -> ServerConnection:
         """Return the server's end of a client's connection."""
         port = client.sock.getsockname()[1]
         return next(
@@ -39,19 +39,19 @@
             if connection.transport.getPeer().port == port
         )
 
-    def accepted_client(self) -> tuple[Side, ServerConnection]:
+    def accepted_client(self) -> tuple[PeerSocket, ServerConnection]:
         client = self.client()
         self.turn()
         return client, self.connection(client)
 
-    def keep_alive_client(self, request_id: str) -> Side:
+    def keep_alive_client(self, request_id: str) -> PeerSocket:
         """Return a client that has received an answer and keeps its connection open."""
         client = self.client()
         client.send(self.job(request_id))
         self.serve(client, request_id)
         return client
 
-    def serve(self, client: Side, request_id: str) -> http.Message:
+    def serve(self, client: PeerSocket, request_id: str) -> http.Message:
         self.take(f"POST {request_id}").send(http.response(202))
         self.turn()
         attempt = self.app.engine.jobs.by_request_id[request_id].attempt
@@ -61,7 +61,7 @@
         self.assertEqual((200, f"deck {request_id}".encode()), (message.status, message.body))
         return message
 
-    def is_closed(self, client: Side) -> bool:
+    def is_closed(self, client: PeerSocket) -> bool:
         client.read()
         return client.ended
 
@@ -73,7 +73,7 @@
         self.begin()
         client, _ = self.accepted_client()
         client.send(self.job("a1"))
-        self.jump(self.app.server.timeouts.request + 1)
+        self.advance_clock_only(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
     def test_request_on_a_new_connection_while_the_process_is_delayed(self) -> None:
@@ -81,7 +81,7 @@
         client, _ = self.accepted_client()
         self.wait(self.app.server.timeouts.request - 10)
         client.send(self.job("a1"))
-        self.jump(150)
+        self.advance_clock_only(150)
         self.serve(client, "a1")
 
     def test_rest_of_a_head(self) -> None:
@@ -91,7 +91,7 @@
         client.send(data[:20])
         self.turn()
         client.send(data[20:])
-        self.jump(self.app.server.timeouts.request + 1)
+        self.advance_clock_only(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
     def test_rest_of_a_body(self) -> None:
@@ -101,7 +101,7 @@
         client.send(data[:-2])
         self.turn()
         client.send(data[-2:])
-        self.jump(self.app.server.timeouts.request + 1)
+        self.advance_clock_only(self.app.server.timeouts.request + 1)
         self.serve(client, "a1")
 
     def test_client_that_keeps_sending_bytes_is_still_ended_within_3_s(self) -> None:
@@ -111,7 +111,7 @@
         self.wait(self.app.server.timeouts.request - 10)
         for _ in range(48):  # from then on a byte is unread at every check
             client.sock.send(b"x")
-            self.jump(10)
+            self.advance_clock_only(10)
             self.turn(3)
         self.assertEqual(408, self.answer(client).status)
 
@@ -132,7 +132,7 @@
         connection = self.connection(client)
         self.app.sigterm()
         self.wait(IDLE_CLOSE_DELAY_MS - 10)
-        self.jump(20)  # the close has begun; no request has arrived
+        self.advance_clock_only(20)  # the close has begun; no request has arrived
         client.send(self.job("a2"))
         self.turn()
         self.assertTrue(self.is_closed(client))
@@ -153,7 +153,7 @@
         self.assertTrue(self.loop.stopped)
         self.assertEqual([], list(self.app.server.connections))
 
-    def client_past_idle_close(self) -> Side:
+    def client_past_idle_close(self) -> PeerSocket:
         """Return a client without a request while another client's job keeps the process running."""
         owed = self.client()
         owed.send(self.job("owed", "deck-build", 15_000))
@@ -198,7 +198,7 @@
                         break
                     reactor.iterate(0)
                 self.assertTrue(has_unwritten_data(connection.transport))
-                self.jump(100)  # the check for unwritten answers runs before the next turn
+                self.advance_clock_only(100)  # the check for unwritten answers runs before the next turn
                 self.assertFalse(self.loop.stopped)
                 self.assertEqual(status, self.answer(client).status)
         self.wait(100)
@@ -208,7 +208,7 @@
 class SlowReader(Closing):
     """A client that reads its answers late, the last of them smaller than the transport's buffer."""
 
-    def client_with_unread_answers(self) -> tuple[Side, ServerConnection, int]:
+    def client_with_unread_answers(self) -> tuple[PeerSocket, ServerConnection, int]:
         """Answer a client that does not read until an answer is only partly written; then send a last one."""
         self.begin()
         client = self.client()
@@ -322,7 +322,7 @@
 class HandOver(Closing):
     """Hand-over of a connection with its job to another process, and its failures."""
 
-    def client_with_running_job(self) -> Side:
+    def client_with_running_job(self) -> PeerSocket:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.begin(folder=folder.name)
@@ -332,10 +332,10 @@
         self.turn()
         return client
 
-    def finish(self, client: Side) -> None:
+    def finish(self, client: PeerSocket) -> None:
         self.call_back("a1")
         self.assertEqual(b"deck a1", self.answer(client).body)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_successor_ends_before_the_descriptor_is_sent(self) -> None:
         client = self.client_with_running_job()
@@ -402,10 +402,10 @@
         self.assertEqual(b"", link.recv(1_000))
         client.sock.close()
 
-    def handed_over_job(self, **more: Any) -> tuple[dict[str, Any], int, Side]:
+    def handed_over_job(self, **more: Any) -> tuple[dict[str, Any], int, PeerSocket]:
         """Return a job as a predecessor encodes it, its connection's descriptor and its client."""
         server = socket.create_server(("127.0.0.1", 0))
-        client = Side(socket.create_connection(server.getsockname()), responses=True)
+        client = PeerSocket(socket.create_connection(server.getsockname()), responses=True)
         self.addCleanup(client.sock.close)
         accepted, _ = server.accept()
         accepted.setblocking(False)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 from elderstall.net.handover.messages import ConnectionTransfer, RequestTaken
 from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL_MS
 from elderstall.net.server.request_connection import MAX_READ_AHEAD_BYTES
-from tests.loopback import Loopback, Side, address_of
+from tests.loopback import Loopback, PeerSocket, address_of
 from tests.scenario import CLASSES, RULES, entry
 
 DEPARTURE_DETECTION_MS = 100.0  # afterwards a disconnected client's job must not be written to a worker
@@ -51,7 +51,7 @@
         side.sock.close()
         self.wait(DEPARTURE_DETECTION_MS)
 
-    def send_job(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> Side:
+    def send_job(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> PeerSocket:
         side = self.client()
         side.send(self.job(request_id, job_class, accept=accept) + PIPELINED_REQUESTS)
         self.until(lambda: request_id in self.app.engine.jobs.by_request_id)
@@ -70,7 +70,7 @@
         self.send_and_disconnect("gone")
         self.call_back("first")
         self.wait(200)
-        self.nothing()
+        self.assert_nothing_received()
         self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
     def test_queued_job_with_a_progress_stream(self) -> None:
@@ -79,14 +79,14 @@
         self.send_and_disconnect("gone", accept="text/event-stream")
         self.call_back("first")
         self.wait(200)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_worker_connection_still_being_opened(self) -> None:
         self.begin()
         self.held = []
         self.send_and_disconnect("gone", "deck-build")  # an unsafe job waits longest for its connection
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
 
     def test_worker_connection_opened_in_the_same_reactor_iteration(self) -> None:
         self.begin()
@@ -94,8 +94,8 @@
         side = self.send_job("gone", "deck-build")
         self.until(lambda: bool(self.held))
         side.sock.close()
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.assertTrue([x for x in self.lines if "its client has disconnected" in x], self.lines)
 
     def test_while_workers_are_polled(self) -> None:
@@ -116,7 +116,7 @@
         self.call_back("gone", "returned")  # never ran: it waits for the next attempt
         side.sock.close()
         self.wait(DEPARTURE_DETECTION_MS)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_job_read_after_its_client_has_disconnected(self) -> None:
         """Covers a long accept queue: request and end of connection have arrived before the first read."""
@@ -124,8 +124,8 @@
         side = self.client()
         side.send(self.job("gone") + b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         side.sock.close()
-        self.jump(DEPARTURE_DETECTION_MS)
-        self.nothing()
+        self.advance_clock_only(DEPARTURE_DETECTION_MS)
+        self.assert_nothing_received()
         self.assertTrue([x for x in self.lines if "its client has disconnected" in x], self.lines)
 
     def test_during_hand_over_to_another_process(self) -> None:
@@ -135,7 +135,7 @@
         accepted, _ = server.accept()
         server.close()
         client.close()
-        self.jump(DEPARTURE_DETECTION_MS)
+        self.advance_clock_only(DEPARTURE_DETECTION_MS)
         now = self.app.deadlines.now()
         state: dict[str, Any] = {
             "cid": "gone",
@@ -174,7 +174,7 @@
             accepted.detach(),
         )
         self.wait(100)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_job_at_its_worker_is_cancelled(self) -> None:
         self.begin()
@@ -274,7 +274,7 @@
         self.wait(690)
         side = self.client()
         side.send(self.job("a1", budget=500))
-        self.jump(100)  # the check for open requests runs before the listener is read
+        self.advance_clock_only(100)  # the check for open requests runs before the listener is read
         self.assertFalse(self.loop.stopped)
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
@@ -287,7 +287,7 @@
         self.app.sigterm()
         self.wait(690)
         side.send(self.job("a1", budget=500))
-        self.jump(100)
+        self.advance_clock_only(100)
         self.assertFalse(self.loop.stopped)
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
@@ -303,7 +303,7 @@
         self.app.sigterm()
         self.wait(1_990)
         side.send(self.job("a2", budget=500))
-        self.jump(20)  # past the time at which idle clients are closed
+        self.advance_clock_only(20)  # past the time at which idle clients are closed
         self.take("POST a2").send(http.response(202))
         self.call_back("a2")
         message = self.answer(side)
@@ -315,7 +315,7 @@
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(200, self.answer(side).status)
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.jump(self.app.server.timeouts.idle + 1)
+        self.advance_clock_only(self.app.server.timeouts.idle + 1)
         self.assertEqual(200, self.answer(side).status)
         self.wait(self.app.server.timeouts.idle + 1_000)
         side.read()
@@ -374,7 +374,7 @@
         self.until(lambda: bool(self.held))
         self.app.sigterm()
         self.wait(200)
-        self.let_up()
+        self.release_connections()
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
@@ -443,8 +443,8 @@
         self.until(lambda: bool(self.held))
         self.tell(42, w1="draining")
         self.wait(280)
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.assertTrue([x for x in self.lines if x.startswith("rule request not sent to w1")], self.lines)
         self.wait(5_000)
         self.assertEqual(503, self.answer(side).status)
@@ -471,7 +471,7 @@
         self.begin()
         self.watches[-1].sock.close()
         self.turn()
-        self.jump(300)  # the call is made and has no response yet
+        self.advance_clock_only(300)  # the call is made and has no response yet
         connecting = self.app.discovery.calls[0].connecting
         assert connecting is not None
         self.app.discovery.close()
@@ -659,7 +659,7 @@
             ),
         )
         self.assertEqual({"clinic"}, self.app.engine.tenants)
-        self.nothing()
+        self.assert_nothing_received()
 
 
 class SilentDiscovery(Loopback):
@@ -804,7 +804,7 @@
 
     SOCKETS = 96
 
-    def idle_clients(self, count: int) -> list[Side]:
+    def idle_clients(self, count: int) -> list[PeerSocket]:
         return [self.client() for _ in range(count)]
 
     def test_a_burst_in_one_reactor_iteration_stays_within_the_limit(self) -> None:
@@ -822,7 +822,7 @@
                 address = self.lists.getsockname()
                 self.lists.close()
                 self.watches[-1].sock.close()
-                clients: list[Side] = []
+                clients: list[PeerSocket] = []
                 for _ in range(20):
                     clients += self.idle_clients(10)
                     if asked:
@@ -853,7 +853,7 @@
 class WorkerConnections(Loopback):
     """A worker closes its connection or sends a response at an unexpected time."""
 
-    def serve_job(self, request_id: str = "a1") -> Side:
+    def serve_job(self, request_id: str = "a1") -> PeerSocket:
         side = self.client()
         side.send(self.job(request_id))
         worker = self.take(f"POST {request_id}")
@@ -906,13 +906,13 @@
         worker = self.take("POST a1")
         worker.send(b"HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nx")
         self.wait(900)
-        self.nothing()
+        self.assert_nothing_received()
         worker.read()
         self.assertFalse(worker.ended)
         self.wait(200)
         worker.read()
         self.assertTrue(worker.ended)  # the connection is closed in the end
-        self.nothing()
+        self.assert_nothing_received()
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
@@ -926,8 +926,8 @@
         worker.sock.close()  # it may have run
         self.until(lambda: bool(self.held))
         self.wait(230)
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.wait(5_000)
         self.assertIn(self.answer(side).status, (502, 503, 504))
 
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -13,7 +13,7 @@
 from elderstall.engine.rules import MAX_PROCESS_PAUSE_MS
 from elderstall.net import http
 from elderstall.recovery.listing import MAX_RETRY_MS, ListCalls
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 from tests.scenario import CLASSES, RULES
 
 HEARTBEAT_INTERVAL_MS = 2_000.0
@@ -39,7 +39,9 @@
 class FaultTest(Loopback):
     """The operations that the tests of faults share."""
 
-    def served(self, request_id: str, job_class: str = "deck-fetch", side: Side | None = None) -> Side:
+    def served(
+        self, request_id: str, job_class: str = "deck-fetch", side: PeerSocket | None = None
+    ) -> PeerSocket:
         """Submit a job and serve it; return its worker's connection."""
         side = side or self.client()
         side.send(self.job(request_id, job_class))
@@ -53,14 +55,14 @@
         super().begin(workers, progress, folder, **more)
         self.ports = [sock.getsockname()[1] for sock in self.listeners]
 
-    def accept(self, sock: socket.socket, sides: list[Side]) -> None:
+    def accept(self, sock: socket.socket, sides: list[PeerSocket]) -> None:
         if sock.fileno() >= 0:  # otherwise the worker no longer listens
             super().accept(sock, sides)
 
-    def name(self, worker: Side) -> str:
+    def name(self, worker: PeerSocket) -> str:
         return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def answer_within(self, side: Side, max_ms: float) -> tuple[int, float]:
+    def answer_within(self, side: PeerSocket, max_ms: float) -> tuple[int, float]:
         """Wait for the answer; return its status and how long it took, ms."""
         waited = 0.0
         while not side.messages:
@@ -84,7 +86,7 @@
         """Advance the time with nothing but discovery's heartbeats."""
         self.tell(42)
         for _ in range(heartbeats):
-            self.jump(HEARTBEAT_INTERVAL_MS)
+            self.advance_clock_only(HEARTBEAT_INTERVAL_MS)
             self.turn(2)
             self.send_heartbeat()
             self.turn(2)
@@ -169,7 +171,7 @@
                 self.lists.close()
                 self.watches[-1].sock.close()
                 for n in range(OUTAGE_STEPS):
-                    self.jump(500)
+                    self.advance_clock_only(500)
                     self.turn(2)
                     if n % 1_200 == 0:
                         self.served(f"a{n}", "deck-build")
@@ -269,9 +271,9 @@
                 side.send(self.job("a1", "deck-build"))
                 self.until(lambda: bool(self.held))
                 self.tell(42, w1="draining")
-                self.jump(within - MAX_PROCESS_PAUSE_MS + 1)
-                self.let_up()
-                self.nothing()
+                self.advance_clock_only(within - MAX_PROCESS_PAUSE_MS + 1)
+                self.release_connections()
+                self.assert_nothing_received()
 
     def test_a_job_whose_connection_is_being_established_is_written_within_the_grace(self) -> None:
         self.begin(rules={**RULES, "stop_sending_within": 440})
@@ -280,8 +282,8 @@
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
         self.tell(42, w1="draining")
-        self.jump(440 - MAX_PROCESS_PAUSE_MS - 1)
-        self.let_up()
+        self.advance_clock_only(440 - MAX_PROCESS_PAUSE_MS - 1)
+        self.release_connections()
         self.take("POST a1")
 
     def test_a_keyed_job_is_not_retried_when_it_might_run_twice(self) -> None:
@@ -294,8 +296,8 @@
         worker.sock.close()  # it may have run
         self.until(lambda: bool(self.held))
         self.wait(KEYED_CLASS["memory_span"] - MAX_PROCESS_PAUSE_MS - 100 + 1)  # type: ignore[operator]
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.wait(5_000)
         self.assertIn(self.answer(side).status, (502, 503, 504))
 
@@ -306,9 +308,9 @@
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
         self.tell(42, w1="draining")
-        self.jump(1)
-        self.let_up()
-        self.nothing()
+        self.advance_clock_only(1)
+        self.release_connections()
+        self.assert_nothing_received()
 
 
 if __name__ == "__main__":
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,16 +22,16 @@
 from tests.scenario import CLASSES, entry, platform
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 30.0  # s; reached only by a program that hangs
+TIMEOUT_S = 30.0  # reached only by a program that hangs
 
 
-class Line:
+class MessageConnection:
     """A connection that reads complete messages."""
 
     def __init__(self, sock: socket.socket, responses: bool) -> None:
         self.sock = sock
         self.parser = http.Parser(responses=responses, max_body=0)
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_S)
 
     def event(self) -> http.Event | None:
         while (event := self.parser.next()) is None:
@@ -55,7 +55,7 @@
         return message
 
 
-class Peer:
+class PeerServer:
     """A listener on a port that the system chooses; a thread serves each connection."""
 
     def __init__(self, serve: Any) -> None:
@@ -74,7 +74,7 @@
 
     def run(self, sock: socket.socket) -> None:
         try:
-            self.serve(Line(sock, responses=False))
+            self.serve(MessageConnection(sock, responses=False))
         except OSError:
             pass
         except EOFError:
@@ -93,8 +93,8 @@
         self.calls: list[str] = []
         self.streams = False
         self.seen = threading.Event()
-        self.worker = Peer(self.work)
-        self.discovery = Peer(self.watch)
+        self.worker = PeerServer(self.work)
+        self.discovery = PeerServer(self.watch)
         self.addCleanup(self.worker.close)
         self.addCleanup(self.discovery.close)
 
@@ -141,14 +141,14 @@
         assert program.stderr is not None
         program.stderr.close()
 
-    def watch(self, connection: Line) -> None:
+    def watch(self, connection: MessageConnection) -> None:
         connection.read()
         head = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
         body = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode()
         connection.sock.sendall(head + http.chunk(body + b"\n"))
         connection.read()
 
-    def work(self, connection: Line) -> None:
+    def work(self, connection: MessageConnection) -> None:
         while True:
             message = connection.read()
             request_id = message.headers.get("X-Call-Id") or message.target
@@ -174,8 +174,8 @@
         answer = self.ask(http.request("POST", "/callback", "x", (), json.dumps(call).encode()))
         assert answer.status == 204, answer.status
 
-    def connect(self, address: tuple[str, int] | None = None) -> Line:
-        return Line(socket.create_connection(address or self.address, PATIENCE), responses=True)
+    def connect(self, address: tuple[str, int] | None = None) -> MessageConnection:
+        return MessageConnection(socket.create_connection(address or self.address, TIMEOUT_S), responses=True)
 
     def ask(self, request: bytes, address: tuple[str, int] | None = None) -> http.Message:
         try:
@@ -217,7 +217,7 @@
             answer = connection.read()
             self.assertEqual((200, f"deck {request_id}".encode()), (answer.status, answer.body))
         connection.sock.sendall(self.job("held", "deck-build"))
-        self.assertTrue(self.seen.wait(PATIENCE))
+        self.assertTrue(self.seen.wait(TIMEOUT_S))
         self.program.send_signal(signal.SIGTERM)
         while self.ask(http.request("GET", "/up", "x")).status != 503:
             pass
@@ -226,30 +226,30 @@
         self.call_back("held")
         self.assertEqual(b"deck held", connection.read().body)
         connection.sock.close()
-        self.assertEqual(0, self.program.wait(PATIENCE))
+        self.assertEqual(0, self.program.wait(TIMEOUT_S))
         self.assertEqual(1, self.calls.count("POST held"))
 
     def test_sighup_moves_the_watch_and_the_program_keeps_serving(self) -> None:
         self.begin()
         moved = threading.Event()
 
-        def watch(connection: Line) -> None:
+        def watch(connection: MessageConnection) -> None:
             self.assertIn("from=0", connection.read().target)
             moved.set()
             connection.read()
 
-        other = Peer(watch)
+        other = PeerServer(watch)
         self.addCleanup(other.close)
         connection = self.connect()
         connection.sock.sendall(self.job("held", "deck-build"))
-        self.assertTrue(self.seen.wait(PATIENCE))
+        self.assertTrue(self.seen.wait(TIMEOUT_S))
         self.file.write_text("{")
         self.program.send_signal(signal.SIGHUP)
         while not any("nothing changed: RELAY_CONFIG" in line for line in self.calls):
             self.assertEqual(200, self.ask(http.request("GET", "/up", "x")).status)
         self.file.write_text(json.dumps({**self.raw, "discovery": other.address}))
         self.program.send_signal(signal.SIGHUP)
-        self.assertTrue(moved.wait(PATIENCE))
+        self.assertTrue(moved.wait(TIMEOUT_S))
         self.call_back("held")
         self.assertEqual(b"deck held", connection.read().body)
         connection.sock.close()
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from elderstall.net import http
-from tests.loopback import CHUNKED, Loopback, Side, address_of
+from tests.loopback import CHUNKED, Loopback, PeerSocket, address_of
 from tests.scenario import CLASSES, RULES, entry
 
 HEAD = http.encode_head("HTTP/1.1 200 OK", CHUNKED)
@@ -35,16 +35,16 @@
         }
         self.app.sighup()
 
-    def calls_at(self, lists: socket.socket) -> list[Side]:
+    def calls_at(self, lists: socket.socket) -> list[PeerSocket]:
         """Return the open list calls received at an address."""
-        found: list[Side] = []
+        found: list[PeerSocket] = []
         self.accept(lists, found)
         for side in found:
             self.addCleanup(side.sock.close)
             side.read()
         return [side for side in found if not side.ended]
 
-    def send_list(self, side: Side, index: int, whole: bool = False, **states: str) -> None:
+    def send_list(self, side: PeerSocket, index: int, whole: bool = False, **states: str) -> None:
         """Send a list on a call."""
         head = b"" if side.message.status else HEAD
         side.message.status = 200
@@ -154,7 +154,7 @@
                 former = self.watches[-1]
                 self.send_list(former, 42, w1="up")
                 listeners = self.discovery_listeners(4)
-                calls: list[Side] = []
+                calls: list[PeerSocket] = []
                 for n in range(20):  # 12 s without an answer from any address
                     self.reload(listeners[n % 4])
                     for _ in range(6):
@@ -286,7 +286,7 @@
 class IdleConnections(Reloading):
     """A request arrives while its idle connection is being closed."""
 
-    def idle_connections(self, count: int) -> dict[int, Side]:
+    def idle_connections(self, count: int) -> dict[int, PeerSocket]:
         """Return clients by port whose idle connections each hold an unread request."""
         sides = [self.client() for _ in range(count)]
         for side in sides:
@@ -301,7 +301,7 @@
             side.send(self.job(f"a{n}", "deck-build", 300))
         return {side.sock.getsockname()[1]: side for side in sides}
 
-    def assert_no_request_lost(self, sides: dict[int, Side]) -> None:
+    def assert_no_request_lost(self, sides: dict[int, PeerSocket]) -> None:
         """Check that every request was answered, so that no connection was closed with a request unread."""
         self.wait(1_500)
         for side in sides.values():
@@ -322,7 +322,7 @@
         sides = self.idle_connections(self.app.server.shedding_threshold)
         for _ in range(40):
             self.client().send(http.request("GET", "/up", "x"))
-        self.jump(200)
+        self.advance_clock_only(200)
         self.app.port.doRead()  # the listener's queue is read before the idle connections
         self.assert_no_request_lost(sides)
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from elderstall.net import http
-from tests.loopback import Loopback, Side, reactor
+from tests.loopback import Loopback, PeerSocket, reactor
 from tests.scenario import CLASSES, CLOSED
 
 THUMBS_CLASS = {"name": "thumbs", "points": 3, "aim": 3000, "deadline": 9000, "effect": "safe"}
@@ -25,7 +25,7 @@
     def begin(self, workers: int = 2, **more: Any) -> None:  # type: ignore[override]
         super().begin(workers, classes=[*CLASSES, THUMBS_CLASS], **more)
 
-    def send_job(self, request_id: str = "a1", job_class: str = "thumbs") -> tuple[Side, Side]:
+    def send_job(self, request_id: str = "a1", job_class: str = "thumbs") -> tuple[PeerSocket, PeerSocket]:
         """Send a job; return its client and the worker's connection that received it."""
         side = self.client()
         side.send(self.job(request_id, job_class))
@@ -41,11 +41,13 @@
         self.turn()
         self.assertEqual({f"w{n + 1}" for n in range(workers)}, {self.name(side) for side in self.sides})
 
-    def name(self, worker: Side) -> str:
+    def name(self, worker: PeerSocket) -> str:
         ports = [sock.getsockname()[1] for sock in self.listeners]
         return f"w{ports.index(worker.sock.getsockname()[1]) + 1}"
 
-    def next_attempt_after_close(self, first: Side, request_id: str = "a1", turns: int = 40) -> Side:
+    def next_attempt_after_close(
+        self, first: PeerSocket, request_id: str = "a1", turns: int = 40
+    ) -> PeerSocket:
         """Check that the next attempt arrives only after the first connection has ended; return its side."""
         for _ in range(turns):
             reactor.iterate(0)
@@ -57,15 +59,15 @@
 
     def advance_in_reactor(self, ms: float) -> None:
         """Advance time within a turn of the reactor, as in the program: timers run before sockets."""
-        reactor.callLater(0, self.jump, ms)
+        reactor.callLater(0, self.advance_clock_only, ms)
 
-    def finish_job(self, side: Side, worker: Side, request_id: str = "a1") -> None:
+    def finish_job(self, side: PeerSocket, worker: PeerSocket, request_id: str = "a1") -> None:
         worker.send(ACCEPTED)
         self.turn()
         self.call_back(request_id, worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
 
-    def confirm_cancel(self, first: Side, request_id: str = "a1") -> None:
+    def confirm_cancel(self, first: PeerSocket, request_id: str = "a1") -> None:
         """Check that the job is cancelled on the worker before it is sent again."""
         self.turn()
         self.assertNotIn(f"POST {request_id}", [name for name, _ in self.came()])
@@ -73,7 +75,7 @@
         self.assertEqual(self.name(first), self.name(asked))
         asked.send(http.response(200))
 
-    def next_attempt(self, request_id: str = "a1") -> Side:
+    def next_attempt(self, request_id: str = "a1") -> PeerSocket:
         """Wait until the job is sent again; return the connection."""
         for _ in range(200):
             if f"POST {request_id}" in [name for name, _ in self.came()]:
@@ -87,9 +89,9 @@
         self.begin()
         side, worker = self.send_job()
         worker.send(ACCEPTED)
-        self.jump(260)  # the program was busy in another turn meanwhile
+        self.advance_clock_only(260)  # the program was busy in another turn meanwhile
         self.wait(400)
-        self.nothing()
+        self.assert_nothing_received()
         self.call_back("a1", worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
 
@@ -133,11 +135,11 @@
         side.send(self.job("a1", "thumbs"))
         self.until(lambda: bool(self.held))
         self.wait(240)
-        self.let_up()
+        self.release_connections()
         worker = self.take("POST a1")
         self.wait(200)
         self.finish_job(side, worker)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_an_unreadable_answer_is_cancelled_before_a_retry(self) -> None:
         """The unreadable answer may have been a 202."""
@@ -181,7 +183,7 @@
         self.call_back("a1", worker=f"w{2 - number}")
         self.assertEqual(200, self.answer(side).status)
 
-    def take_elsewhere(self, gone: int) -> Side:
+    def take_elsewhere(self, gone: int) -> PeerSocket:
         """Receive the job at the other worker, without advancing time."""
         del self.listeners[gone]
         return self.take("POST a1")
@@ -192,7 +194,7 @@
         worker.send(ACCEPTED)
         worker.sock.shutdown(socket.SHUT_RDWR)
         self.wait(400)
-        self.nothing()
+        self.assert_nothing_received()
         self.call_back("a1", worker=self.name(worker))
         self.assertEqual(200, self.answer(side).status)
 
@@ -307,7 +309,7 @@
                     self.listeners[int(name[1:]) - 1] = self.listener()
                 self.tell(42, False, **{name: "up" if change == "moved" else "gone"})
                 before = len(self.sides)
-                self.let_up()
+                self.release_connections()
                 self.wait(100)
                 self.assertEqual([], [m for s in self.sides[:before] for m in s.messages])
                 self.finish_job(side, self.next_attempt())
@@ -327,13 +329,13 @@
         self.held = None
         late.callback(connection)
         for _ in range(60):  # the worker does not read
-            self.jump(10)
+            self.advance_clock_only(10)
             for _ in range(3):
                 reactor.iterate(0)
         first = self.sides.pop()
         self.finish_job(side, self.take("POST a1"))
         first.sock.close()
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_a_connection_that_ends_as_it_opens_is_not_written_to_and_the_job_never_ran(self) -> None:
         self.begin()
@@ -343,7 +345,7 @@
         self.until(lambda: bool(self.held))
         self.came()
         self.sides[-1].sock.shutdown(socket.SHUT_RDWR)
-        self.let_up()
+        self.release_connections()
         self.finish_job(side, self.next_attempt())
 
     # ---- settings without cancels ----
@@ -362,14 +364,14 @@
         worker.send(ACCEPTED[:20])
         self.wait(600)
         self.assertEqual(503, self.answer(side).status)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_without_cancels_a_silent_workers_job_is_retried_once_its_connection_is_closed(self) -> None:
         self.begin()
         self.open_idle_connections()
         side, worker = self.send_job()
         self.disable_cancels()
-        self.jump(255)
+        self.advance_clock_only(255)
         self.finish_job(side, self.next_attempt_after_close(worker))
 
     def test_without_cancels_a_client_that_disconnects_causes_no_cancel(self) -> None:
@@ -379,7 +381,7 @@
         self.turn()
         self.disable_cancels()
         side.sock.close()
-        self.nothing()
+        self.assert_nothing_received()
         self.assertNotIn("a1", self.app.engine.jobs.by_request_id)
 
 
--- a/tests/test_shutdown_window.py
+++ b/tests/test_shutdown_window.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from elderstall.net import http
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 
 MAX_COUNTED_DEADLINE_MS = 3_000.0  # limit up to which the longest deadline counts
 SERVING_PERIOD_MS = 700.0  # SIGKILL comes this long after that; jobs are accepted as usual in it
@@ -23,7 +23,7 @@
 
     request_id: str
     at: float  # ms after SIGTERM
-    client: Side
+    client: PeerSocket
     answered: int = 0  # status code; 0: none yet
 
 
@@ -47,7 +47,7 @@
         self.sent_requests: list[SentRequest] = []
         self.count = 0
 
-    def send(self, client: Side) -> None:
+    def send(self, client: PeerSocket) -> None:
         self.count += 1
         request_id = f"j{self.count}"
         job_class = "deck-build" if self.count % 2 else "deck-fetch"
@@ -86,7 +86,7 @@
         while self.since_term() < self.kill_at - REQUEST_INTERVAL_MS and not self.loop.stopped:
             self.wait(REQUEST_INTERVAL_MS)
             if paused and self.kill_at - self.since_term() < 2 * PROCESS_PAUSE_MS:
-                self.jump(PROCESS_PAUSE_MS)  # one pause, just before the end
+                self.advance_clock_only(PROCESS_PAUSE_MS)  # one pause, just before the end
                 self.turn()
                 paused = False
             self.collect(serve)
@@ -139,7 +139,7 @@
                 late.read()
                 if not late.ended and not self.loop.stopped:
                     self.send(late)
-                    self.jump(PROCESS_PAUSE_MS)
+                    self.advance_clock_only(PROCESS_PAUSE_MS)
                     self.turn()
                     self.assertEqual(503, self.answer(late).status)
                     self.assertLessEqual(self.since_term(), self.kill_at)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from elderstall.net import http
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 
 MAX_END_DELAY_MS = 3_000.0  # within which a bad client must get an error or a close
 CHECK_INTERVAL_MS = 50.0  # between checks of the clients
@@ -53,7 +53,7 @@
 class Stopped(Loopback):
     """Helpers for clients that stop."""
 
-    def wait_until_ended(self, sides: list[Side], max_delay: float = MAX_END_DELAY_MS) -> float:
+    def wait_until_ended(self, sides: list[PeerSocket], max_delay: float = MAX_END_DELAY_MS) -> float:
         """Wait until each client has an answer or its connection has ended; return the time waited, ms."""
         waited = 0.0
         while any(not (side.ended or self.final_statuses(side)) for side in sides):
@@ -64,7 +64,7 @@
                 side.read()
         return waited
 
-    def final_statuses(self, side: Side) -> list[int]:
+    def final_statuses(self, side: PeerSocket) -> list[int]:
         return [m.status for m in side.messages if m.status >= 200]
 
     def assert_nothing_kept(self) -> None:
@@ -74,13 +74,13 @@
         self.assertEqual(0, self.app.server.kept_bytes)
         self.assertEqual({}, self.app.engine.jobs.by_request_id)
 
-    def serve(self, side: Side, request_id: str = "good") -> None:
+    def serve(self, side: PeerSocket, request_id: str = "good") -> None:
         side.send(self.job(request_id))
         self.take(f"POST {request_id}").send(http.response(202))
         self.call_back(request_id)
         self.assertEqual(200, self.answer(side).status)
 
-    def send_slowly(self, side: Side, data: bytes) -> None:
+    def send_slowly(self, side: PeerSocket, data: bytes) -> None:
         """Send byte by byte at the interval of a slow client."""
         for n in range(len(data)):
             side.send(data[n : n + 1])
@@ -99,7 +99,7 @@
                 self.wait_until_ended([side])
                 self.assertEqual([408], self.final_statuses(side))
                 self.assert_nothing_kept()
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_on_a_connection_that_was_silent_at_first(self) -> None:
         """The limit of 3 s counts from the first byte of the request."""
@@ -111,7 +111,7 @@
                 side.send(part(self.job("a1")))
                 self.wait_until_ended([side])
                 self.assert_nothing_kept()
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_on_a_connection_that_was_idle(self) -> None:
         self.begin()
@@ -119,7 +119,7 @@
             with self.subTest(where):
                 side = self.client()
                 self.serve(side, f"good{n}")
-                self.jump(30_000)
+                self.advance_clock_only(30_000)
                 self.turn()
                 side.send(part(self.job("a1")))
                 self.wait_until_ended([side])
@@ -133,7 +133,7 @@
                 side = self.client()
                 side.send(UP)
                 self.assertEqual(200, self.answer(side).status)
-                self.jump(10_000)
+                self.advance_clock_only(10_000)
                 self.turn()
                 side.send(part(self.job("a1")))
                 self.wait_until_ended([side])
@@ -249,10 +249,10 @@
                 first = part(data) if "continue" not in where else head_of(data)
                 side.send(first)
                 self.turn()
-                self.jump(2_400)
+                self.advance_clock_only(2_400)
                 self.turn()
                 side.send(data[len(first) :])
-                self.jump(150)  # the process is delayed past the time-out
+                self.advance_clock_only(150)  # the process is delayed past the time-out
                 self.take("POST a1").send(http.response(202))
                 self.call_back("a1")
                 self.assertEqual(200, self.answer(side).status)
@@ -263,10 +263,10 @@
         data = self.job("a1", "deck-build")
         side.send(data[:40])
         self.turn()
-        self.jump(2_400)
+        self.advance_clock_only(2_400)
         self.turn()
         side.send(data[40:50])
-        self.jump(150)
+        self.advance_clock_only(150)
         self.wait_until_ended([side], 300.0)
         self.assertEqual([408], self.final_statuses(side))
         self.assert_nothing_kept()
--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -41,7 +41,7 @@
 from tests import loopback
 from tests.loopback import Loop, Loopback, with_console
 from tests.scenario import platform
-from tests.test_program import PATIENCE, ROOT, Program
+from tests.test_program import ROOT, TIMEOUT_S, Program
 
 RESOURCE_ERROR_NUMBERS = sorted(RESOURCE_ERRORS)
 
@@ -558,7 +558,7 @@
     def start_with(self, raw: dict[str, Any]) -> subprocess.CompletedProcess[str]:
         self.file.write_text(json.dumps(raw))
         return subprocess.run(
-            [sys.executable, "-m", "elderstall", "--config", str(self.file)], cwd=ROOT, timeout=PATIENCE,
+            [sys.executable, "-m", "elderstall", "--config", str(self.file)], cwd=ROOT, timeout=TIMEOUT_S,
             env={**os.environ, "TMPDIR": ""}, capture_output=True, text=True, check=False)  # fmt: skip
 
     def test_addresses_in_use_end_the_program_with_a_message_and_a_status(self) -> None:
@@ -580,7 +580,7 @@
         connections = [self.connect() for _ in range(5)]
         for connection in connections:
             connection.sock.sendall(http.request("GET", "/up", "x"))
-        time_limit = time.monotonic() + PATIENCE
+        time_limit = time.monotonic() + TIMEOUT_S
         while not any(" accept failed with EMFILE" in call for call in self.calls):
             self.assertIsNone(self.program.poll())
             self.assertLess(time.monotonic(), time_limit, "no error of accept was logged")
@@ -609,7 +609,7 @@
             program.send_signal(signal.SIGHUP)
             self.assertEqual(200, self.ask(http.request("GET", "/up", "x")).status)
             program.send_signal(signal.SIGTERM)
-            self.assertEqual(0, program.wait(PATIENCE))
+            self.assertEqual(0, program.wait(TIMEOUT_S))
 
     def test_an_unreadable_configuration_at_start_ends_the_program_naming_the_path(self) -> None:
         for path in ("/proc/self/mem", tempfile.gettempdir(), "/nowhere/config.json"):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from elderstall.net import http
 from elderstall.net.handover.peers import Handover
 from elderstall.net.handover.search import OFFER_TIMEOUT_MS
-from tests.test_program import PATIENCE, Line, Program
+from tests.test_program import TIMEOUT_S, MessageConnection, Program
 
 
 class Upgrade(Program):
@@ -36,15 +36,15 @@
     def has_figure(self, at: tuple[str, int], figure: str) -> bool:
         return f"edge_relay.{figure}\n".encode() in self.call(at, "GET", "/api/telemetry").body
 
-    def serve(self, line: Line, request_id: str) -> None:
+    def serve(self, line: MessageConnection, request_id: str) -> None:
         line.sock.sendall(self.job(request_id))
         answer = line.read()
         self.assertEqual((200, f"deck {request_id}".encode()), (answer.status, answer.body))
 
-    def start_job(self, request_id: str = "held") -> Line:
+    def start_job(self, request_id: str = "held") -> MessageConnection:
         line = self.connect()
         line.sock.sendall(self.job(request_id, "deck-build"))
-        self.assertTrue(self.seen.wait(PATIENCE))
+        self.assertTrue(self.seen.wait(TIMEOUT_S))
         self.seen.clear()
         return line
 
@@ -62,7 +62,7 @@
             400, self.ask(self.job("held", "deck-build")).status
         )  # its id is known to both processes
         self.assertEqual(400, self.ask(self.job("a1")).status)
-        self.assertEqual(0, self.program.wait(PATIENCE))  # its job was handed over, so it can end
+        self.assertEqual(0, self.program.wait(TIMEOUT_S))  # its job was handed over, so it can end
         self.call_back("held")
         self.assertEqual(b"deck held", held.read().body)
         self.serve(kept, "a2")  # on connections that the predecessor accepted
@@ -84,7 +84,7 @@
         self.assertTrue(self.has_figure(console, "skipped_card_workers=1"))
         self.assertEqual(404, self.call(console, "POST", "/api/exclude?id=w8").status)
         self.program.send_signal(signal.SIGTERM)
-        self.assertEqual(0, self.program.wait(PATIENCE))
+        self.assertEqual(0, self.program.wait(TIMEOUT_S))
         third, _, last = self.launch()
         self.assertTrue(self.has_figure(last, "skipped_card_workers=1"))
 
@@ -120,7 +120,7 @@
             for name in os.listdir(self.folder):
                 if name.endswith(".sock"):
                     link = socket.socket(socket.AF_UNIX)
-                    link.settimeout(PATIENCE)
+                    link.settimeout(TIMEOUT_S)
                     with contextlib.suppress(FileNotFoundError, ConnectionRefusedError):
                         link.connect(os.path.join(self.folder, name))
                         return link
--- a/tests/test_worker_read_errors_fleet.py
+++ b/tests/test_worker_read_errors_fleet.py
@@ -12,7 +12,7 @@
 
 from elderstall.net import http
 from tests.faulty_sockets import FaultPlan, install_faults
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 
 WORKERS, SLOTS = 4, 4
 MEAN_WORK_MS = 400.0  # at the job rate, ten of sixteen slots are busy on average
@@ -92,7 +92,7 @@
         self.models = {port: QueueingWorker(f"w{n + 1}") for n, port in enumerate(ports)}
         rng = random.Random(seed)
         start = self.app.deadlines.now()
-        waiting: dict[str, tuple[Side, float]] = {}
+        waiting: dict[str, tuple[PeerSocket, float]] = {}
         during = Counter[int]()
         after = Counter[int]()
         due = 0.0
@@ -114,7 +114,7 @@
                         (during if came < FAULT_END else after)[side.messages[0].status] += 1
                     side.sock.close()
                     del waiting[request_id]
-            self.jump(STEP_MS)
+            self.advance_clock_only(STEP_MS)
             self.turn(4)
         return during, after
 
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -25,7 +25,7 @@
     no_descriptor_leaked,
     open_descriptors,
 )
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 
 ACCEPTED = http.response(202)
 SAFE, UNSAFE = "deck-fetch", "deck-build"
@@ -84,7 +84,7 @@
             self.watches[-1].send(http.chunk(b"\n"))
             self.wait(1_000)
 
-    def name(self, worker: Side) -> str:
+    def name(self, worker: PeerSocket) -> str:
         return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
 
     def finish_jobs(self) -> None:
@@ -101,13 +101,13 @@
             self.turn(3)
             self.call_back(request_id, worker=self.name(side))
 
-    def submit(self, request_id: str, job_class: str = SAFE) -> Side:
+    def submit(self, request_id: str, job_class: str = SAFE) -> PeerSocket:
         client = self.client()
         client.send(self.job(request_id, job_class))
         self.until(lambda: self.app.engine.jobs.is_known(request_id))
         return client
 
-    def finish(self, client: Side, ms: float = 3_000) -> http.Message:
+    def finish(self, client: PeerSocket, ms: float = 3_000) -> http.Message:
         """Return a client's answer; workers finish jobs for at most ``ms`` meanwhile."""
         end = self.app.deadlines.now() + ms
         while not client.messages and self.app.deadlines.now() < end:
--- a/tests/test_worker_troubles.py
+++ b/tests/test_worker_troubles.py
@@ -12,7 +12,7 @@
 
 from elderstall.decisions.outcomes import BRIEF_ATTEMPT_MS
 from elderstall.net import http
-from tests.loopback import Side
+from tests.loopback import PeerSocket
 from tests.scenario import CLASSES
 from tests.test_production_troubles import FaultTest
 
@@ -26,11 +26,11 @@
 class IdleWorkerConnections(FaultTest):
     """A worker closes, resets or silently loses an idle connection."""
 
-    def stop_answering(self, worker: Side) -> None:
+    def stop_answering(self, worker: PeerSocket) -> None:
         """Stop reading and answering on a connection, which stays open."""
         self.sides.remove(worker)
 
-    def reset(self, worker: Side) -> None:
+    def reset(self, worker: PeerSocket) -> None:
         worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         worker.sock.close()
 
@@ -77,7 +77,7 @@
         side.send(self.job("a2", "deck-build"))
         status, waited = self.answer_within(side, 1_100)
         self.assertEqual(502, status)
-        self.nothing()  # it may have run
+        self.assert_nothing_received()  # it may have run
         connection.read()
         self.assertTrue(connection.ended)
         self.served("a3", "deck-build")
@@ -88,7 +88,7 @@
         for n, side in enumerate(sides):
             side.send(self.job(f"a{n}", "album"))
             self.turn()
-        connections: list[Side] = []
+        connections: list[PeerSocket] = []
         while len(connections) < 3:  # each is sent when a slot is free
             found = [(what, side) for what, side in self.came() if what.startswith("POST")]
             for what, worker in found:
@@ -215,7 +215,7 @@
                 worker.read()
                 self.assertTrue(worker.ended)  # the attempt is cancelled
                 self.wait(300)
-                self.nothing()
+                self.assert_nothing_received()
 
     def test_a_connection_established_after_the_attempts_timeout_is_not_written_to(self) -> None:
         for job_class in ("deck-fetch", "deck-build"):
@@ -225,9 +225,9 @@
                 side = self.client()
                 side.send(self.job("a1", job_class, 60).replace(*SHORT_WORK_REPLACEMENT))
                 self.until(lambda: bool(self.held))
-                self.jump(61)  # it times out in this iteration of the reactor
-                self.let_up()
-                self.nothing()
+                self.advance_clock_only(61)  # it times out in this iteration of the reactor
+                self.release_connections()
+                self.assert_nothing_received()
                 self.assertIn(self.answer(side).status, (503, 504))
 
     def test_a_retry_is_not_written_after_its_timeout(self) -> None:
@@ -240,8 +240,8 @@
         worker.send(http.response(503, b"", [("X-Rejected", "1")]))
         self.until(lambda: bool(self.held))
         self.wait(80)
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.assertIn(self.answer(side).status, (503, 504))
 
     def test_workers_that_drop_expired_jobs_are_not_put_on_probation(self) -> None:
