--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -265,8 +265,8 @@
             side.read()
         return [m.target for side in self.watches for m in side.messages]
 
-    def tell(self, index: int, whole: bool = False, **states: str) -> None:
-        """Tell a list, or changes of it, on the newest watch."""
+    def send_list(self, index: int, whole: bool = False, **states: str) -> None:
+        """Send a list, or changes of it, on the newest watch."""
         side = self.watches[-1]
         head = b"" if side.message.status else http.encode_head("HTTP/1.1 200 OK", CHUNKED)
         side.message.status = 200  # its head has been sent
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -310,7 +310,7 @@
 
     def prepare(self) -> None:
         self.begin(workers=3)
-        self.tell(42, whole=True, w1="up", w2="up", w3="up")
+        self.send_list(42, whole=True, w1="up", w2="up", w3="up")
         now = self.app.deadlines.now()
         addresses = [address_of(sock) for sock in self.listeners]
         line = {
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -426,7 +426,7 @@
         self.begin(workers=2, discovery="automatic", balancers=200)
         self.assertEqual(["/discovery/hosts?watch=1&from=41"], self.asked_lists())
         self.assertEqual(1_000.0, self.loop.clock.seconds())  # without delay: no other dispatcher calls there
-        self.tell(42, w1="draining")
+        self.send_list(42, w1="draining")
         for n in range(4):
             side = self.client()
             side.send(self.job(f"a{n}"))
@@ -441,7 +441,7 @@
         side = self.client()
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
-        self.tell(42, w1="draining")
+        self.send_list(42, w1="draining")
         self.wait(280)
         self.release_connections()
         self.assert_nothing_received()
@@ -451,20 +451,20 @@
 
     def test_an_older_list_version_is_ignored(self) -> None:
         self.begin(workers=2)
-        self.tell(50, whole=True, w1="draining", w2="up")
-        self.tell(49, whole=True, w1="up", w2="up")
-        self.tell(48, w1="up")
+        self.send_list(50, whole=True, w1="draining", w2="up")
+        self.send_list(49, whole=True, w1="up", w2="up")
+        self.send_list(48, w1="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
-        self.tell(51, w1="up")
+        self.send_list(51, w1="up")
         self.assertEqual("up", self.app.engine.view.state("w1").value)
 
     def test_a_new_watch_may_begin_with_a_whole_list_of_a_lower_version(self) -> None:
         self.begin(workers=2)
-        self.tell(50, whole=True, w1="up", w2="up")
+        self.send_list(50, whole=True, w1="up", w2="up")
         self.watches[-1].sock.close()
         self.wait(300)
         self.until(lambda: len(self.asked_lists()) == 2)
-        self.tell(3, whole=True, w1="draining", w2="up")
+        self.send_list(3, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_being_opened_at_shutdown_is_cancelled(self) -> None:
@@ -480,7 +480,7 @@
     def test_an_oversized_list_leaves_addresses_and_workers_unchanged(self) -> None:
         self.begin(workers=2)
         self.app.engine.view.max_list_entries = 50
-        self.tell(43, whole=True, w1="up", w2="up")
+        self.send_list(43, whole=True, w1="up", w2="up")
         addresses = dict(self.app.workers.addresses)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
         self.watches[-1].send(
@@ -490,14 +490,14 @@
         self.assertEqual(addresses, self.app.workers.addresses)
         self.assertEqual({"w1", "w2"}, set(self.app.engine.view.entries))
         self.assertEqual(1, self.app.engine.figures().lists_refused)
-        self.tell(45, w1="draining")  # the watch goes on
+        self.send_list(45, w1="draining")  # the watch goes on
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_invalid_numbers_end_the_watch(self) -> None:
         self.begin()
         for value in ("NaN", "Infinity", "-1"):
             count = len(self.watches)
-            self.tell(42 + count)
+            self.send_list(42 + count)
             text = json.dumps(
                 {
                     "index": 43,
@@ -676,7 +676,7 @@
             self.wait(50)
             silence += 50
             self.assertLess(silence, 6_000 - 500)
-        self.tell(60, whole=True, w1="draining", w2="up")
+        self.send_list(60, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     FLEETS: tuple[dict[str, Any], ...] = (
@@ -698,7 +698,7 @@
         return silence
 
     def check_update_on_newest_call(self) -> None:
-        self.tell(60, whole=True, w1="draining", w2="up")
+        self.send_list(60, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_and_the_call_after_it_are_both_silent(self) -> None:
@@ -759,7 +759,7 @@
         self.wait(50)
         self.assertEqual(3, len(self.asked_lists()))
         self.assertEqual(1, len(self.app.discovery.calls))
-        self.tell(7, whole=True, w1="draining", w2="up")
+        self.send_list(7, whole=True, w1="draining", w2="up")
         self.wait(50)
         for side in previous:
             side.read()
@@ -841,7 +841,7 @@
                     self.wait(100)
                     if len(self.asked_lists()) > called:
                         break
-                self.tell(60, whole=True, w1="draining", w2="up")
+                self.send_list(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 clients += self.idle_clients(self.SOCKETS)
                 self.wait(1_000)
--- a/tests/test_production_troubles.py
+++ b/tests/test_production_troubles.py
@@ -84,7 +84,7 @@
 
     def quiet(self, heartbeats: int = QUIET_HEARTBEATS) -> None:
         """Advance the time with nothing but discovery's heartbeats."""
-        self.tell(42)
+        self.send_list(42)
         for _ in range(heartbeats):
             self.advance_clock_only(HEARTBEAT_INTERVAL_MS)
             self.turn(2)
@@ -96,7 +96,7 @@
         self.begin(workers=2)
         side = self.client()
         first = self.served("a1", side=side)
-        self.tell(42)
+        self.send_list(42)
         self.turn()
         before = self.app.deadlines.active_count
         self.quiet()
@@ -119,14 +119,14 @@
                     self.wait(50)
                     waited += 50
                     self.assertLess(waited, 4_100)
-                self.tell(60, whole=True, w1="draining", w2="up")
+                self.send_list(60, whole=True, w1="draining", w2="up")
                 worker = self.served("a1")
                 self.assertEqual("w2", self.name(worker))
 
     def test_a_drain_that_is_then_listed_takes_effect_at_once(self) -> None:
         self.begin(workers=2)
         self.quiet(200)
-        self.tell(43, w1="draining")
+        self.send_list(43, w1="draining")
         for n in range(3):
             self.assertEqual("w2", self.name(self.served(f"a{n}")))
 
@@ -166,7 +166,7 @@
         for dispatchers in (1, 200):
             with self.subTest(dispatchers):
                 self.begin(workers=2, balancers=dispatchers)
-                self.tell(42)
+                self.send_list(42)
                 address = self.lists.getsockname()
                 self.lists.close()
                 self.watches[-1].sock.close()
@@ -185,7 +185,7 @@
                     self.wait(50)
                     waited += 50
                     self.assertLessEqual(waited, MAX_RETRY_MS)
-                self.tell(60, whole=True, w1="draining", w2="up")
+                self.send_list(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("w2", self.name(self.served("after")))
 
 
@@ -203,7 +203,7 @@
                 name = self.name(worker)
                 self.turn()
                 self.app.sigterm()
-                self.tell(43, whole=False, **{name: "draining"})
+                self.send_list(43, whole=False, **{name: "draining"})
                 new.send(self.job("new", "deck-build"))
                 other = self.take("POST new")
                 self.assertNotEqual(name, self.name(other))
@@ -270,7 +270,7 @@
                 side = self.client()
                 side.send(self.job("a1", "deck-build"))
                 self.until(lambda: bool(self.held))
-                self.tell(42, w1="draining")
+                self.send_list(42, w1="draining")
                 self.advance_clock_only(within - MAX_PROCESS_PAUSE_MS + 1)
                 self.release_connections()
                 self.assert_nothing_received()
@@ -281,7 +281,7 @@
         side = self.client()
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
-        self.tell(42, w1="draining")
+        self.send_list(42, w1="draining")
         self.advance_clock_only(440 - MAX_PROCESS_PAUSE_MS - 1)
         self.release_connections()
         self.take("POST a1")
@@ -307,7 +307,7 @@
         side = self.client()
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
-        self.tell(42, w1="draining")
+        self.send_list(42, w1="draining")
         self.advance_clock_only(1)
         self.release_connections()
         self.assert_nothing_received()
--- a/tests/test_quick_reloads.py
+++ b/tests/test_quick_reloads.py
@@ -44,7 +44,7 @@
             side.read()
         return [side for side in found if not side.ended]
 
-    def send_list(self, side: PeerSocket, index: int, whole: bool = False, **states: str) -> None:
+    def send_list_on(self, side: PeerSocket, index: int, whole: bool = False, **states: str) -> None:
         """Send a list on a call."""
         head = b"" if side.message.status else HEAD
         side.message.status = 200
@@ -68,7 +68,7 @@
             with self.subTest(**more):
                 self.begin(workers=2, **more)
                 former = self.watches[-1]
-                self.send_list(former, 42, w1="up")
+                self.send_list_on(former, 42, w1="up")
                 listeners = self.discovery_listeners(5)
                 for n in range(20):
                     self.reload(listeners[n % 5], classes=[CLASSES, OTHER_CLASSES][n % 2])
@@ -79,9 +79,9 @@
                 self.assertEqual(
                     ["/discovery/hosts?watch=1&from=0"], [m.target for m in calls[4][0].messages]
                 )
-                self.send_list(former, 43, w1="draining")
+                self.send_list_on(former, 43, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
-                self.send_list(calls[4][0], 7, whole=True, w1="draining", w2="up")
+                self.send_list_on(calls[4][0], 7, whole=True, w1="draining", w2="up")
                 former.read()
                 self.assertTrue(former.ended)
                 self.assertEqual(1, self.open_calls())
@@ -91,14 +91,14 @@
         """The settings name another address and then the former one again."""
         self.begin(workers=2)
         former, home, other = self.watches[-1], self.lists, self.listener()
-        self.send_list(former, 42, w1="up")
+        self.send_list_on(former, 42, w1="up")
         self.reload(other)
         self.reload(home)
         self.wait(50)
         self.assertEqual([], self.calls_at(other))
         self.asked_lists()
         self.assertEqual(2, len(self.watches))
-        self.send_list(self.watches[-1], 44, whole=True, w1="draining", w2="up")
+        self.send_list_on(self.watches[-1], 44, whole=True, w1="draining", w2="up")
         former.read()
         self.assertTrue(former.ended)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
@@ -152,7 +152,7 @@
             with self.subTest(**more):
                 self.begin(workers=2, **more)
                 former = self.watches[-1]
-                self.send_list(former, 42, w1="up")
+                self.send_list_on(former, 42, w1="up")
                 listeners = self.discovery_listeners(4)
                 calls: list[PeerSocket] = []
                 for n in range(20):  # 12 s without an answer from any address
@@ -162,12 +162,12 @@
                         former.send(http.chunk(b"\n"))
                         self.assertLessEqual(self.open_calls(), 3)  # the former watch and two calls
                     calls += [side for listener in listeners for side in self.calls_at(listener)]
-                self.send_list(former, 43, w1="draining")
+                self.send_list_on(former, 43, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 for side in calls:
                     side.read()
                 self.assertLessEqual(len([side for side in calls if not side.ended]), 2)
-                self.send_list(
+                self.send_list_on(
                     [side for side in calls if not side.ended][-1], 3, whole=True, w1="up", w2="up"
                 )
                 self.assertEqual("up", self.app.engine.view.state("w1").value)
@@ -176,7 +176,7 @@
         for more in FLEETS:
             with self.subTest(**more):
                 self.begin(workers=2, **more)
-                self.send_list(self.watches[-1], 42, w1="up")
+                self.send_list_on(self.watches[-1], 42, w1="up")
                 for _ in range(5):
                     gone = socket.create_server(("127.0.0.1", 0))
                     self.reload(gone)  # the address is closed in the same reactor iteration
@@ -186,24 +186,24 @@
                 self.reload(last)
                 self.wait(50)
                 (call,) = self.calls_at(last)
-                self.send_list(call, 3, whole=True, w1="draining", w2="up")
+                self.send_list_on(call, 3, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_the_last_change_of_the_former_watch_outlives_its_end(self) -> None:
         self.begin(workers=2)
         former = self.watches[-1]
-        self.send_list(former, 42, w1="up")
+        self.send_list_on(former, 42, w1="up")
         first, last = self.discovery_listeners(2)
         self.reload(first)
         self.wait(300)
-        self.send_list(former, 43, w1="draining")
+        self.send_list_on(former, 43, w1="draining")
         former.sock.close()
         self.wait(100)
         self.reload(last)
         self.wait(100)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
         (call,) = self.calls_at(last)
-        self.send_list(call, 1, whole=True, w1="draining", w2="up")
+        self.send_list_on(call, 1, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_sigterm_between_reloads(self) -> None:
@@ -253,7 +253,7 @@
 
     def test_a_trickling_line_does_not_restart_the_timeout(self) -> None:
         self.begin(workers=2)
-        self.send_list(self.watches[0], 42, w1="up")
+        self.send_list_on(self.watches[0], 42, w1="up")
         line = json.dumps({"index": 43, "snapshot": False, "endpoints": []}).encode()
         data = http.chunk(line)
         called, sent = len(self.asked_lists()), 0
@@ -279,7 +279,7 @@
                         self.wait(50)
                         waited += 50
                         self.assertLessEqual(waited, 10_000)
-                self.tell(60, whole=True, w1="draining", w2="up")
+                self.send_list(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
 
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -307,7 +307,7 @@
                 if change == "moved":
                     self.came()
                     self.listeners[int(name[1:]) - 1] = self.listener()
-                self.tell(42, False, **{name: "up" if change == "moved" else "gone"})
+                self.send_list(42, False, **{name: "up" if change == "moved" else "gone"})
                 before = len(self.sides)
                 self.release_connections()
                 self.wait(100)
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -76,7 +76,7 @@
         super().begin(workers, progress, folder, **more)
         self.ports = [sock.getsockname()[1] for sock in self.listeners]
         self.discovery_port = self.lists.getsockname()[1]
-        self.tell(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
+        self.send_list(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
 
     def wait_with_heartbeats(self, ms: float) -> None:
         """Advance the time while discovery sends heartbeats."""
@@ -388,11 +388,11 @@
                 self.begin()
                 list_calls = len(self.asked_lists())
                 fault = self.plan.add("recv", error, 1, self.discovery_port)
-                self.tell(43, whole=True, w1="up")
+                self.send_list(43, whole=True, w1="up")
                 self.serve("a1")
                 self.wait_for_list_calls(list_calls + 1)
                 self.assertEqual(1, fault.occurrences)
-                self.tell(44, whole=True, w1="draining")
+                self.send_list(44, whole=True, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 self.assert_handled(fault)
                 self.end()
@@ -406,7 +406,7 @@
     def test_the_watch_is_read_in_short_pieces(self) -> None:
         self.begin()
         fault = self.plan.add("recv", ONE_BYTE_ONLY, 100, self.discovery_port)
-        self.tell(43, whole=True, w1="draining")
+        self.send_list(43, whole=True, w1="draining")
         self.turn(200)
         self.assertEqual(100, fault.occurrences)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
