--- a/tests/test_system_call_errors.py
+++ b/tests/test_system_call_errors.py
@@ -33,7 +33,7 @@
     MAX_RELOAD_RETRIES,
     RELOAD_RETRY_INTERVAL_MS,
 )
-from elderstall.config import Config, ConfigError, UnreadableError, config_of, load
+from elderstall.config import Config, ConfigError, UnreadableError, load, parse_config
 from elderstall.log import MAX_LINE_BYTES, Log, StandardError
 from elderstall.net import http, peer
 from elderstall.net.accepting import RESOURCE_ERRORS
@@ -41,7 +41,7 @@
 from tests import loopback
 from tests.loopback import Loop, Loopback, with_console
 from tests.scenario import platform
-from tests.test_program import PATIENCE, ROOT, Program
+from tests.test_program import ROOT, TIMEOUT_S, Program
 
 RESOURCE_ERROR_NUMBERS = sorted(RESOURCE_ERRORS)
 
@@ -197,7 +197,7 @@
             "tenant": "norte", "key": None, "hint": None, "slots": 1, "arrived": now - 10,
             "deadline": now + 8_000, "sent": 0, "ran": False, "unsure": [], "attempt": None,
         }  # fmt: skip
-        original = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").plain()
+        original = http.Message((1, 1), http.Headers(), b"body", "POST", "/album").to_fields()
         return {"job": state, "parcel": original, "last": False}
 
     def test_adopting_a_listener_is_retried(self) -> None:
@@ -357,8 +357,8 @@
             poll.return_value.poll.side_effect = system_error(number)
             with self.subTest(errno.errorcode[number]), mock.patch("elderstall.net.peer.select.poll", poll):
                 connection = next(iter(self.app.server.connections))
-                self.assertFalse(peer.left(connection.transport))
-                self.assertTrue(peer.unread(connection.transport))
+                self.assertFalse(peer.has_peer_closed(connection.transport))
+                self.assertTrue(peer.has_unread_data(connection.transport))
         at_worker.send(http.response(202))
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
@@ -450,7 +450,7 @@
         self.reads = 0
 
     def read_fails(self, *errors: Exception) -> None:
-        read = failing(lambda: config_of(self.raw, {}), *errors)
+        read = failing(lambda: parse_config(self.raw, {}), *errors)
 
         def counted() -> Config:
             self.reads += 1
@@ -541,7 +541,7 @@
                 container[path[-1]] = copy.deepcopy(value)
                 with self.subTest(f"{path} = {str(value)[:20]!r}"):
                     try:
-                        config_of(raw, {})
+                        parse_config(raw, {})
                     except ConfigError as error:
                         self.assertRegex(str(error), r"^[a-z_.]+: ")
 
@@ -558,7 +558,7 @@
     def start_with(self, raw: dict[str, Any]) -> subprocess.CompletedProcess[str]:
         self.file.write_text(json.dumps(raw))
         return subprocess.run(
-            [sys.executable, "-m", "elderstall", "--config", str(self.file)], cwd=ROOT, timeout=PATIENCE,
+            [sys.executable, "-m", "elderstall", "--config", str(self.file)], cwd=ROOT, timeout=TIMEOUT_S,
             env={**os.environ, "TMPDIR": ""}, capture_output=True, text=True, check=False)  # fmt: skip
 
     def test_addresses_in_use_end_the_program_with_a_message_and_a_status(self) -> None:
@@ -580,7 +580,7 @@
         connections = [self.connect() for _ in range(5)]
         for connection in connections:
             connection.sock.sendall(http.request("GET", "/up", "x"))
-        time_limit = time.monotonic() + PATIENCE
+        time_limit = time.monotonic() + TIMEOUT_S
         while not any(" accept failed with EMFILE" in call for call in self.calls):
             self.assertIsNone(self.program.poll())
             self.assertLess(time.monotonic(), time_limit, "no error of accept was logged")
@@ -609,7 +609,7 @@
             program.send_signal(signal.SIGHUP)
             self.assertEqual(200, self.ask(http.request("GET", "/up", "x")).status)
             program.send_signal(signal.SIGTERM)
-            self.assertEqual(0, program.wait(PATIENCE))
+            self.assertEqual(0, program.wait(TIMEOUT_S))
 
     def test_an_unreadable_configuration_at_start_ends_the_program_naming_the_path(self) -> None:
         for path in ("/proc/self/mem", tempfile.gettempdir(), "/nowhere/config.json"):
--- a/tests/test_worker_socket_errors.py
+++ b/tests/test_worker_socket_errors.py
@@ -25,7 +25,7 @@
     no_descriptor_leaked,
     open_descriptors,
 )
-from tests.loopback import Loopback, Side
+from tests.loopback import Loopback, PeerSocket
 
 ACCEPTED = http.response(202)
 SAFE, UNSAFE = "deck-fetch", "deck-build"
@@ -76,7 +76,7 @@
         super().begin(workers, progress, folder, **more)
         self.ports = [sock.getsockname()[1] for sock in self.listeners]
         self.discovery_port = self.lists.getsockname()[1]
-        self.tell(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
+        self.send_list(42, whole=True, **{f"w{n + 1}": "up" for n in range(workers)})
 
     def wait_with_heartbeats(self, ms: float) -> None:
         """Advance the time while discovery sends heartbeats."""
@@ -84,7 +84,7 @@
             self.watches[-1].send(http.chunk(b"\n"))
             self.wait(1_000)
 
-    def name(self, worker: Side) -> str:
+    def name(self, worker: PeerSocket) -> str:
         return f"w{self.ports.index(worker.sock.getsockname()[1]) + 1}"
 
     def finish_jobs(self) -> None:
@@ -101,13 +101,13 @@
             self.turn(3)
             self.call_back(request_id, worker=self.name(side))
 
-    def submit(self, request_id: str, job_class: str = SAFE) -> Side:
+    def submit(self, request_id: str, job_class: str = SAFE) -> PeerSocket:
         client = self.client()
         client.send(self.job(request_id, job_class))
         self.until(lambda: self.app.engine.jobs.is_known(request_id))
         return client
 
-    def finish(self, client: Side, ms: float = 3_000) -> http.Message:
+    def finish(self, client: PeerSocket, ms: float = 3_000) -> http.Message:
         """Return a client's answer; workers finish jobs for at most ``ms`` meanwhile."""
         end = self.app.deadlines.now() + ms
         while not client.messages and self.app.deadlines.now() < end:
@@ -134,7 +134,7 @@
     def count_descriptors(self) -> int:
         """Return the number of open descriptors after closing all idle connections to workers."""
         for name in list(self.app.workers.pools):
-            self.app.workers.drop_idle(name)
+            self.app.workers.close_pool(name)
         self.turn()
         self.came()
         self.close_ended()
@@ -388,11 +388,11 @@
                 self.begin()
                 list_calls = len(self.asked_lists())
                 fault = self.plan.add("recv", error, 1, self.discovery_port)
-                self.tell(43, whole=True, w1="up")
+                self.send_list(43, whole=True, w1="up")
                 self.serve("a1")
                 self.wait_for_list_calls(list_calls + 1)
                 self.assertEqual(1, fault.occurrences)
-                self.tell(44, whole=True, w1="draining")
+                self.send_list(44, whole=True, w1="draining")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 self.assert_handled(fault)
                 self.end()
@@ -406,7 +406,7 @@
     def test_the_watch_is_read_in_short_pieces(self) -> None:
         self.begin()
         fault = self.plan.add("recv", ONE_BYTE_ONLY, 100, self.discovery_port)
-        self.tell(43, whole=True, w1="draining")
+        self.send_list(43, whole=True, w1="draining")
         self.turn(200)
         self.assertEqual(100, fault.occurrences)
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
