--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -94,7 +94,7 @@
         if not done.called:
             done.callback(outcome)
 
-    def probe(self, worker: str) -> Deferred[Outcome]:
+    def poll_load(self, worker: str) -> Deferred[Outcome]:
         """Answer a poll with free slots."""
         self.polled += 1
         self.reached.add(worker)
@@ -108,7 +108,7 @@
         self.deadlines.after(1.0, done.callback, True)
         return done
 
-    def drop_idle(self, worker: str) -> None:
+    def close_pool(self, worker: str) -> None:
         """Do nothing, as there are no connections."""
 
 
@@ -135,13 +135,15 @@
         self.rng = random.Random(seed)
         self.transport = StubTransport(self.deadlines, self.rng)
         self.engine = Engine(settings, seed, self.deadlines, self.transport, FailingLog())
-        self.engine.endpoints.request_changes = lambda: self.engine.endpoints.take(ListScope.CHANGES)
+        self.engine.endpoints.request_changes = lambda: self.engine.endpoints.handle_list_update(
+            ListScope.CHANGES
+        )
         self.jobs = 0
         self.engine.start(listed)
 
     def change(self, entry: Endpoint) -> None:
         """Apply one change of the endpoint list."""
-        self.engine.endpoints.take(ListScope.CHANGES, (entry,))
+        self.engine.endpoints.handle_list_update(ListScope.CHANGES, (entry,))
 
     def idle(self, duration_ms: float) -> None:
         """Advance the virtual time."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,7 +12,7 @@
 from elderstall.net.handover.messages import ConnectionTransfer, RequestTaken
 from elderstall.net.server.closing import DEPARTURE_CHECK_INTERVAL_MS
 from elderstall.net.server.request_connection import MAX_READ_AHEAD_BYTES
-from tests.loopback import Loopback, Side, address_of
+from tests.loopback import Loopback, PeerSocket, address_of
 from tests.scenario import CLASSES, RULES, entry
 
 DEPARTURE_DETECTION_MS = 100.0  # afterwards a disconnected client's job must not be written to a worker
@@ -51,7 +51,7 @@
         side.sock.close()
         self.wait(DEPARTURE_DETECTION_MS)
 
-    def send_job(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> Side:
+    def send_job(self, request_id: str, job_class: str = "album", accept: str = "*/*") -> PeerSocket:
         side = self.client()
         side.send(self.job(request_id, job_class, accept=accept) + PIPELINED_REQUESTS)
         self.until(lambda: request_id in self.app.engine.jobs.by_request_id)
@@ -70,7 +70,7 @@
         self.send_and_disconnect("gone")
         self.call_back("first")
         self.wait(200)
-        self.nothing()
+        self.assert_nothing_received()
         self.assertNotIn("gone", self.app.engine.jobs.by_request_id)
 
     def test_queued_job_with_a_progress_stream(self) -> None:
@@ -79,14 +79,14 @@
         self.send_and_disconnect("gone", accept="text/event-stream")
         self.call_back("first")
         self.wait(200)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_worker_connection_still_being_opened(self) -> None:
         self.begin()
         self.held = []
         self.send_and_disconnect("gone", "deck-build")  # an unsafe job waits longest for its connection
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
 
     def test_worker_connection_opened_in_the_same_reactor_iteration(self) -> None:
         self.begin()
@@ -94,8 +94,8 @@
         side = self.send_job("gone", "deck-build")
         self.until(lambda: bool(self.held))
         side.sock.close()
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.assertTrue([x for x in self.lines if "its client has disconnected" in x], self.lines)
 
     def test_while_workers_are_polled(self) -> None:
@@ -116,7 +116,7 @@
         self.call_back("gone", "returned")  # never ran: it waits for the next attempt
         side.sock.close()
         self.wait(DEPARTURE_DETECTION_MS)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_job_read_after_its_client_has_disconnected(self) -> None:
         """Covers a long accept queue: request and end of connection have arrived before the first read."""
@@ -124,8 +124,8 @@
         side = self.client()
         side.send(self.job("gone") + b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         side.sock.close()
-        self.jump(DEPARTURE_DETECTION_MS)
-        self.nothing()
+        self.advance_clock_only(DEPARTURE_DETECTION_MS)
+        self.assert_nothing_received()
         self.assertTrue([x for x in self.lines if "its client has disconnected" in x], self.lines)
 
     def test_during_hand_over_to_another_process(self) -> None:
@@ -135,7 +135,7 @@
         accepted, _ = server.accept()
         server.close()
         client.close()
-        self.jump(DEPARTURE_DETECTION_MS)
+        self.advance_clock_only(DEPARTURE_DETECTION_MS)
         now = self.app.deadlines.now()
         state: dict[str, Any] = {
             "cid": "gone",
@@ -167,14 +167,14 @@
                     "asked": 0,
                     "age": 1.0,
                     "job": state,
-                    "parcel": message.plain(),
+                    "parcel": message.to_fields(),
                     "last": False,
                 }
             ),
             accepted.detach(),
         )
         self.wait(100)
-        self.nothing()
+        self.assert_nothing_received()
 
     def test_job_at_its_worker_is_cancelled(self) -> None:
         self.begin()
@@ -274,7 +274,7 @@
         self.wait(690)
         side = self.client()
         side.send(self.job("a1", budget=500))
-        self.jump(100)  # the check for open requests runs before the listener is read
+        self.advance_clock_only(100)  # the check for open requests runs before the listener is read
         self.assertFalse(self.loop.stopped)
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
@@ -287,7 +287,7 @@
         self.app.sigterm()
         self.wait(690)
         side.send(self.job("a1", budget=500))
-        self.jump(100)
+        self.advance_clock_only(100)
         self.assertFalse(self.loop.stopped)
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
@@ -303,7 +303,7 @@
         self.app.sigterm()
         self.wait(1_990)
         side.send(self.job("a2", budget=500))
-        self.jump(20)  # past the time at which idle clients are closed
+        self.advance_clock_only(20)  # past the time at which idle clients are closed
         self.take("POST a2").send(http.response(202))
         self.call_back("a2")
         message = self.answer(side)
@@ -315,7 +315,7 @@
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(200, self.answer(side).status)
         side.send(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.jump(self.app.server.timeouts.idle + 1)
+        self.advance_clock_only(self.app.server.timeouts.idle + 1)
         self.assertEqual(200, self.answer(side).status)
         self.wait(self.app.server.timeouts.idle + 1_000)
         side.read()
@@ -374,7 +374,7 @@
         self.until(lambda: bool(self.held))
         self.app.sigterm()
         self.wait(200)
-        self.let_up()
+        self.release_connections()
         self.take("POST a1").send(http.response(202))
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
@@ -426,7 +426,7 @@
         self.begin(workers=2, discovery="automatic", balancers=200)
         self.assertEqual(["/discovery/hosts?watch=1&from=41"], self.asked_lists())
         self.assertEqual(1_000.0, self.loop.clock.seconds())  # without delay: no other dispatcher calls there
-        self.tell(42, w1="draining")
+        self.send_list(42, w1="draining")
         for n in range(4):
             side = self.client()
             side.send(self.job(f"a{n}"))
@@ -441,37 +441,37 @@
         side = self.client()
         side.send(self.job("a1", "deck-build"))
         self.until(lambda: bool(self.held))
-        self.tell(42, w1="draining")
+        self.send_list(42, w1="draining")
         self.wait(280)
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.assertTrue([x for x in self.lines if x.startswith("rule request not sent to w1")], self.lines)
         self.wait(5_000)
         self.assertEqual(503, self.answer(side).status)
 
     def test_an_older_list_version_is_ignored(self) -> None:
         self.begin(workers=2)
-        self.tell(50, whole=True, w1="draining", w2="up")
-        self.tell(49, whole=True, w1="up", w2="up")
-        self.tell(48, w1="up")
+        self.send_list(50, whole=True, w1="draining", w2="up")
+        self.send_list(49, whole=True, w1="up", w2="up")
+        self.send_list(48, w1="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
-        self.tell(51, w1="up")
+        self.send_list(51, w1="up")
         self.assertEqual("up", self.app.engine.view.state("w1").value)
 
     def test_a_new_watch_may_begin_with_a_whole_list_of_a_lower_version(self) -> None:
         self.begin(workers=2)
-        self.tell(50, whole=True, w1="up", w2="up")
+        self.send_list(50, whole=True, w1="up", w2="up")
         self.watches[-1].sock.close()
         self.wait(300)
         self.until(lambda: len(self.asked_lists()) == 2)
-        self.tell(3, whole=True, w1="draining", w2="up")
+        self.send_list(3, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_being_opened_at_shutdown_is_cancelled(self) -> None:
         self.begin()
         self.watches[-1].sock.close()
         self.turn()
-        self.jump(300)  # the call is made and has no response yet
+        self.advance_clock_only(300)  # the call is made and has no response yet
         connecting = self.app.discovery.calls[0].connecting
         assert connecting is not None
         self.app.discovery.close()
@@ -480,7 +480,7 @@
     def test_an_oversized_list_leaves_addresses_and_workers_unchanged(self) -> None:
         self.begin(workers=2)
         self.app.engine.view.max_list_entries = 50
-        self.tell(43, whole=True, w1="up", w2="up")
+        self.send_list(43, whole=True, w1="up", w2="up")
         addresses = dict(self.app.workers.addresses)
         many = [entry(f"x{n}", address="127.0.0.1:1") for n in range(51)]
         self.watches[-1].send(
@@ -490,14 +490,14 @@
         self.assertEqual(addresses, self.app.workers.addresses)
         self.assertEqual({"w1", "w2"}, set(self.app.engine.view.entries))
         self.assertEqual(1, self.app.engine.figures().lists_refused)
-        self.tell(45, w1="draining")  # the watch goes on
+        self.send_list(45, w1="draining")  # the watch goes on
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_invalid_numbers_end_the_watch(self) -> None:
         self.begin()
         for value in ("NaN", "Infinity", "-1"):
             count = len(self.watches)
-            self.tell(42 + count)
+            self.send_list(42 + count)
             text = json.dumps(
                 {
                     "index": 43,
@@ -659,7 +659,7 @@
             ),
         )
         self.assertEqual({"clinic"}, self.app.engine.tenants)
-        self.nothing()
+        self.assert_nothing_received()
 
 
 class SilentDiscovery(Loopback):
@@ -676,7 +676,7 @@
             self.wait(50)
             silence += 50
             self.assertLess(silence, 6_000 - 500)
-        self.tell(60, whole=True, w1="draining", w2="up")
+        self.send_list(60, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     FLEETS: tuple[dict[str, Any], ...] = (
@@ -684,7 +684,7 @@
         {"balancers": 200},
         {"discovery": "automatic", "balancers": 200},
     )
-    RESPONSE_HEAD = http.head_of("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
+    RESPONSE_HEAD = http.encode_head("HTTP/1.1 200 OK", [("Transfer-Encoding", "chunked")])
     LIST_LINE = json.dumps({"index": 42, "snapshot": False, "endpoints": []}).encode() + b"\n"
 
     def wait_for_next_call(self, max_silence: float) -> float:
@@ -698,7 +698,7 @@
         return silence
 
     def check_update_on_newest_call(self) -> None:
-        self.tell(60, whole=True, w1="draining", w2="up")
+        self.send_list(60, whole=True, w1="draining", w2="up")
         self.assertEqual("draining", self.app.engine.view.state("w1").value)
 
     def test_a_watch_and_the_call_after_it_are_both_silent(self) -> None:
@@ -759,7 +759,7 @@
         self.wait(50)
         self.assertEqual(3, len(self.asked_lists()))
         self.assertEqual(1, len(self.app.discovery.calls))
-        self.tell(7, whole=True, w1="draining", w2="up")
+        self.send_list(7, whole=True, w1="draining", w2="up")
         self.wait(50)
         for side in previous:
             side.read()
@@ -804,7 +804,7 @@
 
     SOCKETS = 96
 
-    def idle_clients(self, count: int) -> list[Side]:
+    def idle_clients(self, count: int) -> list[PeerSocket]:
         return [self.client() for _ in range(count)]
 
     def test_a_burst_in_one_reactor_iteration_stays_within_the_limit(self) -> None:
@@ -822,7 +822,7 @@
                 address = self.lists.getsockname()
                 self.lists.close()
                 self.watches[-1].sock.close()
-                clients: list[Side] = []
+                clients: list[PeerSocket] = []
                 for _ in range(20):
                     clients += self.idle_clients(10)
                     if asked:
@@ -841,7 +841,7 @@
                     self.wait(100)
                     if len(self.asked_lists()) > called:
                         break
-                self.tell(60, whole=True, w1="draining", w2="up")
+                self.send_list(60, whole=True, w1="draining", w2="up")
                 self.assertEqual("draining", self.app.engine.view.state("w1").value)
                 clients += self.idle_clients(self.SOCKETS)
                 self.wait(1_000)
@@ -853,7 +853,7 @@
 class WorkerConnections(Loopback):
     """A worker closes its connection or sends a response at an unexpected time."""
 
-    def serve_job(self, request_id: str = "a1") -> Side:
+    def serve_job(self, request_id: str = "a1") -> PeerSocket:
         side = self.client()
         side.send(self.job(request_id))
         worker = self.take(f"POST {request_id}")
@@ -906,13 +906,13 @@
         worker = self.take("POST a1")
         worker.send(b"HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nx")
         self.wait(900)
-        self.nothing()
+        self.assert_nothing_received()
         worker.read()
         self.assertFalse(worker.ended)
         self.wait(200)
         worker.read()
         self.assertTrue(worker.ended)  # the connection is closed in the end
-        self.nothing()
+        self.assert_nothing_received()
         self.call_back("a1")
         self.assertEqual(200, self.answer(side).status)
 
@@ -926,8 +926,8 @@
         worker.sock.close()  # it may have run
         self.until(lambda: bool(self.held))
         self.wait(230)
-        self.let_up()
-        self.nothing()
+        self.release_connections()
+        self.assert_nothing_received()
         self.wait(5_000)
         self.assertIn(self.answer(side).status, (502, 503, 504))
 
